--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/load/BackendSpeed.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/load/BackendSpeed.java
@@ -14,51 +14,53 @@
   private static final double MAX_FACTOR = 10;
 
   /** Time over which its usual speed is taken, milliseconds: many moments of slowness. */
-  private static final double USUAL_MILLIS = 10_000;
+  private static final double USUAL_FACTOR_MILLIS = 10_000;
 
   /** Statements kept: those that come while one request runs. */
-  private static final int MAX_RECENT = 64;
+  private static final int MAX_STATEMENTS = 64;
 
   /** Weight of one answer in how far statements, and times without them, have been off. */
   private static final double ERROR_WEIGHT = 0.03;
 
   /** Answers after which statements may be found worse than none. */
-  private static final int MIN_COMPARED = 20;
+  private static final int MIN_COMPARISONS = 20;
 
   /**
    * How much further off times are with statements than without from which on they are not used:
    * where they tell little either way, chance would else decide anew with each answer.
    */
-  private static final double WORSE = 1.15;
+  private static final double DISTRUST_RATIO = 1.15;
 
   private static final double MICROS_PER_MILLI = 1_000;
 
-  private record Stated(long atMillis, double factor) {}
+  private record StatedFactor(long atMillis, double factor) {}
 
-  private final Deque<Stated> recent = new ArrayDeque<>();
-  private final AgingSlowness deviation = new AgingSlowness();
+  private final Deque<StatedFactor> recentStatements = new ArrayDeque<>();
+  private final DecayingSlowdown deviation = new DecayingSlowdown();
   private final RouteMeans plainTimes = new RouteMeans(1);
   private final RouteMeans usualTimes = new RouteMeans(1);
-  private long statements;
-  private double usual = 1;
+  private long statementCount;
+  private double usualFactor = 1;
   private double plainError;
   private double statedError;
-  private int compared;
-  private boolean believed = true;
+  private int comparisons;
+  private boolean trusted = true;
 
   /** Takes what the back end said with an answer that has just come. */
   public void stated(long nowMillis, BackendStatement statement) {
-    double said = statement.slownessPercent() / (double) BackendStatement.USUAL_PERCENT;
-    double factor = Math.min(MAX_FACTOR, Math.max(1 / MAX_FACTOR, said));
-    double pause = recent.isEmpty() ? 0 : nowMillis - recent.peekLast().atMillis();
-    statements++;
-    double weight = Math.max(1.0 / statements, 1 - Math.exp(-pause / USUAL_MILLIS));
-    usual += weight * (factor - usual);
-    recent.addLast(new Stated(nowMillis, factor));
-    if (recent.size() > MAX_RECENT) {
-      recent.removeFirst();
+    double statedFactor = statement.slownessPercent() / (double) BackendStatement.USUAL_PERCENT;
+    double factor = Math.min(MAX_FACTOR, Math.max(1 / MAX_FACTOR, statedFactor));
+    double sinceLastMillis =
+        recentStatements.isEmpty() ? 0 : nowMillis - recentStatements.peekLast().atMillis();
+    statementCount++;
+    double weight =
+        Math.max(1.0 / statementCount, 1 - Math.exp(-sinceLastMillis / USUAL_FACTOR_MILLIS));
+    usualFactor += weight * (factor - usualFactor);
+    recentStatements.addLast(new StatedFactor(nowMillis, factor));
+    if (recentStatements.size() > MAX_STATEMENTS) {
+      recentStatements.removeFirst();
     }
-    deviation.stated(nowMillis, factor / usual);
+    deviation.update(nowMillis, factor / usualFactor);
   }
 
   /**
@@ -68,41 +70,42 @@
    * @return how long it would have run at the usual speed, microseconds
    */
   public long answered(long nowMillis, String route, long micros) {
-    long usualMicros = Math.max(1, Math.round(usualMillis(nowMillis, micros) * MICROS_PER_MILLI));
+    long usualMicros =
+        Math.max(1, Math.round(normalizedMillis(nowMillis, micros) * MICROS_PER_MILLI));
     if (plainTimes.expected(route) > 0 && usualTimes.expected(route) > 0) {
-      compared++;
-      double weight = Math.max(ERROR_WEIGHT, 1.0 / compared);
-      plainError += weight * (error(micros, plainTimes.expected(route)) - plainError);
-      statedError += weight * (error(usualMicros, usualTimes.expected(route)) - statedError);
-      judge();
+      comparisons++;
+      double weight = Math.max(ERROR_WEIGHT, 1.0 / comparisons);
+      plainError += weight * (logError(micros, plainTimes.expected(route)) - plainError);
+      statedError += weight * (logError(usualMicros, usualTimes.expected(route)) - statedError);
+      updateTrust();
     }
     plainTimes.add(route, micros);
     usualTimes.add(route, usualMicros);
-    return believed ? usualMicros : micros;
+    return trusted ? usualMicros : micros;
   }
 
-  private void judge() {
-    if (believed) {
-      believed = compared < MIN_COMPARED || statedError <= WORSE * plainError;
+  private void updateTrust() {
+    if (trusted) {
+      trusted = comparisons < MIN_COMPARISONS || statedError <= DISTRUST_RATIO * plainError;
     } else {
-      believed = statedError <= plainError;
+      trusted = statedError <= plainError;
     }
   }
 
-  private static double error(long micros, long expectedMicros) {
+  private static double logError(long micros, long expectedMicros) {
     return Math.abs(Math.log(Math.max(1, micros) / (double) expectedMicros));
   }
 
   /** The time that has passed, each part of it as long as it would have been at usual speed. */
-  private double usualMillis(long nowMillis, long micros) {
+  private double normalizedMillis(long nowMillis, long micros) {
     double end = nowMillis;
     double begin = nowMillis - micros / MICROS_PER_MILLI;
     double sum = 0;
-    for (var each = recent.descendingIterator(); each.hasNext() && end > begin; ) {
-      Stated stated = each.next();
+    for (var each = recentStatements.descendingIterator(); each.hasNext() && end > begin; ) {
+      StatedFactor stated = each.next();
       double from = each.hasNext() ? Math.max(begin, stated.atMillis()) : begin;
       if (from < end) {
-        sum += (end - from) * usual / stated.factor();
+        sum += (end - from) * usualFactor / stated.factor();
         end = from;
       }
     }
@@ -111,18 +114,18 @@
 
   /** Whether what the back end says tells how long its work takes, as far as has been seen. */
   public boolean isBelieved() {
-    return believed;
+    return trusted;
   }
 
   /**
    * The factor by which work takes longer now than usual.
    *
-   * @param shownByAges the same as the ages of what runs there show it, see {@link
+   * @param ageFactor the same as the ages of what runs there show it, see {@link
    *     io.umberpath.traffic.routing.Slowness}; overrules a back end that says less
    */
-  public double slowness(long nowMillis, double shownByAges) {
-    double stated = believed ? deviation.at(nowMillis) : 1;
-    return shownByAges > 1 ? Math.max(stated, shownByAges) : stated;
+  public double slowness(long nowMillis, double ageFactor) {
+    double statedFactor = trusted ? deviation.factorAt(nowMillis) : 1;
+    return ageFactor > 1 ? Math.max(statedFactor, ageFactor) : statedFactor;
   }
 
   /** How far times have been off with statements, and without them, for a log line. */
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/load/AgingSlowness.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/load/DecayingSlowdown.java
@@ -6,7 +6,7 @@
  * How slow a back end was when that was last stated, believed less the older it is. Owner
  * synchronizes.
  */
-public final class AgingSlowness {
+public final class DecayingSlowdown {
   /**
    * Age at which half of a deviation from the usual is believed, milliseconds. Where back ends
    * share their machines, 6,721 statements of 21 of them showed: of those that were slow, 0.81 were
@@ -18,35 +18,37 @@
   private static final double MAX_HALF_LIFE_MILLIS = 3_000;
 
   /** Deviation from the usual from which on it is slow, or fast, and not just as usual. */
-  private static final double NOTABLE = 1.25;
+  private static final double SIGNIFICANT_FACTOR = 1.25;
 
-  private static final double USUAL = 1;
+  private static final double NORMAL = 1;
 
-  private double stated = USUAL;
-  private long statedMillis;
-  private long beganMillis;
+  private double lastFactor = NORMAL;
+  private long updatedMillis;
+  private long levelSinceMillis;
 
   /**
    * Takes a statement.
    *
    * @param factor how long work takes against its usual time; 1 as usual
    */
-  public void stated(long nowMillis, double factor) {
-    if (side(factor) != side(stated)) {
-      beganMillis = nowMillis;
+  public void update(long nowMillis, double factor) {
+    if (level(factor) != level(lastFactor)) {
+      levelSinceMillis = nowMillis;
     }
-    stated = factor;
-    statedMillis = nowMillis;
+    lastFactor = factor;
+    updatedMillis = nowMillis;
   }
 
-  private static int side(double factor) {
-    return factor >= NOTABLE ? 1 : factor <= USUAL / NOTABLE ? -1 : 0;
+  private static int level(double factor) {
+    return factor >= SIGNIFICANT_FACTOR ? 1 : factor <= NORMAL / SIGNIFICANT_FACTOR ? -1 : 0;
   }
 
   /** The factor to reckon with now. What has lasted for some time is expected to last as long. */
-  public double at(long nowMillis) {
-    double lasted = statedMillis - beganMillis;
-    double halfLife = Math.min(MAX_HALF_LIFE_MILLIS, Math.max(HALF_LIFE_MILLIS, lasted));
-    return USUAL + (stated - USUAL) * DecayingValue.weight(nowMillis - statedMillis, halfLife);
+  public double factorAt(long nowMillis) {
+    double durationMillis = updatedMillis - levelSinceMillis;
+    double halfLifeMillis =
+        Math.min(MAX_HALF_LIFE_MILLIS, Math.max(HALF_LIFE_MILLIS, durationMillis));
+    return NORMAL
+        + (lastFactor - NORMAL) * DecayingValue.weight(nowMillis - updatedMillis, halfLifeMillis);
   }
 }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/outlier/FailureOutlier.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/outlier/FailureRateOutlier.java
@@ -6,26 +6,26 @@
  * still serves the other half, and is worth more than another that serves all of it too late. Where
  * all fail alike none stands out, and none is left out.
  */
-public final class FailureOutlier {
+public final class FailureRateOutlier {
   /**
    * Difference that is put down to chance: two standard errors of a share around a half, from the
    * 25 answers that a back end gives in two seconds under moderate load.
    */
-  private static final double CHANCE = 0.2;
+  private static final double NOISE_MARGIN = 0.2;
 
-  private FailureOutlier() {}
+  private FailureRateOutlier() {}
 
   /**
    * A back end beside the others of its service.
    *
-   * @param share share of its answers that fail, 0 to 1
-   * @param usualShare mean of the same over the service's back ends
+   * @param rate share of its answers that fail, 0 to 1
+   * @param meanRate mean of the same over the service's back ends
    */
-  public record Shares(double share, double usualShare) {}
+  public record FailureRates(double rate, double meanRate) {}
 
   /** Share of a request's worth that is likely lost there beyond what is lost elsewhere, 0 to 1. */
-  public static double excessLoss(Shares shares) {
-    double beyondChance = shares.share() - shares.usualShare() - CHANCE;
-    return beyondChance <= 0 ? 0 : Math.min(1, beyondChance / (1 - CHANCE));
+  public static double excessLoss(FailureRates rates) {
+    double excess = rates.rate() - rates.meanRate() - NOISE_MARGIN;
+    return excess <= 0 ? 0 : Math.min(1, excess / (1 - NOISE_MARGIN));
   }
 }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/outlier/FailureShare.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/outlier/FailureShare.java
@@ -18,7 +18,7 @@
   private static final double HALF_LIFE_MILLIS = 2_000;
 
   /** Answers from which on a share is stated: below, one failure would be an eighth or more. */
-  private static final double MIN_ANSWERS = 8;
+  private static final double MIN_ATTEMPTS = 8;
 
   private static final double PERCENT = 100;
 
@@ -41,14 +41,14 @@
    * back to 0 where nothing is sent to the back end any more, which then is tried again.
    */
   public int percent(long nowMillis) {
-    double all = 0;
+    double total = 0;
     double failed = 0;
     for (Map.Entry<AttemptResult, DecayingValue> each : counts.entrySet()) {
       double count = each.getValue().get(nowMillis);
-      all += each.getKey() == AttemptResult.NO_EVIDENCE ? 0 : count;
+      total += each.getKey() == AttemptResult.NO_EVIDENCE ? 0 : count;
       failed += isFailure(each.getKey()) ? count : 0;
     }
-    return all < MIN_ANSWERS ? 0 : (int) Math.round(PERCENT * failed / all);
+    return total < MIN_ATTEMPTS ? 0 : (int) Math.round(PERCENT * failed / total);
   }
 
   /** How many answers of each kind there were lately, older ones counted less, for a log line. */
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/quarantine/CrashMark.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/quarantine/CrashMark.java
@@ -9,7 +9,7 @@
  */
 public record CrashMark(int crash, long atMillis, boolean cleared) {
   /** The same mark as two nodes know it: whoever has cleared it is right. */
-  CrashMark mergedWith(CrashMark other) {
+  CrashMark merge(CrashMark other) {
     return new CrashMark(crash, Math.min(atMillis, other.atMillis), cleared || other.cleared);
   }
 
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/quarantine/RecentSuccesses.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/quarantine/RecentSuccesses.java
@@ -6,24 +6,24 @@
  */
 final class RecentSuccesses {
   /** Places, a power of two: ten seconds of a hundred requests a second, some 45 KiB when full. */
-  private static final int PLACES = 1_024;
+  private static final int CAPACITY = 1_024;
 
-  private final RequestFingerprint[] requests = new RequestFingerprint[PLACES];
-  private final long[] atMillis = new long[PLACES];
+  private final RequestFingerprint[] requests = new RequestFingerprint[CAPACITY];
+  private final long[] atMillis = new long[CAPACITY];
 
   void add(long nowMillis, RequestFingerprint request) {
-    int place = place(request);
-    requests[place] = request;
-    atMillis[place] = nowMillis;
+    int index = index(request);
+    requests[index] = request;
+    atMillis[index] = nowMillis;
   }
 
   /** Whether the request ran to a good end at that time or later, as far as is still known. */
   boolean containsSince(long sinceMillis, RequestFingerprint request) {
-    int place = place(request);
-    return request.equals(requests[place]) && atMillis[place] >= sinceMillis;
+    int index = index(request);
+    return request.equals(requests[index]) && atMillis[index] >= sinceMillis;
   }
 
-  private static int place(RequestFingerprint request) {
-    return (int) (request.target() ^ request.body()) & (PLACES - 1);
+  private static int index(RequestFingerprint request) {
+    return (int) (request.target() ^ request.body()) & (CAPACITY - 1);
   }
 }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/quarantine/SuspectLedger.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/quarantine/SuspectLedger.java
@@ -30,27 +30,27 @@
    * A good end clears a request of the ends of back ends up to so long after it, milliseconds: of a
    * popular request that dies with all back ends of its service, another has just been served.
    */
-  private static final long SUCCESS_MILLIS = 10_000;
+  private static final long SUCCESS_WINDOW_MILLIS = 10_000;
 
   /** Ends from which on a good end is told to others; a single one decides nothing. */
-  private static final int MARKS_WORTH_CLEARING = 2;
+  private static final int MIN_MARKS_TO_CLEAR = 2;
 
   /** Suspects that make room when there are too many: to look for them costs a sort of all. */
-  private static final int SUSPECTS_DROPPED = MAX_SUSPECTS / 8;
+  private static final int EVICTION_BATCH = MAX_SUSPECTS / 8;
 
-  private final Map<RequestFingerprint, Suspect> suspects = new HashMap<>();
+  private final Map<RequestFingerprint, SuspectRequest> suspects = new HashMap<>();
   private final RecentSuccesses successes = new RecentSuccesses();
-  private final int marksToHold;
-  private final Set<RequestFingerprint> held = new HashSet<>();
+  private final int quarantineThreshold;
+  private final Set<RequestFingerprint> quarantined = new HashSet<>();
   private long digest;
 
   /**
    * Creates a ledger that holds nothing.
    *
-   * @param marksToHold ends of back ends from which on a request is held
+   * @param quarantineThreshold ends of back ends from which on a request is held
    */
-  public SuspectLedger(int marksToHold) {
-    this.marksToHold = marksToHold;
+  public SuspectLedger(int quarantineThreshold) {
+    this.quarantineThreshold = quarantineThreshold;
   }
 
   /**
@@ -62,13 +62,13 @@
    */
   public List<Suspicion> ended(
       long nowMillis, BackendStart backend, Collection<RequestFingerprint> running) {
-    int crash = Objects.hash(backend.id(), backend.bornMillis());
-    CrashMark mark = new CrashMark(crash, nowMillis, false);
-    List<Suspicion> news = new ArrayList<>();
+    int crashId = Objects.hash(backend.id(), backend.bornMillis());
+    CrashMark mark = new CrashMark(crashId, nowMillis, false);
+    List<Suspicion> changes = new ArrayList<>();
     for (RequestFingerprint request : running) {
-      news.addAll(take(nowMillis, new Suspicion(request, List.of(mark))));
+      changes.addAll(take(nowMillis, new Suspicion(request, List.of(mark))));
     }
-    return news;
+    return changes;
   }
 
   /**
@@ -78,16 +78,17 @@
    */
   public Optional<Suspicion> succeeded(long nowMillis, RequestFingerprint request) {
     successes.add(nowMillis, request);
-    Suspect suspect = suspects.get(request);
+    SuspectRequest suspect = suspects.get(request);
     return suspect == null ? Optional.empty() : clear(request, suspect, nowMillis);
   }
 
-  private Optional<Suspicion> clear(RequestFingerprint request, Suspect suspect, long untilMillis) {
-    if (suspect.weight() < MARKS_WORTH_CLEARING) {
+  private Optional<Suspicion> clear(
+      RequestFingerprint request, SuspectRequest suspect, long untilMillis) {
+    if (suspect.crashCount() < MIN_MARKS_TO_CLEAR) {
       return Optional.empty();
     }
     List<CrashMark> cleared = suspect.clear(untilMillis);
-    changed(request, suspect);
+    updateDerivedState(request, suspect);
     return cleared.isEmpty() ? Optional.empty() : Optional.of(new Suspicion(request, cleared));
   }
 
@@ -96,64 +97,66 @@
    *
    * @return what of it is news, and what this node knows against it; empty if nothing is
    */
-  public List<Suspicion> take(long nowMillis, Suspicion heard) {
-    RequestFingerprint request = heard.request();
-    Suspect suspect = suspects.getOrDefault(request, new Suspect(marksToHold));
-    List<CrashMark> news = suspect.take(nowMillis, heard.marks());
-    if (news.isEmpty()) {
+  public List<Suspicion> take(long nowMillis, Suspicion received) {
+    RequestFingerprint request = received.request();
+    SuspectRequest suspect =
+        suspects.getOrDefault(request, new SuspectRequest(quarantineThreshold));
+    List<CrashMark> changed = suspect.merge(nowMillis, received.marks());
+    if (changed.isEmpty()) {
       return List.of();
     }
     suspects.put(request, suspect);
-    changed(request, suspect);
-    List<Suspicion> told = new ArrayList<>(List.of(new Suspicion(request, news)));
-    if (successes.containsSince(suspect.lastMillis() - SUCCESS_MILLIS, request)) {
-      clear(request, suspect, suspect.lastMillis()).ifPresent(told::add);
+    updateDerivedState(request, suspect);
+    List<Suspicion> changes = new ArrayList<>(List.of(new Suspicion(request, changed)));
+    if (successes.containsSince(suspect.lastCrashMillis() - SUCCESS_WINDOW_MILLIS, request)) {
+      clear(request, suspect, suspect.lastCrashMillis()).ifPresent(changes::add);
     }
     if (suspects.size() > MAX_SUSPECTS) {
-      makeRoom();
+      evictLeastSuspect();
     }
-    return told;
+    return changes;
   }
 
   /** Keeps what is worked out of all suspects in step with one of them. */
-  private void changed(RequestFingerprint request, Suspect suspect) {
+  private void updateDerivedState(RequestFingerprint request, SuspectRequest suspect) {
     digest += suspect.digestChange(request);
-    if (suspect.isHeld()) {
-      held.add(request);
+    if (suspect.isQuarantined()) {
+      quarantined.add(request);
     } else {
-      held.remove(request);
+      quarantined.remove(request);
     }
   }
 
   /** Those with the least against them go first, and of them those of longest ago. */
-  private void makeRoom() {
+  private void evictLeastSuspect() {
     List<RequestFingerprint> least =
         suspects.entrySet().stream()
             .sorted(
                 Comparator.comparingInt(
-                        (Map.Entry<RequestFingerprint, Suspect> each) -> each.getValue().weight())
-                    .thenComparingLong(each -> each.getValue().lastMillis()))
-            .limit(SUSPECTS_DROPPED)
+                        (Map.Entry<RequestFingerprint, SuspectRequest> each) ->
+                            each.getValue().crashCount())
+                    .thenComparingLong(each -> each.getValue().lastCrashMillis()))
+            .limit(EVICTION_BATCH)
             .map(Map.Entry::getKey)
             .toList();
-    least.forEach(this::drop);
+    least.forEach(this::remove);
   }
 
-  private void drop(RequestFingerprint request) {
-    Suspect dropped = suspects.remove(request);
-    dropped.dropMarks();
-    changed(request, dropped);
+  private void remove(RequestFingerprint request) {
+    SuspectRequest removed = suspects.remove(request);
+    removed.clearMarks();
+    updateDerivedState(request, removed);
   }
 
   /** Whether a request is to be kept from all back ends. */
   public boolean isHeld(RequestFingerprint request) {
-    return held.contains(request);
+    return quarantined.contains(request);
   }
 
   /** Ends of back ends that are held against a request. */
   public int weight(RequestFingerprint request) {
-    Suspect suspect = suspects.get(request);
-    return suspect == null ? 0 : suspect.weight();
+    SuspectRequest suspect = suspects.get(request);
+    return suspect == null ? 0 : suspect.crashCount();
   }
 
   /** Whether a request that is held may be tried once more. */
@@ -168,7 +171,9 @@
 
   /** Targets of the requests that are held; see {@link RequestFingerprint#target}. */
   public Set<Long> heldTargets() {
-    return held.stream().map(RequestFingerprint::target).collect(Collectors.toUnmodifiableSet());
+    return quarantined.stream()
+        .map(RequestFingerprint::target)
+        .collect(Collectors.toUnmodifiableSet());
   }
 
   /** Requests that are suspected. */
@@ -187,11 +192,11 @@
   public void forget(long nowMillis) {
     List<RequestFingerprint> known = List.copyOf(suspects.keySet());
     for (RequestFingerprint request : known) {
-      Suspect suspect = suspects.get(request);
-      if (suspect.forget(nowMillis)) {
-        changed(request, suspect);
+      SuspectRequest suspect = suspects.get(request);
+      if (suspect.removeExpired(nowMillis)) {
+        updateDerivedState(request, suspect);
       } else {
-        drop(request);
+        remove(request);
       }
     }
   }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/CallerPatience.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/CallerPatience.java
@@ -14,44 +14,44 @@
   private static final double TOLERANCE = 0.03;
 
   /** Votes that a time can gather. */
-  private static final double MAX_VOTES = 64;
+  private static final double MAX_WEIGHT = 64;
 
   /** What another time takes from them: the times of those who come back differ. */
-  private static final double OTHER_VOTE = 0.25;
+  private static final double MISMATCH_WEIGHT = 0.25;
 
-  private static final class Usual {
+  private static final class UsualTimeout {
     private long millis;
-    private double votes;
+    private double weight;
 
-    void vote(long stated) {
-      if (Math.abs(stated - millis) <= TOLERANCE * millis) {
-        votes = Math.min(MAX_VOTES, votes + 1);
-        millis = Math.max(millis, stated);
+    void add(long timeoutMillis) {
+      if (Math.abs(timeoutMillis - millis) <= TOLERANCE * millis) {
+        weight = Math.min(MAX_WEIGHT, weight + 1);
+        millis = Math.max(millis, timeoutMillis);
         return;
       }
-      votes -= OTHER_VOTE;
-      if (votes <= 0) {
-        millis = stated;
-        votes = 1;
+      weight -= MISMATCH_WEIGHT;
+      if (weight <= 0) {
+        millis = timeoutMillis;
+        weight = 1;
       }
     }
   }
 
-  private final Map<String, Usual> byRoute = new HashMap<>();
+  private final Map<String, UsualTimeout> byRoute = new HashMap<>();
 
   /**
    * Takes a request.
    *
-   * @param statedMillis time that its caller gives
+   * @param timeoutMillis time that its caller gives
    * @return how long ago the caller first asked, milliseconds; 0 if nothing speaks for more
    */
-  public long ageMillis(String route, long statedMillis) {
+  public long ageMillis(String route, long timeoutMillis) {
     if (byRoute.size() >= MAX_ROUTES && !byRoute.containsKey(route)) {
       byRoute.clear();
     }
-    Usual usual = byRoute.computeIfAbsent(route, absent -> new Usual());
-    usual.vote(statedMillis);
-    long age = usual.millis - statedMillis;
-    return age > TOLERANCE * usual.millis ? age : 0;
+    UsualTimeout usualTimeout = byRoute.computeIfAbsent(route, absent -> new UsualTimeout());
+    usualTimeout.add(timeoutMillis);
+    long age = usualTimeout.millis - timeoutMillis;
+    return age > TOLERANCE * usualTimeout.millis ? age : 0;
   }
 }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/CandidateSample.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/CandidateSampler.java
@@ -10,15 +10,15 @@
  * The candidates that are compared for a choice: all of a small service, else those of the own zone
  * first, as they are the cheapest to reach, and some of the others, from a random one on.
  */
-final class CandidateSample {
+final class CandidateSampler {
   /** Choice is made among this many at most, so that its cost does not grow with the service. */
   private static final int MAX_CANDIDATES = 24;
 
   /** Candidates of other zones that are looked at even where the own zone has many. */
-  private static final int MIN_FAR_CANDIDATES = 8;
+  private static final int MIN_REMOTE_CANDIDATES = 8;
 
   /** Candidates drawn of each part: the power of two choices needs no more. */
-  private static final int DRAWN = 2;
+  private static final int CHOICES = 2;
 
   private final String zone;
 
@@ -27,7 +27,7 @@
    *
    * @param zone zone of the node
    */
-  CandidateSample(String zone) {
+  CandidateSampler(String zone) {
     this.zone = zone;
   }
 
@@ -35,44 +35,44 @@
    * Takes a sample, those of the own zone first.
    *
    * @param allowed which candidates may be in it
-   * @param chance random number from 0 to 1
+   * @param random random number from 0 to 1
    */
-  List<BackendEntry> of(
-      List<BackendEntry> candidates, Predicate<BackendEntry> allowed, double chance) {
+  List<BackendEntry> sample(
+      List<BackendEntry> candidates, Predicate<BackendEntry> allowed, double random) {
     int size = candidates.size();
-    int first = isWhole(size) ? 0 : (int) (chance * size) % size;
-    List<BackendEntry> near = new ArrayList<>();
-    List<BackendEntry> far = new ArrayList<>();
+    int first = comparesAll(size) ? 0 : (int) (random * size) % size;
+    List<BackendEntry> local = new ArrayList<>();
+    List<BackendEntry> remote = new ArrayList<>();
     for (int index = 0; index < size; index++) {
       BackendEntry candidate = candidates.get((first + index) % size);
       if (allowed.test(candidate)) {
-        (isNear(candidate) ? near : far).add(candidate);
+        (isLocal(candidate) ? local : remote).add(candidate);
       }
     }
-    int nearCount = Math.min(near.size(), MAX_CANDIDATES - MIN_FAR_CANDIDATES);
-    int farCount = Math.min(far.size(), MAX_CANDIDATES - nearCount);
-    nearCount = Math.min(near.size(), MAX_CANDIDATES - farCount);
-    List<BackendEntry> sample = new ArrayList<>(near.subList(0, nearCount));
-    sample.addAll(far.subList(0, farCount));
+    int localCount = Math.min(local.size(), MAX_CANDIDATES - MIN_REMOTE_CANDIDATES);
+    int remoteCount = Math.min(remote.size(), MAX_CANDIDATES - localCount);
+    localCount = Math.min(local.size(), MAX_CANDIDATES - remoteCount);
+    List<BackendEntry> sample = new ArrayList<>(local.subList(0, localCount));
+    sample.addAll(remote.subList(0, remoteCount));
     return sample;
   }
 
   /** Two of the own zone and two of the others, drawn at random; fewer where there are no more. */
-  List<BackendEntry> draw(List<BackendEntry> sample, DoubleSupplier random) {
-    int near = 0;
-    while (near < sample.size() && isNear(sample.get(near))) {
-      near++;
+  List<BackendEntry> drawChoices(List<BackendEntry> sample, DoubleSupplier random) {
+    int localCount = 0;
+    while (localCount < sample.size() && isLocal(sample.get(localCount))) {
+      localCount++;
     }
-    List<BackendEntry> drawn = new ArrayList<>(2 * DRAWN);
-    drawTwo(sample.subList(0, near), random, drawn);
-    drawTwo(sample.subList(near, sample.size()), random, drawn);
+    List<BackendEntry> drawn = new ArrayList<>(2 * CHOICES);
+    drawTwo(sample.subList(0, localCount), random, drawn);
+    drawTwo(sample.subList(localCount, sample.size()), random, drawn);
     return drawn;
   }
 
   private static void drawTwo(
       List<BackendEntry> from, DoubleSupplier random, List<BackendEntry> drawn) {
     int size = from.size();
-    if (size <= DRAWN) {
+    if (size <= CHOICES) {
       drawn.addAll(from);
       return;
     }
@@ -83,12 +83,12 @@
   }
 
   /** Whether so many candidates are all compared, so that no chance is needed. */
-  static boolean isWhole(int candidates) {
-    return candidates <= MAX_CANDIDATES;
+  static boolean comparesAll(int candidateCount) {
+    return candidateCount <= MAX_CANDIDATES;
   }
 
   /** Whether a back end stands in the node's zone. */
-  boolean isNear(BackendEntry candidate) {
+  boolean isLocal(BackendEntry candidate) {
     return candidate.zone().equals(zone);
   }
 }
--- /dev/null
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/ExpectedResponseTimes.java
@@ -0,0 +1,115 @@
+package io.umberpath.traffic.routing;
+
+import io.umberpath.model.routing.BackendEntry;
+import io.umberpath.traffic.outlier.FailureRateOutlier;
+import java.util.List;
+
+/**
+ * How long an answer to a request of one route is expected to take at each back end of a service:
+ * the wait for a slot there and the work. What is not known of one back end is taken from what is
+ * usual among the others.
+ */
+final class ExpectedResponseTimes {
+  private static final double DEFAULT_SERVICE_MILLIS = 60;
+  private static final double WARM_UP_FACTOR = 2;
+
+  /** Weight of how full a back end is while it still has a free slot. */
+  private static final double UTILIZATION_WEIGHT = 0.4;
+
+  private final BackendStatsTable statsTable;
+  private final String route;
+  private final double meanServiceMillis;
+  private final double meanRouteMillis;
+  private final double meanOutstanding;
+  private final double meanFailureRate;
+
+  /**
+   * Takes what is usual among the candidates.
+   *
+   * @param route the request's route
+   */
+  ExpectedResponseTimes(BackendStatsTable statsTable, List<BackendEntry> candidates, String route) {
+    this.statsTable = statsTable;
+    this.route = route;
+    Average service = new Average();
+    Average routeTime = new Average();
+    Average outstanding = new Average();
+    Average failures = new Average();
+    for (BackendEntry candidate : candidates) {
+      BackendStats stats = statsTable.find(candidate);
+      if (stats == null) {
+        continue;
+      }
+      if (stats.serviceMillis() > 0) {
+        service.add(stats.serviceMillis());
+      }
+      if (stats.hasLoadReport()) {
+        outstanding.add(stats.outstanding());
+        failures.add(stats.failureRate());
+      }
+      if (stats.routeMillis(route) != null) {
+        routeTime.add(stats.routeMillis(route));
+      }
+    }
+    meanServiceMillis = service.orElse(DEFAULT_SERVICE_MILLIS);
+    meanRouteMillis = routeTime.orElse(meanServiceMillis);
+    meanOutstanding = outstanding.orElse(0);
+    meanFailureRate = failures.orElse(0);
+  }
+
+  /** Expected time to an answer from a back end, milliseconds. */
+  double expectedMillis(long nowMillis, BackendEntry candidate) {
+    BackendStats stats = statsTable.getOrCreate(nowMillis, candidate);
+    double workMillis = workMillis(nowMillis, stats);
+    if (stats.isYoungerThan(candidate.warmupMillis(), nowMillis)) {
+      workMillis = Math.max(workMillis, WARM_UP_FACTOR * meanRouteMillis);
+    }
+    double serviceMillis = stats.serviceMillis() > 0 ? stats.serviceMillis() : meanServiceMillis;
+    double outstanding = outstanding(stats);
+    double requestsAhead = Math.max(0, outstanding + 1 - stats.slots());
+    double waitMillis = requestsAhead * serviceMillis * stats.slowdown(nowMillis) / stats.slots();
+    double utilizationMillis =
+        UTILIZATION_WEIGHT * workMillis * Math.min(1, outstanding / stats.slots());
+    return workMillis + waitMillis + utilizationMillis + stats.remainingAvoidMillis(nowMillis);
+  }
+
+  /**
+   * Requests that run or wait there. Where the node has not stated them, it has as many as is
+   * usual: otherwise all nodes would send all they have to one that comes back.
+   */
+  private double outstanding(BackendStats stats) {
+    return stats.hasLoadReport()
+        ? Math.max(stats.outstanding(), stats.ownInFlight())
+        : meanOutstanding + stats.ownInFlight();
+  }
+
+  /** How long a back end works on the request once it has a slot, milliseconds. */
+  double workMillis(long nowMillis, BackendStats stats) {
+    Double known = stats.routeMillis(route);
+    return (known == null ? meanRouteMillis * stats.speedRatio() : known)
+        * stats.slowdown(nowMillis);
+  }
+
+  /** Share of the worth lost at a back end since its answers fail more often than the others'. */
+  double failureLoss(BackendEntry candidate) {
+    double failureRate = statsTable.find(candidate).failureRate();
+    return failureRate == 0
+        ? 0
+        : FailureRateOutlier.excessLoss(
+            new FailureRateOutlier.FailureRates(failureRate, meanFailureRate));
+  }
+
+  private static final class Average {
+    private double sum;
+    private int count;
+
+    void add(double value) {
+      sum += value;
+      count++;
+    }
+
+    double orElse(double defaultValue) {
+      return count == 0 ? defaultValue : sum / count;
+    }
+  }
+}
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/GateBalancer.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/GateBalancer.java
@@ -48,20 +48,20 @@
     }
 
     /** Share of the worth that an answer expected after so long is likely to lose. */
-    private double lateLoss(double millis) {
+    private double lateProbability(double millis) {
       double ratio = millis / targetMillis;
       // To the power of LATENESS_STEEPNESS; worked out for each back end that is compared.
-      double share = ratio * ratio * ratio * ratio;
-      return share / (1 + share);
+      double odds = ratio * ratio * ratio * ratio;
+      return odds / (1 + odds);
     }
 
-    /** The expected time that makes for such a loss; the reverse of {@link #lateLoss}. */
-    private double millisOfLoss(double loss) {
+    /** The expected time that makes for such a loss; the reverse of {@link #lateProbability}. */
+    private double millisAtLoss(double loss) {
       if (loss >= 1) {
         return ANY_WAIT_MILLIS;
       }
-      double share = Math.max(0, loss) / (1 - Math.max(0, loss));
-      return targetMillis * Math.pow(share, 1 / LATENESS_STEEPNESS);
+      double odds = Math.max(0, loss) / (1 - Math.max(0, loss));
+      return targetMillis * Math.pow(odds, 1 / LATENESS_STEEPNESS);
     }
   }
 
@@ -69,11 +69,11 @@
   private static final double LATENESS_STEEPNESS = 4;
 
   /** Share of the expected time that is drawn at random, so that nodes with equal views part. */
-  private static final double SPREAD = 0.15;
+  private static final double JITTER = 0.15;
 
-  private final CandidateSample samples;
+  private final CandidateSampler sampler;
   private final DoubleSupplier random;
-  private final BackendViews views = new BackendViews();
+  private final BackendStatsTable statsTable = new BackendStatsTable();
   private final RouteMeans routeTimes = new RouteMeans(1);
 
   /**
@@ -83,7 +83,7 @@
    * @param random numbers from 0 to 1
    */
   public GateBalancer(String zone, DoubleSupplier random) {
-    this.samples = new CandidateSample(zone);
+    this.sampler = new CandidateSampler(zone);
     this.random = random;
   }
 
@@ -104,14 +104,18 @@
       Set<String> silent) {
     Comparison comparison = new Comparison(nowMillis, candidates, constraints);
     List<BackendEntry> sample = sample(candidates, excluded, silent);
-    List<BackendEntry> drawn = samples.draw(sample, random);
-    Ranking few = comparison.rank(drawn);
-    if (drawn.size() == sample.size() || few.isLikelyInTime() && samples.isNear(few.best())) {
-      return few.best() == null ? Optional.empty() : Optional.of(comparison.choice(few));
+    List<BackendEntry> drawn = sampler.drawChoices(sample, random);
+    Ranking drawnRanking = comparison.rank(drawn);
+    if (drawn.size() == sample.size()
+        || drawnRanking.isLikelyInTime() && sampler.isLocal(drawnRanking.best())) {
+      return drawnRanking.best() == null
+          ? Optional.empty()
+          : Optional.of(comparison.toChoice(drawnRanking));
     }
-    Ranking all = comparison.rank(sample);
-    boolean awayAnyway = few.isLikelyInTime() && !samples.isNear(all.best());
-    return Optional.of(comparison.choice(awayAnyway ? few : all));
+    Ranking fullRanking = comparison.rank(sample);
+    boolean leavesZoneAnyway =
+        drawnRanking.isLikelyInTime() && !sampler.isLocal(fullRanking.best());
+    return Optional.of(comparison.toChoice(leavesZoneAnyway ? drawnRanking : fullRanking));
   }
 
   /**
@@ -123,10 +127,10 @@
    */
   private record Ranking(BackendEntry best, double loss, double secondLoss) {
     /** Loss from which on an answer is more likely late than in time. */
-    private static final double LIKELY_LATE = 0.5;
+    private static final double LIKELY_LATE_LOSS = 0.5;
 
     boolean isLikelyInTime() {
-      return loss < LIKELY_LATE;
+      return loss < LIKELY_LATE_LOSS;
     }
   }
 
@@ -134,12 +138,12 @@
   private final class Comparison {
     private final long nowMillis;
     private final RequestConstraints constraints;
-    private final ExpectedTimes times;
+    private final ExpectedResponseTimes times;
 
     Comparison(long nowMillis, List<BackendEntry> candidates, RequestConstraints constraints) {
       this.nowMillis = nowMillis;
       this.constraints = constraints;
-      this.times = new ExpectedTimes(views, candidates, constraints.route());
+      this.times = new ExpectedResponseTimes(statsTable, candidates, constraints.route());
     }
 
     Ranking rank(List<BackendEntry> compared) {
@@ -160,39 +164,39 @@
     }
 
     private double loss(BackendEntry candidate) {
-      double spread = 1 + SPREAD * random.getAsDouble();
-      double expected = times.expectedMillis(nowMillis, candidate) * spread;
-      double inTime = 1 - constraints.lateLoss(expected);
-      return 1 - inTime * (1 - times.failureLoss(candidate)) + distance(candidate);
+      double jitter = 1 + JITTER * random.getAsDouble();
+      double expectedMillis = times.expectedMillis(nowMillis, candidate) * jitter;
+      double inTimeProbability = 1 - constraints.lateProbability(expectedMillis);
+      return 1 - inTimeProbability * (1 - times.failureLoss(candidate)) + zoneLoss(candidate);
     }
 
-    private double distance(BackendEntry candidate) {
-      return samples.isNear(candidate) ? 0 : constraints.otherZoneLoss();
+    private double zoneLoss(BackendEntry candidate) {
+      return sampler.isLocal(candidate) ? 0 : constraints.otherZoneLoss();
     }
 
-    Choice choice(Ranking ranking) {
+    Choice toChoice(Ranking ranking) {
       BackendEntry best = ranking.best();
       if (ranking.secondLoss() == Double.MAX_VALUE) {
         return new Choice(best, ANY_WAIT_MILLIS);
       }
-      double work = times.workMillis(nowMillis, views.known(best));
-      double worthwhile = constraints.millisOfLoss(ranking.secondLoss() - distance(best));
-      return new Choice(best, Math.max(0, Math.round(worthwhile - work)));
+      double workMillis = times.workMillis(nowMillis, statsTable.find(best));
+      double limitMillis = constraints.millisAtLoss(ranking.secondLoss() - zoneLoss(best));
+      return new Choice(best, Math.max(0, Math.round(limitMillis - workMillis)));
     }
   }
 
   private List<BackendEntry> sample(
       List<BackendEntry> candidates, Set<String> excluded, Set<String> silent) {
-    double chance = CandidateSample.isWhole(candidates.size()) ? 0 : random.getAsDouble();
-    return samples.of(
+    double start = CandidateSampler.comparesAll(candidates.size()) ? 0 : random.getAsDouble();
+    return sampler.sample(
         candidates,
         candidate -> !excluded.contains(candidate.id()) && !silent.contains(candidate.id()),
-        chance);
+        start);
   }
 
   /** A request was sent towards the back end. */
   public void started(long nowMillis, String id) {
-    views.of(nowMillis, id).started();
+    statsTable.getOrCreate(nowMillis, id).recordRequestStart();
   }
 
   /**
@@ -201,7 +205,7 @@
    * @param verdict how
    */
   public void finished(long nowMillis, String id, Verdict verdict) {
-    views.of(nowMillis, id).finished(nowMillis, verdict);
+    statsTable.getOrCreate(nowMillis, id).recordRequestEnd(nowMillis, verdict);
   }
 
   /**
@@ -210,7 +214,7 @@
    * @param nowMillis when it did
    */
   public void stated(long nowMillis, String id, GateLoad load) {
-    views.of(nowMillis, id).stated(nowMillis, load);
+    statsTable.getOrCreate(nowMillis, id).updateLoad(nowMillis, load);
   }
 
   /**
@@ -219,16 +223,16 @@
    * @param routeMicros their mean time there, microseconds; 0 if not known
    */
   public void answered(String id, String route, long routeMicros) {
-    BackendView view = views.known(id);
-    if (view == null || routeMicros <= 0) {
+    BackendStats stats = statsTable.find(id);
+    if (stats == null || routeMicros <= 0) {
       return;
     }
     routeTimes.add(route, routeMicros);
-    view.answered(route, routeMicros, routeTimes.expected(route));
+    stats.updateRouteTime(route, routeMicros, routeTimes.expected(route));
   }
 
   /** Forgets back ends of which nothing has been heard for long. */
   public void forget(long nowMillis) {
-    views.forget(nowMillis);
+    statsTable.removeExpired(nowMillis);
   }
 }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/GateLoad.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/GateLoad.java
@@ -29,7 +29,7 @@
 
   private static final int MIN_PERCENT = 10;
   private static final int MAX_PERCENT = 2_000;
-  private static final int FIELDS = 8;
+  private static final int FIELD_COUNT = 8;
 
   /** A statement of a start that is not told from others, and where nothing waits. */
   public GateLoad(
@@ -66,9 +66,16 @@
   }
 
   /** The same with an answer of a route. */
-  public GateLoad withRoute(long micros) {
+  public GateLoad withRoute(long newRouteMicros) {
     return new GateLoad(
-        running, queued, slots, serviceMicros, slownessPercent, micros, bornMillis, failurePercent);
+        running,
+        queued,
+        slots,
+        serviceMicros,
+        slownessPercent,
+        newRouteMicros,
+        bornMillis,
+        failurePercent);
   }
 
   /** Text form for a header: numbers joined by commas. */
@@ -92,8 +99,8 @@
 
   /** Reads the text form; null if it is not one. */
   public static GateLoad decode(String text) {
-    String[] fields = text.split(",", FIELDS + 1);
-    if (fields.length != FIELDS) {
+    String[] fields = text.split(",", FIELD_COUNT + 1);
+    if (fields.length != FIELD_COUNT) {
       return null;
     }
     try {
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/NestedRoutes.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/NestedRoutes.java
@@ -17,32 +17,32 @@
   private static final int MAX_REQUESTS = 512;
 
   /** Share of the requests of a nested route that may begin elsewhere, such as an operator's. */
-  private static final double STRAY_SHARE = 0.02;
+  private static final double MAX_STRAY_RATIO = 0.02;
 
   private static final int MAX_ROUTES = 1_024;
 
-  private static final class Origins {
+  private static final class OriginCounts {
     private final Map<String, Integer> byService = new HashMap<>();
     private int total;
-    private int most;
+    private int largest;
 
     void add(String service) {
       total++;
-      most = Math.max(most, byService.merge(service, 1, Integer::sum));
+      largest = Math.max(largest, byService.merge(service, 1, Integer::sum));
       if (total >= MAX_REQUESTS) {
         byService.replaceAll((each, count) -> count / 2);
         total = byService.values().stream().mapToInt(Integer::intValue).sum();
-        most = byService.values().stream().mapToInt(Integer::intValue).max().orElse(0);
+        largest = byService.values().stream().mapToInt(Integer::intValue).max().orElse(0);
       }
     }
 
     boolean isNested() {
-      return total >= MIN_REQUESTS && total - most <= STRAY_SHARE * total;
+      return total >= MIN_REQUESTS && total - largest <= MAX_STRAY_RATIO * total;
     }
   }
 
-  private final Map<String, Origins> byRoute = new HashMap<>();
-  private final Origins all = new Origins();
+  private final Map<String, OriginCounts> byRoute = new HashMap<>();
+  private final OriginCounts allRoutes = new OriginCounts();
 
   /**
    * A request arrived.
@@ -54,8 +54,8 @@
     if (byRoute.size() >= MAX_ROUTES && !byRoute.containsKey(route)) {
       byRoute.clear();
     }
-    byRoute.computeIfAbsent(route, absent -> new Origins()).add(callerService);
-    all.add(callerService);
+    byRoute.computeIfAbsent(route, absent -> new OriginCounts()).add(callerService);
+    allRoutes.add(callerService);
   }
 
   /**
@@ -63,7 +63,7 @@
    * service, since where a request begins then says nothing.
    */
   public boolean isNested(String route) {
-    Origins origins = byRoute.get(route);
-    return origins != null && origins.isNested() && !all.isNested();
+    OriginCounts origins = byRoute.get(route);
+    return origins != null && origins.isNested() && !allRoutes.isNested();
   }
 }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/RetryWindow.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/RetryWindow.java
@@ -10,10 +10,10 @@
  */
 public final class RetryWindow {
   /** Parts of a window, counted as wholes. */
-  private static final int PARTS = 20;
+  private static final int BUCKETS_PER_WINDOW = 20;
 
   /** Of the oldest part some is still within the window when the newest has just begun. */
-  private static final int BUCKETS = PARTS + 1;
+  private static final int BUCKETS = BUCKETS_PER_WINDOW + 1;
 
   private static final class Counts {
     private final double[] requests = new double[BUCKETS];
@@ -33,7 +33,7 @@
     }
 
     /** Requests of a whole window at most: those of the oldest part may be out of it. */
-    private double earning() {
+    private double requestsInWindow() {
       return sum(requests) - requests[index(bucket + 1)];
     }
 
@@ -59,7 +59,7 @@
    * @param extra retries beyond that, of all nodes together
    */
   public RetryWindow(long windowMillis, double ratio, double extra) {
-    this.bucketMillis = Math.max(1, (windowMillis + PARTS - 1) / PARTS);
+    this.bucketMillis = Math.max(1, (windowMillis + BUCKETS_PER_WINDOW - 1) / BUCKETS_PER_WINDOW);
     this.ratio = ratio;
     this.extra = extra;
   }
@@ -77,7 +77,7 @@
    */
   public boolean tryRetry(long nowMillis, String service, int nodes) {
     Counts counts = counts(nowMillis, service);
-    double allowed = ratio * counts.earning() + extra / Math.max(1, nodes);
+    double allowed = ratio * counts.requestsInWindow() + extra / Math.max(1, nodes);
     if (Counts.sum(counts.retries) + 1 > allowed) {
       return false;
     }
@@ -89,11 +89,11 @@
    * Counts arrivals that are repeats without being asked for: what a back end calls while it works
    * on a request that is itself a repeat.
    *
-   * @param repeats how many; a share where only the likelihood is known
+   * @param retries how many; a share where only the likelihood is known
    */
-  public void repeated(long nowMillis, String service, double repeats) {
+  public void repeated(long nowMillis, String service, double retries) {
     Counts counts = counts(nowMillis, service);
-    counts.retries[Counts.index(counts.bucket)] += repeats;
+    counts.retries[Counts.index(counts.bucket)] += retries;
   }
 
   private Counts counts(long nowMillis, String service) {
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/RouteMeans.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/RouteMeans.java
@@ -11,14 +11,14 @@
   private static final double SAMPLE_WEIGHT = 0.1;
   private static final int MAX_ROUTES = 4_096;
 
-  private static final class Mean {
+  private static final class MovingAverage {
     private double value;
     private double deviation;
     private int samples;
   }
 
   private final int minSamples;
-  private final Map<String, Mean> byRoute = new HashMap<>();
+  private final Map<String, MovingAverage> byRoute = new HashMap<>();
 
   /**
    * Creates one that knows nothing.
@@ -39,7 +39,7 @@
     if (byRoute.size() >= MAX_ROUTES && !byRoute.containsKey(route)) {
       byRoute.clear();
     }
-    Mean mean = byRoute.computeIfAbsent(route, absent -> new Mean());
+    MovingAverage mean = byRoute.computeIfAbsent(route, absent -> new MovingAverage());
     mean.samples++;
     double weight = Math.max(SAMPLE_WEIGHT, 1.0 / mean.samples);
     mean.deviation += weight * (Math.abs(value - mean.value) - mean.deviation);
@@ -52,14 +52,14 @@
    * little is known.
    */
   public long likelyMost(String route) {
-    Mean mean = byRoute.get(route);
+    MovingAverage mean = byRoute.get(route);
     boolean known = mean != null && mean.samples >= minSamples;
     return known ? Math.round(mean.value + mean.deviation) : 0;
   }
 
   /** The expected value; 0 if too little is known. */
   public long expected(String route) {
-    Mean mean = byRoute.get(route);
+    MovingAverage mean = byRoute.get(route);
     return mean == null || mean.samples < minSamples ? 0 : Math.round(mean.value);
   }
 }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/Slowness.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/Slowness.java
@@ -12,10 +12,10 @@
   private static final int MIN_RUNNING = 3;
 
   /** Factor from which on it is no chance. */
-  private static final double MIN_FACTOR = 2.5;
+  private static final double SIGNIFICANT_FACTOR = 2.5;
 
   /** On average a running request has half of its time behind it. */
-  private static final double AGE_TO_TIME = 2;
+  private static final double DURATION_PER_AGE = 2;
 
   private Slowness() {}
 
@@ -43,7 +43,7 @@
       return 1;
     }
     Arrays.sort(ratios, 0, known);
-    double factor = AGE_TO_TIME * ratios[(known - 1) / 2];
-    return factor < MIN_FACTOR ? 1 : factor;
+    double factor = DURATION_PER_AGE * ratios[(known - 1) / 2];
+    return factor < SIGNIFICANT_FACTOR ? 1 : factor;
   }
 }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/WeightedSplit.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/WeightedSplit.java
@@ -14,11 +14,11 @@
 public final class WeightedSplit {
   private static final int MAX_ROUTES = 10_000;
 
-  private static final class Credits {
+  private static final class RouteCredits {
     private final List<WeightedService> targets;
     private final long[] credits;
 
-    Credits(List<WeightedService> targets) {
+    RouteCredits(List<WeightedService> targets) {
       this.targets = targets;
       this.credits = new long[targets.size()];
     }
@@ -39,19 +39,19 @@
     }
   }
 
-  private final Map<String, Credits> byRoute = new HashMap<>();
+  private final Map<String, RouteCredits> byRoute = new HashMap<>();
 
   /** The service that the next request of the route goes to. */
   public String next(RoutingRule rule) {
     if (rule.targets().size() == 1) {
       return rule.targets().get(0).service();
     }
-    Credits credits = byRoute.get(rule.name());
+    RouteCredits credits = byRoute.get(rule.name());
     if (credits == null || !credits.targets.equals(rule.targets())) {
       if (byRoute.size() >= MAX_ROUTES) {
         byRoute.clear();
       }
-      credits = new Credits(rule.targets());
+      credits = new RouteCredits(rule.targets());
       byRoute.put(rule.name(), credits);
     }
     return credits.next();
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/load/BackendSpeedTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/load/BackendSpeedTest.java
@@ -10,14 +10,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 final class BackendSpeedTest {
-  private static final Offset<Double> NEARLY = Offset.offset(0.05);
+  private static final Offset<Double> TOLERANCE = Offset.offset(0.05);
   private static final String ROUTE = "read";
-  private static final double NOT_SHOWN = 1;
+  private static final double NO_AGE_SIGNAL = 1;
 
   /** Moments of slowness: how long, how often and how slow. */
-  private static final int MOMENT_MILLIS = 600;
+  private static final int PHASE_MILLIS = 600;
 
-  private static final double SLOW_SHARE = 0.15;
+  private static final double SLOW_PROBABILITY = 0.15;
   private static final double SLOW_FACTOR = 2.5;
 
   private final BackendSpeed speed = new BackendSpeed();
@@ -34,26 +34,26 @@
   }
 
   @Test
-  void aSlowMomentShowsAtOnceAndFades() {
+  void aShortSlowdownShowsAtOnceAndDecays() {
     stateFor(10_000, 100);
     state(250);
 
-    assertThat(speed.slowness(now, NOT_SHOWN)).isEqualTo(2.5, NEARLY);
-    assertThat(speed.slowness(now + 300, NOT_SHOWN)).isEqualTo(1.75, NEARLY);
+    assertThat(speed.slowness(now, NO_AGE_SIGNAL)).isEqualTo(2.5, TOLERANCE);
+    assertThat(speed.slowness(now + 300, NO_AGE_SIGNAL)).isEqualTo(1.75, TOLERANCE);
   }
 
   /** Some back ends of a service always take 1.7 times as long as is usual there. */
   @Test
-  void oneThatIsAlwaysSlowerThanOthersIsNotSlowerThanUsual() {
+  void aConstantlySlowBackendIsAtItsUsualSpeed() {
     stateFor(10_000, 170);
-    assertThat(speed.slowness(now, NOT_SHOWN)).isEqualTo(1, NEARLY);
+    assertThat(speed.slowness(now, NO_AGE_SIGNAL)).isEqualTo(1, TOLERANCE);
 
     state(100);
-    assertThat(speed.slowness(now, NOT_SHOWN)).isEqualTo(0.59, NEARLY);
+    assertThat(speed.slowness(now, NO_AGE_SIGNAL)).isEqualTo(0.59, TOLERANCE);
   }
 
   @Test
-  void aTimeInASlowMomentCountsAsItWouldHaveBeenAtTheUsualSpeed() {
+  void timesDuringASlowdownAreNormalizedToTheUsualSpeed() {
     stateFor(20_000, 100);
     stateFor(500, 200);
 
@@ -63,42 +63,42 @@
   }
 
   @Test
-  void withoutStatementsTimesAreWhatTheyAre() {
-    for (int answers = 0; answers < 50; answers++) {
+  void withoutStatementsTimesAreNotNormalized() {
+    for (int responses = 0; responses < 50; responses++) {
       assertThat(speed.answered(now, ROUTE, 60_000)).isEqualTo(60_000);
       now += 50;
     }
-    assertThat(speed.slowness(now, NOT_SHOWN)).isEqualTo(1);
+    assertThat(speed.slowness(now, NO_AGE_SIGNAL)).isEqualTo(1);
   }
 
   @Test
-  void agesOverruleOneThatSaysItIsAsUsual() {
+  void requestAgesOverrideAStatementOfNormalSpeed() {
     stateFor(5_000, 100);
 
     assertThat(speed.slowness(now, 4)).isEqualTo(4);
   }
 
   @Test
-  void noStatementCountsForMoreThanItsBound() {
+  void statementsAreClamped() {
     stateFor(10_000, 100);
     state(999_999_999);
 
-    assertThat(speed.slowness(now, NOT_SHOWN)).isLessThanOrEqualTo(10);
+    assertThat(speed.slowness(now, NO_AGE_SIGNAL)).isLessThanOrEqualTo(10);
   }
 
   @Test
-  void falseStatementsAreNotBelievedForLongAndAreAgainOnceTheyTell() {
+  void falseStatementsLoseTrustAndRegainItOnceAccurate() {
     Random random = new Random(3);
-    for (int answers = 0; answers < 60; answers++) {
+    for (int responses = 0; responses < 60; responses++) {
       state(random.nextBoolean() ? 1_000 : 100);
       speed.answered(now, ROUTE, 60_000);
       now += 70;
     }
     state(1_000);
     assertThat(speed.isBelieved()).isFalse();
-    assertThat(speed.slowness(now, NOT_SHOWN)).isEqualTo(1);
+    assertThat(speed.slowness(now, NO_AGE_SIGNAL)).isEqualTo(1);
 
-    for (int answers = 0; answers < 400; answers++) {
+    for (int responses = 0; responses < 400; responses++) {
       int percent = random.nextInt(4) == 0 ? 250 : 100;
       stateFor(100, percent);
       speed.answered(now, ROUTE, 600L * percent);
@@ -109,20 +109,20 @@
   /** Where neighbours take the machine for moments: how far off expected times of answers are. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void expectedTimesAreLessFarOffThanTheirMeans(long seed) {
+  void normalizedEstimatesAreCloserThanPlainMeans(long seed) {
     Random random = new Random(seed);
     RouteMeans plain = new RouteMeans(1);
     RouteMeans usual = new RouteMeans(1);
     double plainError = 0;
     double statedError = 0;
     double factor = 1;
-    for (int moment = 0; moment < 200; moment++) {
-      factor = random.nextDouble() < SLOW_SHARE ? SLOW_FACTOR : 1;
-      for (int each = 0; each < MOMENT_MILLIS / 60; each++) {
+    for (int phase = 0; phase < 200; phase++) {
+      factor = random.nextDouble() < SLOW_PROBABILITY ? SLOW_FACTOR : 1;
+      for (int each = 0; each < PHASE_MILLIS / 60; each++) {
         now += 60;
         long micros = Math.round(60_000 * factor * (0.7 + 0.6 * random.nextDouble()));
-        double expected = usual.expected(ROUTE) * speed.slowness(now - 60, NOT_SHOWN);
-        if (moment > 10) {
+        double expected = usual.expected(ROUTE) * speed.slowness(now - 60, NO_AGE_SIGNAL);
+        if (phase > 10) {
           statedError += Math.abs(Math.log(micros / expected));
           plainError += Math.abs(Math.log(micros / (double) plain.expected(ROUTE)));
         }
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/outlier/FailureShareTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/outlier/FailureShareTest.java
@@ -2,18 +2,18 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.umberpath.traffic.outlier.FailureOutlier.Shares;
+import io.umberpath.traffic.outlier.FailureRateOutlier.FailureRates;
 import java.util.Locale;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
 final class FailureShareTest {
-  private final FailureShare share = new FailureShare();
+  private final FailureShare failures = new FailureShare();
 
   private void ended(long now, int times, AttemptResult result) {
     for (int index = 0; index < times; index++) {
-      share.ended(now, result);
+      failures.ended(now, result);
     }
   }
 
@@ -21,51 +21,51 @@
   @EnumSource(
       value = AttemptResult.class,
       names = {"SERVER_ERROR", "SHED", "BAD_ANSWER", "LOST", "TIMED_OUT"})
-  void eachKindOfFailureCounts(AttemptResult kind) {
+  void countsEachKindOfFailure(AttemptResult kind) {
     ended(0, 10, AttemptResult.SERVED);
     ended(0, 10, kind);
     ended(0, 50, AttemptResult.NO_EVIDENCE);
 
-    assertThat(share.percent(0)).isEqualTo(50);
-    assertThat(share.kinds(0))
+    assertThat(failures.percent(0)).isEqualTo(50);
+    assertThat(failures.kinds(0))
         .contains("served 10", kind.name().toLowerCase(Locale.ROOT).replace('_', '-') + " 10");
   }
 
   @Test
-  void aFewFailuresSayNothing() {
+  void tooFewAttemptsGiveNoRate() {
     ended(0, 7, AttemptResult.LOST);
 
-    assertThat(share.percent(0)).isZero();
+    assertThat(failures.percent(0)).isZero();
   }
 
   /** One that gets nothing any more shows nothing, and is tried again. */
   @Test
-  void isForgottenOnceNothingIsSentThere() {
+  void decaysToZeroWithoutAttempts() {
     ended(0, 40, AttemptResult.SERVER_ERROR);
 
-    assertThat(share.percent(1_000)).isEqualTo(100);
-    assertThat(share.percent(10_000)).isZero();
+    assertThat(failures.percent(1_000)).isEqualTo(100);
+    assertThat(failures.percent(10_000)).isZero();
   }
 
   @Test
-  void oneThatIsWellAgainShowsItWithinSeconds() {
+  void recoveryShowsWithinSeconds() {
     ended(0, 40, AttemptResult.SHED);
     ended(4_000, 40, AttemptResult.SERVED);
 
-    assertThat(share.percent(4_000)).isEqualTo(20);
+    assertThat(failures.percent(4_000)).isEqualTo(20);
   }
 
   @Test
-  void losesInProportionWhatItFailsBeyondTheOthers() {
-    assertThat(FailureOutlier.excessLoss(new Shares(1, 0))).isEqualTo(1);
-    assertThat(FailureOutlier.excessLoss(new Shares(0.6, 0))).isBetween(0.49, 0.51);
-    assertThat(FailureOutlier.excessLoss(new Shares(0.15, 0))).isZero();
+  void lossIsProportionalToTheExcessFailureRate() {
+    assertThat(FailureRateOutlier.excessLoss(new FailureRates(1, 0))).isEqualTo(1);
+    assertThat(FailureRateOutlier.excessLoss(new FailureRates(0.6, 0))).isBetween(0.49, 0.51);
+    assertThat(FailureRateOutlier.excessLoss(new FailureRates(0.15, 0))).isZero();
   }
 
   /** Too many would go: none stands out, so none goes. */
   @Test
-  void whereAllFailAlikeNoneIsLeftOut() {
-    assertThat(FailureOutlier.excessLoss(new Shares(0.55, 0.55))).isZero();
-    assertThat(FailureOutlier.excessLoss(new Shares(1, 1))).isZero();
+  void equalFailureRatesAreNoOutlier() {
+    assertThat(FailureRateOutlier.excessLoss(new FailureRates(0.55, 0.55))).isZero();
+    assertThat(FailureRateOutlier.excessLoss(new FailureRates(1, 1))).isZero();
   }
 }
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/quarantine/RequestFingerprintTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/quarantine/RequestFingerprintTest.java
@@ -7,7 +7,7 @@
 
 final class RequestFingerprintTest {
   @Test
-  void eachPartOfTheTargetTellsRequestsApart() {
+  void eachPartOfTheTargetChangesTheHash() {
     long target = RequestFingerprint.targetOf("GET", "shop.example", "/a/1?x=2", "Token k");
 
     assertThat(RequestFingerprint.targetOf("GET", "shop.example", "/a/1?x=2", "Token k"))
@@ -23,13 +23,13 @@
   }
 
   @Test
-  void whatStandsAtTheEndOfOnePartIsNotTheBeginningOfTheNext() {
+  void partsAreSeparatedInTheHash() {
     assertThat(RequestFingerprint.targetOf("GET", "a", "b", null))
         .isNotEqualTo(RequestFingerprint.targetOf("GET", "ab", "", null));
   }
 
   @Test
-  void ofALongBodyItsBeginningCounts() {
+  void onlyThePrefixOfALongBodyIsHashed() {
     byte[] body = new byte[RequestFingerprint.BODY_PREFIX_BYTES + 5];
     byte[] sameBeginning = Arrays.copyOf(body, body.length + 100);
     byte[] other = body.clone();
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/quarantine/SuspectLedgerTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/quarantine/SuspectLedgerTest.java
@@ -14,8 +14,8 @@
 final class SuspectLedgerTest {
   private static final long MINUTE_MILLIS = 60_000;
   private static final long HOUR_MILLIS = 60 * MINUTE_MILLIS;
-  private static final RequestFingerprint CULPRIT = request(1);
-  private static final RequestFingerprint INNOCENT = request(2);
+  private static final RequestFingerprint CRASHING = request(1);
+  private static final RequestFingerprint HARMLESS = request(2);
 
   private final SuspectLedger ledger = new SuspectLedger(3);
   private long now = 1_000_000;
@@ -24,201 +24,201 @@
     return new RequestFingerprint(number * 0x9e3779b97f4a7c15L, number);
   }
 
-  private List<Suspicion> ended(String backend, RequestFingerprint... running) {
-    return ended(new BackendStart(backend, 0), running);
+  private List<Suspicion> recordCrash(String backend, RequestFingerprint... running) {
+    return recordCrash(new BackendStart(backend, 0), running);
   }
 
-  private List<Suspicion> ended(BackendStart start, RequestFingerprint... running) {
+  private List<Suspicion> recordCrash(BackendStart start, RequestFingerprint... running) {
     return ledger.ended(now, start, List.of(running));
   }
 
-  private void holdCulprit() {
-    ended("b-1", CULPRIT);
-    ended("b-2", CULPRIT);
-    ended("b-3", CULPRIT);
-    assertThat(ledger.isHeld(CULPRIT)).isTrue();
+  private void quarantineCrashingRequest() {
+    recordCrash("b-1", CRASHING);
+    recordCrash("b-2", CRASHING);
+    recordCrash("b-3", CRASHING);
+    assertThat(ledger.isHeld(CRASHING)).isTrue();
   }
 
   @Test
-  void aRequestIsHeldOnceThreeBackendsHaveEndedUnderIt() {
-    ended("b-1", CULPRIT, INNOCENT);
-    ended("b-2", CULPRIT, request(3));
-    assertThat(ledger.isHeld(CULPRIT)).isFalse();
+  void aRequestIsQuarantinedAfterThreeCrashes() {
+    recordCrash("b-1", CRASHING, HARMLESS);
+    recordCrash("b-2", CRASHING, request(3));
+    assertThat(ledger.isHeld(CRASHING)).isFalse();
     assertThat(ledger.heldTargets()).isEmpty();
 
-    ended("b-3", CULPRIT, request(4));
+    recordCrash("b-3", CRASHING, request(4));
 
-    assertThat(ledger.isHeld(CULPRIT)).isTrue();
-    assertThat(ledger.isHeld(INNOCENT)).isFalse();
-    assertThat(ledger.heldTargets()).containsExactly(CULPRIT.target());
+    assertThat(ledger.isHeld(CRASHING)).isTrue();
+    assertThat(ledger.isHeld(HARMLESS)).isFalse();
+    assertThat(ledger.heldTargets()).containsExactly(CRASHING.target());
   }
 
   @Test
-  void anEndThatIsToldTwiceCountsOnce() {
-    List<Suspicion> told = ended("b-1", CULPRIT);
-    ended("b-1", CULPRIT);
-    told.forEach(each -> assertThat(ledger.take(now, each)).isEmpty());
+  void aCrashReportedTwiceCountsOnce() {
+    List<Suspicion> reports = recordCrash("b-1", CRASHING);
+    recordCrash("b-1", CRASHING);
+    reports.forEach(each -> assertThat(ledger.take(now, each)).isEmpty());
 
-    assertThat(ledger.weight(CULPRIT)).isEqualTo(1);
+    assertThat(ledger.weight(CRASHING)).isEqualTo(1);
   }
 
   @Test
-  void threeStartsUnderOneIdAreThreeEnds() {
-    for (long born = 1; born <= 3; born++) {
-      assertThat(ledger.isHeld(CULPRIT)).isFalse();
-      ended(new BackendStart("b-1", born), CULPRIT);
+  void threeStartsWithOneIdAreThreeCrashes() {
+    for (long startTime = 1; startTime <= 3; startTime++) {
+      assertThat(ledger.isHeld(CRASHING)).isFalse();
+      recordCrash(new BackendStart("b-1", startTime), CRASHING);
     }
 
-    assertThat(ledger.isHeld(CULPRIT)).isTrue();
+    assertThat(ledger.isHeld(CRASHING)).isTrue();
   }
 
   @Test
   void aRequestThatSucceedsAfterwardsIsCleared() {
-    ended("b-1", CULPRIT, INNOCENT);
-    ended("b-2", CULPRIT, INNOCENT);
-    assertThat(ledger.succeeded(now + 100, INNOCENT)).isPresent();
-    ended("b-3", CULPRIT, INNOCENT);
+    recordCrash("b-1", CRASHING, HARMLESS);
+    recordCrash("b-2", CRASHING, HARMLESS);
+    assertThat(ledger.succeeded(now + 100, HARMLESS)).isPresent();
+    recordCrash("b-3", CRASHING, HARMLESS);
 
-    assertThat(ledger.isHeld(CULPRIT)).isTrue();
-    assertThat(ledger.isHeld(INNOCENT)).isFalse();
+    assertThat(ledger.isHeld(CRASHING)).isTrue();
+    assertThat(ledger.isHeld(HARMLESS)).isFalse();
   }
 
   @Test
-  void aPopularRequestThatDiesWithAllBackendsOfItsServiceIsNotHeld() {
-    ledger.succeeded(now - 5_000, INNOCENT);
-    ended("b-1", CULPRIT, INNOCENT);
-    ended("b-2", CULPRIT, INNOCENT);
-    ended("b-3", CULPRIT, INNOCENT);
+  void aPopularRequestThatCrashesAlongsideIsNotQuarantined() {
+    ledger.succeeded(now - 5_000, HARMLESS);
+    recordCrash("b-1", CRASHING, HARMLESS);
+    recordCrash("b-2", CRASHING, HARMLESS);
+    recordCrash("b-3", CRASHING, HARMLESS);
 
-    assertThat(ledger.isHeld(CULPRIT)).isTrue();
-    assertThat(ledger.isHeld(INNOCENT)).isFalse();
+    assertThat(ledger.isHeld(CRASHING)).isTrue();
+    assertThat(ledger.isHeld(HARMLESS)).isFalse();
   }
 
   @Test
-  void whatSucceededLongAgoMayEndBackendsNow() {
-    ledger.succeeded(now - MINUTE_MILLIS, CULPRIT);
+  void anOldSuccessDoesNotPreventQuarantine() {
+    ledger.succeeded(now - MINUTE_MILLIS, CRASHING);
 
-    holdCulprit();
+    quarantineCrashingRequest();
   }
 
   /** As the news of three nodes travels: lost, repeated and in any order. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void nodesThatHaveHeardTheSameKnowTheSame(long seed) {
+  void nodesConvergeWhateverTheOrderOfReports(long seed) {
     Random random = new Random(seed);
-    List<Suspicion> news = new ArrayList<>();
-    SuspectLedger teller = new SuspectLedger(3);
+    List<Suspicion> reports = new ArrayList<>();
+    SuspectLedger source = new SuspectLedger(3);
     for (int crash = 0; crash < 20; crash++) {
       List<RequestFingerprint> running =
-          List.of(CULPRIT, request(random.nextInt(9)), request(random.nextInt(9)));
-      news.addAll(teller.ended(now + crash, new BackendStart("b-" + crash, 0), running));
-      teller.succeeded(now + crash, request(random.nextInt(2, 9))).ifPresent(news::add);
+          List.of(CRASHING, request(random.nextInt(9)), request(random.nextInt(9)));
+      reports.addAll(source.ended(now + crash, new BackendStart("b-" + crash, 0), running));
+      source.succeeded(now + crash, request(random.nextInt(2, 9))).ifPresent(reports::add);
     }
-    news.addAll(news.subList(0, 10));
-    Collections.shuffle(news, random);
+    reports.addAll(reports.subList(0, 10));
+    Collections.shuffle(reports, random);
 
-    news.forEach(each -> ledger.take(now, each));
+    reports.forEach(each -> ledger.take(now, each));
 
-    assertThat(ledger.digest()).isEqualTo(teller.digest()).isNotZero();
-    assertThat(ledger.heldTargets()).isEqualTo(teller.heldTargets());
+    assertThat(ledger.digest()).isEqualTo(source.digest()).isNotZero();
+    assertThat(ledger.heldTargets()).isEqualTo(source.heldTargets());
   }
 
   @Test
-  void aNodeThatStartsLearnsAllFromAnother() {
-    holdCulprit();
-    SuspectLedger started = new SuspectLedger(3);
-    assertThat(started.digest()).isZero();
+  void aNewNodeCopiesTheStateOfAnother() {
+    quarantineCrashingRequest();
+    SuspectLedger newNode = new SuspectLedger(3);
+    assertThat(newNode.digest()).isZero();
     // By then it is past the time for which a single end is remembered.
     now += 20 * MINUTE_MILLIS;
 
-    ledger.all().forEach(each -> started.take(now, each));
+    ledger.all().forEach(each -> newNode.take(now, each));
 
-    assertThat(started.isHeld(CULPRIT)).isTrue();
-    assertThat(started.digest()).isEqualTo(ledger.digest());
+    assertThat(newNode.isHeld(CRASHING)).isTrue();
+    assertThat(newNode.digest()).isEqualTo(ledger.digest());
   }
 
   @Test
-  void aNodeThatKnowsBetterSaysSo() {
-    ended("b-1", INNOCENT);
-    List<Suspicion> second = ended("b-2", INNOCENT);
+  void aNodeThatSawASuccessClearsAReportedSuspect() {
+    recordCrash("b-1", HARMLESS);
+    List<Suspicion> second = recordCrash("b-2", HARMLESS);
     SuspectLedger other = new SuspectLedger(3);
     ledger.all().forEach(each -> other.take(now, each));
     SuspectLedger gate = new SuspectLedger(3);
-    gate.succeeded(now - 1_000, INNOCENT);
+    gate.succeeded(now - 1_000, HARMLESS);
 
     List<Suspicion> first = gate.take(now, other.all().get(0));
 
     assertThat(first).hasSize(2);
     other.take(now, first.get(1));
-    assertThat(other.weight(INNOCENT)).isZero();
+    assertThat(other.weight(HARMLESS)).isZero();
     // What is heard late does not undo it.
     second.forEach(each -> other.take(now, each));
-    assertThat(other.weight(INNOCENT)).isZero();
+    assertThat(other.weight(HARMLESS)).isZero();
   }
 
   @Test
-  void aSingleEndIsForgottenAfterTenMinutesAndAHeldRequestAfterADay() {
-    ended("b-0", INNOCENT);
-    holdCulprit();
+  void aSingleCrashExpiresAfterTenMinutesAndAQuarantineAfterADay() {
+    recordCrash("b-0", HARMLESS);
+    quarantineCrashingRequest();
 
     ledger.forget(now + 11 * MINUTE_MILLIS);
     assertThat(ledger.size()).isEqualTo(1);
     ledger.forget(now + 23 * HOUR_MILLIS);
-    assertThat(ledger.isHeld(CULPRIT)).isTrue();
+    assertThat(ledger.isHeld(CRASHING)).isTrue();
     ledger.forget(now + 25 * HOUR_MILLIS);
     assertThat(ledger.size()).isZero();
     assertThat(ledger.digest()).isZero();
   }
 
   @Test
-  void aHeldRequestIsTriedAgainAtMostThreeTimes() {
-    holdCulprit();
+  void aQuarantinedRequestIsTriedAgainAtMostThreeTimes() {
+    quarantineCrashingRequest();
     int trials = 0;
-    for (long end = now + 20 * HOUR_MILLIS; now < end; now += MINUTE_MILLIS / 2) {
-      if (ledger.isTrialDue(now, CULPRIT)) {
+    for (long endMillis = now + 20 * HOUR_MILLIS; now < endMillis; now += MINUTE_MILLIS / 2) {
+      if (ledger.isTrialDue(now, CRASHING)) {
         trials++;
-        ledger.beginTrial(now, CULPRIT);
-        assertThat(ledger.isTrialDue(now, CULPRIT)).isFalse();
-        ended("trial-" + trials, CULPRIT);
+        ledger.beginTrial(now, CRASHING);
+        assertThat(ledger.isTrialDue(now, CRASHING)).isFalse();
+        recordCrash("trial-" + trials, CRASHING);
       }
     }
 
     assertThat(trials).isEqualTo(3);
-    assertThat(ledger.isHeld(CULPRIT)).isTrue();
+    assertThat(ledger.isHeld(CRASHING)).isTrue();
   }
 
   @Test
-  void theEndsOfOneBlowAreNoFailedTrials() {
+  void nearlySimultaneousCrashesAreNotFailedTrials() {
     for (int backend = 0; backend < 10; backend++) {
       now += 100;
-      ended("b-" + backend, CULPRIT);
+      recordCrash("b-" + backend, CRASHING);
     }
 
-    assertThat(ledger.isTrialDue(now + MINUTE_MILLIS - 1, CULPRIT)).isFalse();
-    assertThat(ledger.isTrialDue(now + MINUTE_MILLIS, CULPRIT)).isTrue();
+    assertThat(ledger.isTrialDue(now + MINUTE_MILLIS - 1, CRASHING)).isFalse();
+    assertThat(ledger.isTrialDue(now + MINUTE_MILLIS, CRASHING)).isTrue();
   }
 
   @Test
-  void aTrialThatEndsWellReleasesTheRequest() {
-    holdCulprit();
+  void aSuccessfulTrialReleasesTheRequest() {
+    quarantineCrashingRequest();
     now += MINUTE_MILLIS;
 
-    assertThat(ledger.succeeded(now, CULPRIT)).isPresent();
+    assertThat(ledger.succeeded(now, CRASHING)).isPresent();
 
-    assertThat(ledger.isHeld(CULPRIT)).isFalse();
+    assertThat(ledger.isHeld(CRASHING)).isFalse();
     assertThat(ledger.heldTargets()).isEmpty();
   }
 
   @Test
-  void whateverCallersSendWhatIsHeldIsKeptAndTheRestIsBounded() {
-    holdCulprit();
+  void theNumberOfSuspectsIsBoundedAndQuarantinedOnesAreKept() {
+    quarantineCrashingRequest();
     for (int crash = 0; crash < 1_000; crash++) {
       now += 10;
-      ended("b-" + crash, request(1_000 + 2 * crash), request(1_001 + 2 * crash));
+      recordCrash("b-" + crash, request(1_000 + 2 * crash), request(1_001 + 2 * crash));
     }
 
     assertThat(ledger.size()).isBetween(896, 1_024);
-    assertThat(ledger.isHeld(CULPRIT)).isTrue();
+    assertThat(ledger.isHeld(CRASHING)).isTrue();
     ledger.forget(now + 11 * MINUTE_MILLIS);
     assertThat(ledger.size()).isEqualTo(1);
   }
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/ChoiceWithOldViewsTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/BalancingWithStaleStatsTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** 70 nodes that choose among 21 back ends of unequal speeds, with views of a certain age. */
-final class ChoiceWithOldViewsTest {
+final class BalancingWithStaleStatsTest {
   private static final int NODES = 70;
   private static final int SLOTS = 6;
   private static final double WORK_MILLIS = 60;
@@ -25,15 +25,15 @@
   private static final long END_MILLIS = 8_000;
   private static final String ROUTE = "read";
 
-  private enum Way {
+  private enum Strategy {
     /** What the mesh does. */
     MESH,
     /** The same between two drawn at random. */
     TWO_CHOICES,
     /** At random, by speed. */
-    BY_SPEED,
+    RANDOM_BY_SPEED,
     /** By the shortest wait, with the true state of all: the best spread. */
-    BEST
+    ORACLE
   }
 
   private record Event(double atMillis, long order, Runnable action) {}
@@ -64,32 +64,32 @@
       new PriorityQueue<>(Comparator.comparingDouble(Event::atMillis).thenComparing(Event::order));
   private final List<Server> servers = new ArrayList<>();
   private final List<GateBalancer> nodes = new ArrayList<>();
-  private Random draws;
-  private double now;
-  private long order;
-  private int asked;
+  private Random random;
+  private double nowMillis;
+  private long nextOrder;
+  private int requests;
   private int inTime;
 
-  private void at(double millis, Runnable action) {
-    events.add(new Event(millis, order++, action));
+  private void schedule(double millis, Runnable action) {
+    events.add(new Event(millis, nextOrder++, action));
   }
 
-  private void every(double millis, Runnable action) {
-    at(
-        now + millis,
+  private void scheduleRepeatedly(double millis, Runnable action) {
+    schedule(
+        nowMillis + millis,
         () -> {
           action.run();
-          every(millis, action);
+          scheduleRepeatedly(millis, action);
         });
   }
 
-  private double goodput(Way way, double load, int viewMillis, double... speeds) {
-    draws = new Random(7);
+  private double goodput(Strategy strategy, double load, int statsAgeMillis, double... speeds) {
+    random = new Random(7);
     events.clear();
     servers.clear();
     nodes.clear();
-    now = 0;
-    asked = 0;
+    nowMillis = 0;
+    requests = 0;
     inTime = 0;
     double perMilli = 0;
     for (int index = 0; index < 21; index++) {
@@ -103,60 +103,65 @@
       perMilli += load * SLOTS / (WORK_MILLIS * speed);
     }
     for (int index = 0; index < NODES; index++) {
-      nodes.add(new GateBalancer("a", draws::nextDouble));
+      nodes.add(new GateBalancer("a", random::nextDouble));
     }
-    servers.forEach(each -> every(viewMillis, () -> report(each, viewMillis)));
-    arrive(way, 1 / perMilli);
-    while (now < END_MILLIS) {
+    servers.forEach(
+        each -> scheduleRepeatedly(statsAgeMillis, () -> broadcastLoad(each, statsAgeMillis)));
+    scheduleArrival(strategy, 1 / perMilli);
+    while (nowMillis < END_MILLIS) {
       Event next = events.remove();
-      now = next.atMillis();
+      nowMillis = next.atMillis();
       next.action().run();
     }
-    return inTime / (double) asked;
+    return inTime / (double) requests;
   }
 
   /** What a node stated travels for as long as the views are old. */
-  private void report(Server server, int viewMillis) {
+  private void broadcastLoad(Server server, int statsAgeMillis) {
     GateLoad load = server.load();
-    long stated = (long) now;
-    at(now + viewMillis, () -> nodes.forEach(node -> node.stated(stated, server.entry.id(), load)));
+    long reportedMillis = (long) nowMillis;
+    schedule(
+        nowMillis + statsAgeMillis,
+        () -> nodes.forEach(node -> node.stated(reportedMillis, server.entry.id(), load)));
   }
 
-  private void arrive(Way way, double gapMillis) {
-    at(
-        now - Math.log(1 - draws.nextDouble()) * gapMillis,
+  private void scheduleArrival(Strategy strategy, double gapMillis) {
+    schedule(
+        nowMillis - Math.log(1 - random.nextDouble()) * gapMillis,
         () -> {
-          GateBalancer node = nodes.get(draws.nextInt(NODES));
-          Server server = choose(way, node);
-          node.started((long) now, server.entry.id());
-          asked++;
-          server.waiting.add(now);
+          GateBalancer node = nodes.get(random.nextInt(NODES));
+          Server server = choose(strategy, node);
+          node.started((long) nowMillis, server.entry.id());
+          requests++;
+          server.waiting.add(nowMillis);
           server.senders.add(node);
           serve(server);
-          arrive(way, gapMillis);
+          scheduleArrival(strategy, gapMillis);
         });
   }
 
-  private Server choose(Way way, GateBalancer node) {
-    if (way == Way.BEST) {
+  private Server choose(Strategy strategy, GateBalancer node) {
+    if (strategy == Strategy.ORACLE) {
       return servers.stream().min(Comparator.comparingDouble(Server::finishMillis)).orElseThrow();
     }
-    List<Server> among = servers;
-    if (way == Way.TWO_CHOICES) {
-      among = List.of(servers.get(draws.nextInt(21)), servers.get(draws.nextInt(21)));
-    } else if (way == Way.BY_SPEED) {
-      among = List.of(bySpeed());
+    List<Server> candidates = servers;
+    if (strategy == Strategy.TWO_CHOICES) {
+      candidates = List.of(servers.get(random.nextInt(21)), servers.get(random.nextInt(21)));
+    } else if (strategy == Strategy.RANDOM_BY_SPEED) {
+      candidates = List.of(bySpeed());
     }
-    List<BackendEntry> entries = among.stream().map(each -> each.entry).toList();
-    GateBalancer.RequestConstraints need =
+    List<BackendEntry> entries = candidates.stream().map(each -> each.entry).toList();
+    GateBalancer.RequestConstraints constraints =
         new GateBalancer.RequestConstraints(ROUTE, TARGET_MILLIS, 0);
     BackendEntry picked =
-        node.pick((long) now, entries, need, Set.of(), Set.of()).orElseThrow().backend();
+        node.pick((long) nowMillis, entries, constraints, Set.of(), Set.of())
+            .orElseThrow()
+            .backend();
     return servers.get(Integer.parseInt(picked.id().substring(2)));
   }
 
   private Server bySpeed() {
-    double left = draws.nextDouble() * servers.stream().mapToDouble(each -> 1 / each.speed).sum();
+    double left = random.nextDouble() * servers.stream().mapToDouble(each -> 1 / each.speed).sum();
     for (Server server : servers) {
       left -= 1 / server.speed;
       if (left <= 0) {
@@ -171,21 +176,21 @@
     while (server.running < SLOTS && !server.waiting.isEmpty()) {
       double arrived = server.waiting.remove();
       GateBalancer node = server.senders.remove();
-      double work = WORK_MILLIS * server.speed * (0.5 + draws.nextDouble());
-      if (now + WORK_MILLIS * server.speed > arrived + TARGET_MILLIS) {
-        node.finished((long) now, server.entry.id(), new Verdict.Completed());
+      double work = WORK_MILLIS * server.speed * (0.5 + random.nextDouble());
+      if (nowMillis + WORK_MILLIS * server.speed > arrived + TARGET_MILLIS) {
+        node.finished((long) nowMillis, server.entry.id(), new Verdict.Completed());
         continue;
       }
       server.running++;
-      at(now + work, () -> answered(server, node, arrived));
+      schedule(nowMillis + work, () -> complete(server, node, arrived));
     }
   }
 
-  private void answered(Server server, GateBalancer node, double arrived) {
+  private void complete(Server server, GateBalancer node, double arrived) {
     server.running--;
-    inTime += now - arrived <= TARGET_MILLIS ? 1 : 0;
-    node.finished((long) now, server.entry.id(), new Verdict.Completed());
-    node.stated((long) now, server.entry.id(), server.load());
+    inTime += nowMillis - arrived <= TARGET_MILLIS ? 1 : 0;
+    node.finished((long) nowMillis, server.entry.id(), new Verdict.Completed());
+    node.stated((long) nowMillis, server.entry.id(), server.load());
     node.answered(server.entry.id(), ROUTE, server.load().routeMicros());
     serve(server);
   }
@@ -198,15 +203,15 @@
    */
   @ParameterizedTest
   @CsvSource({"50,0.9", "200,0.9", "500,0.9", "50,1.2", "200,1.2", "500,1.2"})
-  void spreadsWithinAFifthOfTheBest(int viewMillis, double load) {
+  void goodputIsWithinAFifthOfTheBestStrategy(int statsAgeMillis, double load) {
     for (double[] speeds : new double[][] {{0.6, 1, 1.4}, {0.7, 0.7, 1.7}}) {
-      double inTime = goodput(Way.MESH, load, viewMillis, speeds);
+      double inTime = goodput(Strategy.MESH, load, statsAgeMillis, speeds);
       double best =
           Math.max(
-              goodput(Way.BEST, load, viewMillis, speeds),
+              goodput(Strategy.ORACLE, load, statsAgeMillis, speeds),
               Math.max(
-                  goodput(Way.TWO_CHOICES, load, viewMillis, speeds),
-                  goodput(Way.BY_SPEED, load, viewMillis, speeds)));
+                  goodput(Strategy.TWO_CHOICES, load, statsAgeMillis, speeds),
+                  goodput(Strategy.RANDOM_BY_SPEED, load, statsAgeMillis, speeds)));
 
       assertThat(inTime).isGreaterThan(0.8 * best);
     }
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/CallerPatienceTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/CallerPatienceTest.java
@@ -9,7 +9,7 @@
   private final CallerPatience patience = new CallerPatience();
 
   @Test
-  void whoGivesLessThanUsualHasAskedBefore() {
+  void aShorterTimeoutThanUsualMeansARetry() {
     for (int index = 0; index < 10; index++) {
       assertThat(patience.ageMillis("r", 2_500 - index % 2)).isZero();
     }
@@ -19,7 +19,7 @@
   }
 
   @Test
-  void aFewWhoGiveMoreChangeNothing() {
+  void aFewLongerTimeoutsAreIgnored() {
     for (int index = 0; index < 50; index++) {
       patience.ageMillis("r", index % 10 == 0 ? 9_000 : 2_500);
     }
@@ -30,7 +30,7 @@
 
   /** In an overload most requests may be of callers who come back. */
   @Test
-  void manyWhoComeBackDoNotPassForNewOnes() {
+  void manyRetriesAreNotTakenForFirstAttempts() {
     SplittableRandom random = new SplittableRandom(3);
     for (int index = 0; index < 1_000; index++) {
       patience.ageMillis("r", index % 3 == 0 ? 2_500 : 500 + random.nextInt(1_900));
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void aChangedHabitIsLearned() {
+  void adaptsToAChangedTimeout() {
     for (int index = 0; index < 100; index++) {
       patience.ageMillis("r", 2_500);
     }
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/NestedRoutesTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/NestedRoutesTest.java
@@ -7,16 +7,16 @@
 final class NestedRoutesTest {
   private final NestedRoutes routes = new NestedRoutes();
 
-  private void arrive(String route, int count, String... services) {
+  private void recordRequests(String route, int count, String... services) {
     for (int index = 0; index < count; index++) {
       routes.arrived(route, services[index % services.length]);
     }
   }
 
   @Test
-  void aRouteThatBeginsBesideOneServiceIsNested() {
-    arrive("order", 60, "catalogue", "orders", "media");
-    arrive("stock", 60, "catalogue");
+  void aRouteWithASingleOriginServiceIsNested() {
+    recordRequests("order", 60, "catalogue", "orders", "media");
+    recordRequests("stock", 60, "catalogue");
 
     assertThat(routes.isNested("stock")).isTrue();
     assertThat(routes.isNested("order")).isFalse();
@@ -24,35 +24,35 @@
   }
 
   @Test
-  void aFewRequestsSayNothing() {
-    arrive("order", 60, "catalogue", "orders");
-    arrive("stock", 23, "catalogue");
+  void tooFewRequestsAreInconclusive() {
+    recordRequests("order", 60, "catalogue", "orders");
+    recordRequests("stock", 23, "catalogue");
 
     assertThat(routes.isNested("stock")).isFalse();
   }
 
   @Test
-  void aStrayRequestChangesNothing() {
-    arrive("order", 60, "catalogue", "orders");
-    arrive("stock", 100, "catalogue");
-    arrive("stock", 1, "orders");
+  void aStrayRequestIsTolerated() {
+    recordRequests("order", 60, "catalogue", "orders");
+    recordRequests("stock", 100, "catalogue");
+    recordRequests("stock", 1, "orders");
 
     assertThat(routes.isNested("stock")).isTrue();
   }
 
   @Test
-  void whereAllBeginsBesideOneServiceNothingIsNested() {
-    arrive("order", 200, "catalogue");
-    arrive("stock", 200, "catalogue");
+  void noRouteIsNestedWhenAllRequestsHaveOneOrigin() {
+    recordRequests("order", 200, "catalogue");
+    recordRequests("stock", 200, "catalogue");
 
     assertThat(routes.isNested("stock")).isFalse();
   }
 
   @Test
-  void aRouteThatCallersBeginToUseIsNoLongerNested() {
-    arrive("order", 600, "catalogue", "orders");
-    arrive("stock", 600, "catalogue");
-    arrive("stock", 40, "catalogue", "orders");
+  void aRouteThatOtherOriginsStartToUseIsNoLongerNested() {
+    recordRequests("order", 600, "catalogue", "orders");
+    recordRequests("stock", 600, "catalogue");
+    recordRequests("stock", 40, "catalogue", "orders");
 
     assertThat(routes.isNested("stock")).isFalse();
   }
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/RetryWindowTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/RetryWindowTest.java
@@ -13,26 +13,26 @@
   private static final long WINDOW_MILLIS = 10_000;
   private final RetryWindow window = new RetryWindow(WINDOW_MILLIS, 0.2, 12);
 
-  private int granted(long now, int asked, int nodes) {
+  private int countGranted(long now, int requested, int nodes) {
     int granted = 0;
-    for (int index = 0; index < asked; index++) {
+    for (int index = 0; index < requested; index++) {
       granted += window.tryRetry(now, "service", nodes) ? 1 : 0;
     }
     return granted;
   }
 
   @Test
-  void withoutRequestsThereIsThisNodesPartOfTheExtra() {
-    assertThat(granted(0, 50, 12)).isEqualTo(1);
+  void withoutRequestsANodeHasItsShareOfTheExtraRetries() {
+    assertThat(countGranted(0, 50, 12)).isEqualTo(1);
   }
 
   @Test
-  void requestsEarnRetries() {
+  void requestsAddToTheBudget() {
     for (int index = 0; index < 100; index++) {
       window.requestStarted(1_000, "service");
     }
 
-    assertThat(granted(1_500, 100, 12)).isEqualTo(21);
+    assertThat(countGranted(1_500, 100, 12)).isEqualTo(21);
   }
 
   @Test
@@ -40,14 +40,14 @@
     for (int index = 0; index < 100; index++) {
       window.requestStarted(1_000, "service");
     }
-    granted(1_500, 100, 12);
+    countGranted(1_500, 100, 12);
 
-    assertThat(granted(1_500 + WINDOW_MILLIS / 2, 10, 12)).isZero();
-    assertThat(granted(1_500 + 2 * WINDOW_MILLIS, 10, 12)).isEqualTo(1);
+    assertThat(countGranted(1_500 + WINDOW_MILLIS / 2, 10, 12)).isZero();
+    assertThat(countGranted(1_500 + 2 * WINDOW_MILLIS, 10, 12)).isEqualTo(1);
   }
 
   @Test
-  void allNodesTogetherStayWithinTheBound() {
+  void theFleetStaysWithinTheBudget() {
     int nodes = 40;
     int total = 0;
     for (int node = 0; node < nodes; node++) {
@@ -65,7 +65,7 @@
 
   /** A request that runs again makes its calls again, which the called service counts. */
   @Test
-  void callsOfRepeatedRequestsUseUpTheWindow() {
+  void nestedCallsOfRetriedRequestsConsumeTheBudget() {
     for (int index = 0; index < 100; index++) {
       window.requestStarted(1_000, "service");
     }
@@ -73,7 +73,7 @@
       window.repeated(1_000, "service", 0.5);
     }
 
-    assertThat(granted(1_500, 100, 12)).isEqualTo(11);
+    assertThat(countGranted(1_500, 100, 12)).isEqualTo(11);
   }
 
   /**
@@ -83,8 +83,8 @@
    */
   @ParameterizedTest
   @ValueSource(ints = {20, 100})
-  void everySlidingWindowOfTheFleetStaysWithinTheBound(int nodes) {
-    Random draws = new Random(nodes);
+  void everySlidingWindowOfTheFleetStaysWithinTheBudget(int nodes) {
+    Random random = new Random(nodes);
     List<RetryWindow> fleet = new ArrayList<>();
     for (int node = 0; node < nodes; node++) {
       fleet.add(new RetryWindow(WINDOW_MILLIS, 0.2, 178));
@@ -92,28 +92,28 @@
     int steps = 600;
     int stepMillis = 50;
     int[] requests = new int[steps];
-    int[] repeats = new int[steps];
+    int[] retries = new int[steps];
     for (int step = 0; step < steps; step++) {
       // Bursts a little less than a window apart, as when back ends refuse work again and again.
-      boolean asks = step % 181 == 19;
+      boolean isBurst = step % 181 == 19;
       for (RetryWindow each : fleet) {
-        if (draws.nextInt(4) == 0) {
+        if (random.nextInt(4) == 0) {
           each.requestStarted(step * stepMillis, "service");
           requests[step]++;
         }
-        for (int ask = 0; asks && ask < 20; ask++) {
-          repeats[step] += each.tryRetry(step * stepMillis, "service", nodes) ? 1 : 0;
+        for (int attempt = 0; isBurst && attempt < 20; attempt++) {
+          retries[step] += each.tryRetry(step * stepMillis, "service", nodes) ? 1 : 0;
         }
       }
     }
 
     int length = (int) WINDOW_MILLIS / stepMillis;
     for (int end = length; end <= steps; end++) {
-      double most = 0;
+      double maxRequests = 0;
       for (int shift : new int[] {0, length / 2, length}) {
-        most = Math.max(most, sum(requests, end - shift - length, end - shift));
+        maxRequests = Math.max(maxRequests, sum(requests, end - shift - length, end - shift));
       }
-      assertThat(sum(repeats, end - length, end)).isLessThanOrEqualTo(0.2 * most + 178);
+      assertThat(sum(retries, end - length, end)).isLessThanOrEqualTo(0.2 * maxRequests + 178);
     }
   }
 
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/RouteMeansTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/RouteMeansTest.java
@@ -8,7 +8,7 @@
   private final RouteMeans times = new RouteMeans(5);
 
   @Test
-  void knowsNothingFromAFewSamples() {
+  void tooFewSamplesGiveNoEstimate() {
     times.add("read", 240_000);
 
     assertThat(times.expected("read")).isZero();
@@ -16,7 +16,7 @@
   }
 
   @Test
-  void keepsRoutesApart() {
+  void routesAreIndependent() {
     for (int index = 0; index < 10; index++) {
       times.add("read", 240_000);
       times.add("verify", 15_000);
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void followsABackendThatTurnsSlow() {
+  void followsAnIncrease() {
     for (int index = 0; index < 10; index++) {
       times.add("read", 100_000);
     }
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/RoutingTableTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/RoutingTableTest.java
@@ -51,12 +51,12 @@
     "other.example, /else/, ''",
     "unknown.example, /orders/, ''"
   })
-  void theLongestPrefixThatBeginsThePathWins(String host, String path, String expected) {
+  void theLongestMatchingPrefixWins(String host, String path, String expected) {
     assertThat(TABLE.match(host, path).map(RoutingRule::name).orElse("")).isEqualTo(expected);
   }
 
   @Test
-  void knowsItsVersion() {
+  void exposesTheVersionOfTheConfiguration() {
     assertThat(TABLE.version()).isEqualTo(7);
   }
 }
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/SlownessTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/SlownessTest.java
@@ -12,25 +12,25 @@
   }
 
   @Test
-  void requestsHalfwayThroughAreNotSlow() {
+  void requestsAtHalfTheirExpectedTimeAreNotSlow() {
     assertThat(Slowness.of(List.of(running(30, 60), running(120, 240), running(8, 15))))
         .isEqualTo(1);
   }
 
   @Test
-  void oneLongRequestSaysNothing() {
+  void oneLongRequestIsNotASlowdown() {
     assertThat(Slowness.of(List.of(running(600, 60), running(30, 60), running(10, 60))))
         .isEqualTo(1);
   }
 
   @Test
-  void whenMostAreFarBeyondTheirTimeTheBackendIsSlow() {
+  void aMajorityOfOverdueRequestsIsASlowdown() {
     assertThat(Slowness.of(List.of(running(300, 60), running(240, 60), running(400, 60))))
         .isEqualTo(10);
   }
 
   @Test
-  void withoutMeasuredTimesNothingIsKnown() {
+  void withoutExpectedTimesThereIsNoEstimate() {
     assertThat(Slowness.of(List.of(running(300, 0), running(240, 0), running(400, 60))))
         .isEqualTo(1);
   }
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/WeightedSplitTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/WeightedSplitTest.java
@@ -16,35 +16,38 @@
         "route", "host", "/", RequestKind.SAFE, List.of(targets), 1_000, 2, 200, 1);
   }
 
-  private static Map<String, Integer> deal(WeightedSplit split, RoutingRule rule, int requests) {
-    Map<String, Integer> dealt = new HashMap<>();
+  private static Map<String, Integer> distribute(
+      WeightedSplit split, RoutingRule rule, int requests) {
+    Map<String, Integer> counts = new HashMap<>();
     for (int index = 0; index < requests; index++) {
-      dealt.merge(split.next(rule), 1, Integer::sum);
+      counts.merge(split.next(rule), 1, Integer::sum);
     }
-    return dealt;
+    return counts;
   }
 
   @Test
-  void dealsByWeight() {
+  void distributesByWeight() {
     RoutingRule rule = rule(new WeightedService("a", 90), new WeightedService("b", 10));
 
-    assertThat(deal(new WeightedSplit(), rule, 300)).containsEntry("a", 270).containsEntry("b", 30);
+    assertThat(distribute(new WeightedSplit(), rule, 300))
+        .containsEntry("a", 270)
+        .containsEntry("b", 30);
   }
 
   @Test
-  void aPartWithoutWeightGetsNothing() {
+  void aTargetWithZeroWeightGetsNoRequests() {
     RoutingRule rule = rule(new WeightedService("a", 1), new WeightedService("b", 0));
 
-    assertThat(deal(new WeightedSplit(), rule, 50)).containsOnlyKeys("a");
+    assertThat(distribute(new WeightedSplit(), rule, 50)).containsOnlyKeys("a");
   }
 
   @Test
-  void changedWeightsHoldFromTheNextRequest() {
+  void changedWeightsApplyFromTheNextRequest() {
     WeightedSplit split = new WeightedSplit();
-    deal(split, rule(new WeightedService("a", 90), new WeightedService("b", 10)), 55);
+    distribute(split, rule(new WeightedService("a", 90), new WeightedService("b", 10)), 55);
 
     RoutingRule changed = rule(new WeightedService("a", 10), new WeightedService("b", 90));
 
-    assertThat(deal(split, changed, 100)).containsEntry("a", 10).containsEntry("b", 90);
+    assertThat(distribute(split, changed, 100)).containsEntry("a", 10).containsEntry("b", 90);
   }
 }
