--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/load/BackendSpeed.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/load/BackendSpeed.java
@@ -5,29 +5,33 @@
 import java.util.Deque;
 
 /**
- * How fast one start of a back end works at this moment against its usual speed: by what it says of
- * itself, as long as that tells the times of its answers better than nothing does, and by the ages
- * of what runs there. Owner synchronizes.
+ * Current speed of one start of a backend relative to its usual speed. Combines what the backend
+ * states about itself, as long as that improves the predicted response times, with the ages of its
+ * running requests. The owner synchronizes access.
  */
 public final class BackendSpeed {
-  /** What a back end may say of itself at most, either way; a false statement does no more harm. */
+  /**
+   * Bound on the factor that a backend may state, either way, to limit the effect of a false
+   * statement.
+   */
   private static final double MAX_FACTOR = 10;
 
-  /** Time over which its usual speed is taken, milliseconds: many moments of slowness. */
+  /** Averaging time of the usual speed, milliseconds; long enough to cover many short slowdowns. */
   private static final double USUAL_FACTOR_MILLIS = 10_000;
 
-  /** Statements kept: those that come while one request runs. */
+  /** Statements kept, enough for the duration of one request. */
   private static final int MAX_STATEMENTS = 64;
 
-  /** Weight of one answer in how far statements, and times without them, have been off. */
+  /** Weight of one response in the prediction errors with and without statements. */
   private static final double ERROR_WEIGHT = 0.03;
 
-  /** Answers after which statements may be found worse than none. */
+  /** Compared responses before statements can lose trust. */
   private static final int MIN_COMPARISONS = 20;
 
   /**
-   * How much further off times are with statements than without from which on they are not used:
-   * where they tell little either way, chance would else decide anew with each answer.
+   * Ratio of the errors with and without statements above which statements are not used. Above 1,
+   * as otherwise noise would change the decision with each response where statements make little
+   * difference.
    */
   private static final double DISTRUST_RATIO = 1.15;
 
@@ -46,7 +50,7 @@
   private int comparisons;
   private boolean trusted = true;
 
-  /** Takes what the back end said with an answer that has just come. */
+  /** Applies the statement that came with a response. */
   public void stated(long nowMillis, BackendStatement statement) {
     double statedFactor = statement.slownessPercent() / (double) BackendStatement.USUAL_PERCENT;
     double factor = Math.min(MAX_FACTOR, Math.max(1 / MAX_FACTOR, statedFactor));
@@ -64,9 +68,10 @@
   }
 
   /**
-   * An answer has come, whose statement has been taken; learns from it whether statements tell.
+   * Records a response whose statement has already been applied, and updates the trust in
+   * statements.
    *
-   * @param micros how long the request ran
+   * @param micros how long the request ran, microseconds
    * @return how long it would have run at the usual speed, microseconds
    */
   public long answered(long nowMillis, String route, long micros) {
@@ -96,7 +101,7 @@
     return Math.abs(Math.log(Math.max(1, micros) / (double) expectedMicros));
   }
 
-  /** The time that has passed, each part of it as long as it would have been at usual speed. */
+  /** Duration of the request normalized to the usual speed, piece by piece between statements. */
   private double normalizedMillis(long nowMillis, long micros) {
     double end = nowMillis;
     double begin = nowMillis - micros / MICROS_PER_MILLI;
@@ -112,23 +117,23 @@
     return sum + Math.max(0, end - begin);
   }
 
-  /** Whether what the back end says tells how long its work takes, as far as has been seen. */
+  /** Whether the statements of the backend are used. */
   public boolean isBelieved() {
     return trusted;
   }
 
   /**
-   * The factor by which work takes longer now than usual.
+   * Factor by which requests currently take longer than usual.
    *
-   * @param ageFactor the same as the ages of what runs there show it, see {@link
-   *     io.umberpath.traffic.routing.Slowness}; overrules a back end that says less
+   * @param ageFactor the same factor estimated from the ages of running requests, see {@link
+   *     io.umberpath.traffic.routing.Slowness}; overrides a backend that states less
    */
   public double slowness(long nowMillis, double ageFactor) {
     double statedFactor = trusted ? deviation.factorAt(nowMillis) : 1;
     return ageFactor > 1 ? Math.max(statedFactor, ageFactor) : statedFactor;
   }
 
-  /** How far times have been off with statements, and without them, for a log line. */
+  /** Prediction errors with and without statements, for a log line. */
   public String errors() {
     return "off by %.2f with statements, by %.2f without".formatted(statedError, plainError);
   }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/load/DecayingSlowdown.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/load/DecayingSlowdown.java
@@ -3,21 +3,24 @@
 import io.umberpath.traffic.DecayingValue;
 
 /**
- * How slow a back end was when that was last stated, believed less the older it is. Owner
- * synchronizes.
+ * Last reported slowdown of a backend, which decays towards normal with the age of the report. The
+ * owner synchronizes access.
  */
 public final class DecayingSlowdown {
   /**
-   * Age at which half of a deviation from the usual is believed, milliseconds. Where back ends
-   * share their machines, 6,721 statements of 21 of them showed: of those that were slow, 0.81 were
-   * still slow after 150 ms, 0.64 after 250 ms, 0.45 after 400 ms and 0.18 after 650 ms.
+   * Time in which a deviation from normal halves, milliseconds. Measured where backends share their
+   * machines, over 6,721 reports of 21 backends: of the slow ones, 0.81 were still slow after 150
+   * ms, 0.64 after 250 ms, 0.45 after 400 ms and 0.18 after 650 ms.
    */
   private static final double HALF_LIFE_MILLIS = 300;
 
-  /** Most that a lasting deviation prolongs it to, milliseconds: what ended is seen soon enough. */
+  /**
+   * Upper bound on the half-life of a lasting deviation, milliseconds, so that its end still shows
+   * soon.
+   */
   private static final double MAX_HALF_LIFE_MILLIS = 3_000;
 
-  /** Deviation from the usual from which on it is slow, or fast, and not just as usual. */
+  /** Factor from which a backend counts as slow; its inverse counts as fast. */
   private static final double SIGNIFICANT_FACTOR = 1.25;
 
   private static final double NORMAL = 1;
@@ -27,9 +30,9 @@
   private long levelSinceMillis;
 
   /**
-   * Takes a statement.
+   * Applies a report.
    *
-   * @param factor how long work takes against its usual time; 1 as usual
+   * @param factor response time relative to the usual one; 1 is normal
    */
   public void update(long nowMillis, double factor) {
     if (level(factor) != level(lastFactor)) {
@@ -43,7 +46,9 @@
     return factor >= SIGNIFICANT_FACTOR ? 1 : factor <= NORMAL / SIGNIFICANT_FACTOR ? -1 : 0;
   }
 
-  /** The factor to reckon with now. What has lasted for some time is expected to last as long. */
+  /**
+   * The decayed factor. The half-life grows with the time that the deviation has already lasted.
+   */
   public double factorAt(long nowMillis) {
     double durationMillis = updatedMillis - levelSinceMillis;
     double halfLifeMillis =
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/load/package-info.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/load/package-info.java
@@ -1,2 +1,2 @@
-/** What is known of back ends' load: as stated by themselves, by their gates and by their peers. */
+/** Load of backends: as stated by themselves, by the nodes beside them and by peers. */
 package io.umberpath.traffic.load;
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/outlier/AttemptResult.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/outlier/AttemptResult.java
@@ -1,19 +1,21 @@
 package io.umberpath.traffic.outlier;
 
-/** How one attempt of a request at a back end ended, as far as it speaks for or against it. */
+/** Result of one attempt of a request at a backend, as evidence for outlier detection. */
 public enum AttemptResult {
-  /** A whole answer that is no server error. */
+  /** A complete response that is not a server error. */
   SERVED,
-  /** A whole answer that is a server error of the back end itself. */
+  /** A complete response with a server error of the backend itself. */
   SERVER_ERROR,
-  /** The back end refused it although its gate had a slot for it; it did not run. */
+  /** The backend shed the request although the node beside it had a slot for it; it did not run. */
   SHED,
-  /** The answer was not the request's, or no answer of the protocol. */
+  /** The response belonged to another request or violated the protocol. */
   BAD_ANSWER,
-  /** The connection ended without a whole answer. */
+  /** The connection was closed before the response was complete. */
   LOST,
-  /** No answer came before the time of the attempt was over. */
+  /** No response arrived before the timeout of the attempt. */
   TIMED_OUT,
-  /** The caller left, or the node beside the back end decided: says nothing of the back end. */
+  /**
+   * The client cancelled, or the node beside the backend refused: no evidence about the backend.
+   */
   NO_EVIDENCE
 }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/outlier/FailureShare.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/outlier/FailureShare.java
@@ -7,38 +7,36 @@
 import java.util.stream.Collectors;
 
 /**
- * How often the answers of one back end fail, by what the node beside it sees of them: that node
- * sees all of its answers, a node that sends requests only a few. Health checks have no say: one
- * that lies either way changes nothing here. Owner synchronizes.
+ * Failure rate of one backend, measured by the node beside it: that node sees all responses of the
+ * backend, a node that sends requests only a few. Health checks are not counted, so a wrong one has
+ * no effect here. The owner synchronizes access.
  */
 public final class FailureShare {
-  /**
-   * Half-life of an answer, milliseconds: a back end that is well again shows it within seconds.
-   */
+  /** Half-life of a result, milliseconds: a recovered backend shows it within seconds. */
   private static final double HALF_LIFE_MILLIS = 2_000;
 
-  /** Answers from which on a share is stated: below, one failure would be an eighth or more. */
+  /** Attempts needed for a rate; with fewer, one failure would be an eighth or more. */
   private static final double MIN_ATTEMPTS = 8;
 
   private static final double PERCENT = 100;
 
   private final Map<AttemptResult, DecayingValue> counts = new EnumMap<>(AttemptResult.class);
 
-  /** Creates one that has seen nothing. */
+  /** Creates a rate without attempts. */
   public FailureShare() {
     for (AttemptResult result : AttemptResult.values()) {
       counts.put(result, new DecayingValue(HALF_LIFE_MILLIS));
     }
   }
 
-  /** An attempt at the back end ended. */
+  /** Records the result of an attempt. */
   public void ended(long nowMillis, AttemptResult result) {
     counts.get(result).add(nowMillis, 1);
   }
 
   /**
-   * Share of the attempts that failed lately, percent; 0 while too few are known. So it also goes
-   * back to 0 where nothing is sent to the back end any more, which then is tried again.
+   * Share of the recent attempts that failed, percent; 0 while there are too few. It also returns
+   * to 0 when nothing is sent to the backend any more, so that the backend is tried again.
    */
   public int percent(long nowMillis) {
     double total = 0;
@@ -51,7 +49,7 @@
     return total < MIN_ATTEMPTS ? 0 : (int) Math.round(PERCENT * failed / total);
   }
 
-  /** How many answers of each kind there were lately, older ones counted less, for a log line. */
+  /** Decayed counts of each kind of result, for a log line. */
   public String kinds(long nowMillis) {
     return counts.entrySet().stream()
         .filter(each -> Math.round(each.getValue().get(nowMillis)) > 0)
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/outlier/package-info.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/outlier/package-info.java
@@ -1,2 +1,2 @@
-/** How often the answers of a back end fail, and how much less it is tried for that. */
+/** Failure rates of backends, and how much less a failing one is used. */
 package io.umberpath.traffic.outlier;
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/quarantine/CrashMark.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/quarantine/CrashMark.java
@@ -1,14 +1,14 @@
 package io.umberpath.traffic.quarantine;
 
 /**
- * That a back end ended while it ran a certain request.
+ * Records that a backend crashed while it ran a certain request.
  *
- * @param crash names the end of that back end, the same on all nodes
- * @param atMillis when it ended, on the clock of the node that holds the mark
+ * @param crash hash that identifies the crash, the same on all nodes
+ * @param atMillis when it happened, on the clock of the node that holds the mark
  * @param cleared whether the request has since been found not to be the cause
  */
 public record CrashMark(int crash, long atMillis, boolean cleared) {
-  /** The same mark as two nodes know it: whoever has cleared it is right. */
+  /** Merges two versions of a mark: cleared if either is. */
   CrashMark merge(CrashMark other) {
     return new CrashMark(crash, Math.min(atMillis, other.atMillis), cleared || other.cleared);
   }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/quarantine/RecentSuccesses.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/quarantine/RecentSuccesses.java
@@ -1,11 +1,11 @@
 package io.umberpath.traffic.quarantine;
 
 /**
- * Requests that ran to a good end lately: a direct-mapped cache, so that its size is bounded
- * whatever comes; one that another took the place of is forgotten. Owner synchronizes.
+ * Requests that succeeded recently, in a direct-mapped cache of fixed size; a colliding request
+ * replaces the older one. The owner synchronizes access.
  */
 final class RecentSuccesses {
-  /** Places, a power of two: ten seconds of a hundred requests a second, some 45 KiB when full. */
+  /** Entries, a power of two: ten seconds of a hundred requests a second, some 45 KiB when full. */
   private static final int CAPACITY = 1_024;
 
   private final RequestFingerprint[] requests = new RequestFingerprint[CAPACITY];
@@ -17,7 +17,7 @@
     atMillis[index] = nowMillis;
   }
 
-  /** Whether the request ran to a good end at that time or later, as far as is still known. */
+  /** Whether the request succeeded at that time or later, as far as the cache still holds it. */
   boolean containsSince(long sinceMillis, RequestFingerprint request) {
     int index = index(request);
     return request.equals(requests[index]) && atMillis[index] >= sinceMillis;
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/quarantine/RequestFingerprint.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/quarantine/RequestFingerprint.java
@@ -7,17 +7,18 @@
 import java.util.HexFormat;
 
 /**
- * What makes two requests the same one, whatever their ids and wherever they arrive: method, host,
- * path with query, the caller's credential, and the beginning of the body. SipHash of each part, so
- * that a part tells nothing of a credential in it.
+ * Identifies equal requests, whatever their ids and wherever they arrive: method, host, path with
+ * query, credential of the client, and the beginning of the body. Each part is hashed with SipHash,
+ * so that a fingerprint does not reveal a credential.
  *
- * @param target hash of all but the body, known as soon as the head has been read
- * @param body hash of the body's first {@link #BODY_PREFIX_BYTES}
+ * @param target hash of everything but the body, known once the header has been read
+ * @param body hash of the first {@link #BODY_PREFIX_BYTES} of the body
  */
 public record RequestFingerprint(long target, long body) {
   /**
-   * Bytes of a body that count: a long one is known before its end, and none has to be kept. Two
-   * that begin alike for so long, at one path by one caller, are taken for the same.
+   * Bytes of a body that are hashed, so that the fingerprint of a long body is known before its end
+   * and no body has to be kept. Two bodies with the same prefix, at one path from one client, count
+   * as equal.
    */
   public static final int BODY_PREFIX_BYTES = 16 * 1024;
 
@@ -27,10 +28,10 @@
   private static final char SEPARATOR_IN_TEXT = '-';
 
   /**
-   * Hash of all but the body.
+   * Hashes everything but the body.
    *
-   * @param pathAndQuery as the caller sent it
-   * @param credential what the caller says who it is with; null if it does not
+   * @param pathAndQuery as the client sent it
+   * @param credential credential of the client; null if there is none
    */
   public static long targetOf(String method, String host, String pathAndQuery, String credential) {
     Hasher hasher = HASH.newHasher();
@@ -46,15 +47,15 @@
   }
 
   /**
-   * Hash of a body, of which at least the prefix that counts is given, or all of it.
+   * Hashes a body.
    *
-   * @param bytes its beginning
+   * @param bytes the body, or at least the prefix that is hashed
    */
   public static long bodyOf(byte[] bytes) {
     return HASH.hashBytes(bytes, 0, Math.min(bytes.length, BODY_PREFIX_BYTES)).asLong();
   }
 
-  /** Its form in log lines and messages to operators, 33 characters. */
+  /** Text form for log lines and messages to operators, 33 characters. */
   public String text() {
     return HEX.toHexDigits(target) + SEPARATOR_IN_TEXT + HEX.toHexDigits(body);
   }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/quarantine/SuspectLedger.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/quarantine/SuspectLedger.java
@@ -14,28 +14,33 @@
 import java.util.stream.Collectors;
 
 /**
- * The requests under which back ends ended, as far as this node knows: its own evidence and that of
- * the others, merged so that it does not matter in which order, how often and which way it comes.
+ * Requests that were running when backends crashed, as far as this node knows: its own evidence
+ * merged with that of other nodes. Merging is commutative and idempotent, so the order, number and
+ * path of reports do not matter.
  *
- * <p>All that a back end ran when it ended is suspected, since nobody can tell which of it was the
- * cause. A request is held, which keeps it from all back ends, once three have ended under it and
- * it ran to a good end nowhere: the cause is at each of the three, what only ran beside it seldom
- * is, and is cleared when it succeeds. Owner synchronizes.
+ * <p>Every request that a crashed backend was running is a suspect, since the cause cannot be told
+ * apart from the others. A request is quarantined, which keeps it from all backends, once three
+ * backends have crashed while running it and it has succeeded nowhere: the cause is present at all
+ * three crashes, while requests that merely ran at the same time rarely are, and these are cleared
+ * when they succeed. The owner synchronizes access.
  */
 public final class SuspectLedger {
-  /** Suspects remembered; some 200 bytes each. A back end that ends leaves as many as its slots. */
+  /**
+   * Upper bound on the suspects, some 200 bytes each. A crashed backend adds as many as it has
+   * slots.
+   */
   private static final int MAX_SUSPECTS = 1_024;
 
   /**
-   * A good end clears a request of the ends of back ends up to so long after it, milliseconds: of a
-   * popular request that dies with all back ends of its service, another has just been served.
+   * A success clears a request of crashes up to this long after it, milliseconds: a popular request
+   * that is running at every crash of its service has usually succeeded just before.
    */
   private static final long SUCCESS_WINDOW_MILLIS = 10_000;
 
-  /** Ends from which on a good end is told to others; a single one decides nothing. */
+  /** Crashes from which a success is reported to other nodes; a single crash has no effect. */
   private static final int MIN_MARKS_TO_CLEAR = 2;
 
-  /** Suspects that make room when there are too many: to look for them costs a sort of all. */
+  /** Suspects evicted at a time, since finding them requires sorting all. */
   private static final int EVICTION_BATCH = MAX_SUSPECTS / 8;
 
   private final Map<RequestFingerprint, SuspectRequest> suspects = new HashMap<>();
@@ -45,20 +50,20 @@
   private long digest;
 
   /**
-   * Creates a ledger that holds nothing.
+   * Creates an empty ledger.
    *
-   * @param quarantineThreshold ends of back ends from which on a request is held
+   * @param quarantineThreshold crashes from which a request is quarantined
    */
   public SuspectLedger(int quarantineThreshold) {
     this.quarantineThreshold = quarantineThreshold;
   }
 
   /**
-   * A back end ended.
+   * Records a crash of a backend.
    *
-   * @param backend the start of it that ended; three starts under one id are three ends
-   * @param running the requests that it ran
-   * @return what is to be told to the other nodes
+   * @param backend the start that crashed; three starts with one id are three crashes
+   * @param running the requests that it was running
+   * @return changes to report to the other nodes
    */
   public List<Suspicion> ended(
       long nowMillis, BackendStart backend, Collection<RequestFingerprint> running) {
@@ -72,9 +77,9 @@
   }
 
   /**
-   * A request ran to a good end on this node's back end.
+   * Records a success of a request at this node's backend.
    *
-   * @return what is to be told to the other nodes
+   * @return change to report to the other nodes
    */
   public Optional<Suspicion> succeeded(long nowMillis, RequestFingerprint request) {
     successes.add(nowMillis, request);
@@ -93,9 +98,9 @@
   }
 
   /**
-   * Takes what another node tells.
+   * Merges a report from another node.
    *
-   * @return what of it is news, and what this node knows against it; empty if nothing is
+   * @return what changed, plus what this node knows against it; empty if nothing changed
    */
   public List<Suspicion> take(long nowMillis, Suspicion received) {
     RequestFingerprint request = received.request();
@@ -117,7 +122,7 @@
     return changes;
   }
 
-  /** Keeps what is worked out of all suspects in step with one of them. */
+  /** Updates the digest and the quarantined set after a suspect has changed. */
   private void updateDerivedState(RequestFingerprint request, SuspectRequest suspect) {
     digest += suspect.digestChange(request);
     if (suspect.isQuarantined()) {
@@ -127,7 +132,7 @@
     }
   }
 
-  /** Those with the least against them go first, and of them those of longest ago. */
+  /** Evicts the suspects with the fewest crashes, and of these the ones with the oldest. */
   private void evictLeastSuspect() {
     List<RequestFingerprint> least =
         suspects.entrySet().stream()
@@ -148,47 +153,47 @@
     updateDerivedState(request, removed);
   }
 
-  /** Whether a request is to be kept from all back ends. */
+  /** Whether a request is quarantined. */
   public boolean isHeld(RequestFingerprint request) {
     return quarantined.contains(request);
   }
 
-  /** Ends of back ends that are held against a request. */
+  /** Crashes of a request that are not cleared. */
   public int weight(RequestFingerprint request) {
     SuspectRequest suspect = suspects.get(request);
     return suspect == null ? 0 : suspect.crashCount();
   }
 
-  /** Whether a request that is held may be tried once more. */
+  /** Whether a quarantined request may be tried once more. */
   public boolean isTrialDue(long nowMillis, RequestFingerprint request) {
     return isHeld(request) && suspects.get(request).isTrialDue(nowMillis);
   }
 
-  /** A request that is held is tried once more. */
+  /** Records that a quarantined request is tried once more. */
   public void beginTrial(long nowMillis, RequestFingerprint request) {
     suspects.get(request).beginTrial(nowMillis);
   }
 
-  /** Targets of the requests that are held; see {@link RequestFingerprint#target}. */
+  /** Targets of the quarantined requests; see {@link RequestFingerprint#target}. */
   public Set<Long> heldTargets() {
     return quarantined.stream()
         .map(RequestFingerprint::target)
         .collect(Collectors.toUnmodifiableSet());
   }
 
-  /** Requests that are suspected. */
+  /** Number of suspects. */
   public int size() {
     return suspects.size();
   }
 
-  /** All that is known, for a node that knows less. */
+  /** The whole state, for a node that lacks some of it. */
   public List<Suspicion> all() {
     return suspects.entrySet().stream()
         .map(each -> new Suspicion(each.getKey(), each.getValue().marks()))
         .toList();
   }
 
-  /** Drops what is too old to count. */
+  /** Removes expired crashes. */
   public void forget(long nowMillis) {
     List<RequestFingerprint> known = List.copyOf(suspects.keySet());
     for (RequestFingerprint request : known) {
@@ -201,7 +206,7 @@
     }
   }
 
-  /** The same on all nodes that know the same; 0 if nothing is known. */
+  /** Digest of the state: equal on nodes with equal state; 0 if it is empty. */
   public long digest() {
     return digest;
   }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/quarantine/SuspectRequest.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/quarantine/SuspectRequest.java
@@ -6,32 +6,39 @@
 import java.util.Map;
 import java.util.stream.LongStream;
 
-/** One request under which back ends ended. Owner synchronizes. */
+/** A request that was running when backends crashed. The owner synchronizes access. */
 final class SuspectRequest {
-  /** Marks kept; more would tell nothing. They fit one datagram. */
+  /** Marks kept; more would add no information. They fit into one datagram. */
   private static final int MAX_MARKS = 64;
 
-  /** Within this time every node in reach has heard of a third end, milliseconds. */
+  /**
+   * Time within which every reachable node has heard of the crash that starts the quarantine,
+   * milliseconds. Crashes within it do not count as failed trials.
+   */
   private static final long PROPAGATION_MILLIS = 5_000;
 
-  /** How long a single end is remembered, and several of a request not yet held, milliseconds. */
+  /**
+   * How long a single crash is remembered, and several crashes of a request that is not
+   * quarantined, milliseconds.
+   */
   private static final long SINGLE_CRASH_EXPIRY_MILLIS = 600_000;
 
   private static final long SUSPECT_EXPIRY_MILLIS = 3_600_000;
 
-  /** How long a request that is held is remembered after the last end, milliseconds: a day. */
+  /** How long a quarantined request is remembered after its last crash, milliseconds: a day. */
   private static final long QUARANTINE_EXPIRY_MILLIS = 86_400_000;
 
   /**
-   * Pauses before a request that is held is tried again, milliseconds: 1, 10 and 100 minutes after
-   * the last end. The service may have been mended; three more ends are the most that are borne.
+   * Delays before a quarantined request is tried again, milliseconds: 1, 10 and 100 minutes after
+   * the last crash. The service may have been fixed in between; at most three more crashes are
+   * accepted.
    */
   private static final long[] TRIAL_DELAYS_MILLIS = {60_000, 600_000, 6_000_000};
 
-  /** How long a trial may go without an outcome before another may begin, milliseconds. */
+  /** Time without an outcome after which another trial may begin, milliseconds. */
   private static final long TRIAL_TIMEOUT_MILLIS = 10_000;
 
-  /** Constants of the finalizer of SplitMix64, which spreads the bits of the digest's parts. */
+  /** Constants of the finalizer of SplitMix64, which spreads the bits of the digest. */
   private static final long MIX_1 = 0xbf58476d1ce4e5b9L;
 
   private static final long MIX_2 = 0x94d049bb133111ebL;
@@ -43,15 +50,15 @@
   private long digest;
 
   /**
-   * Creates one against whom nothing is held yet.
+   * Creates a suspect without crashes.
    *
-   * @param quarantineThreshold ends of back ends, none of them cleared, from which on it is held
+   * @param quarantineThreshold uncleared crashes from which the request is quarantined
    */
   SuspectRequest(int quarantineThreshold) {
     this.quarantineThreshold = quarantineThreshold;
   }
 
-  /** Takes marks; returns those that are news. */
+  /** Merges marks; returns those that changed something. */
   List<CrashMark> merge(long nowMillis, Collection<CrashMark> received) {
     List<CrashMark> changed = received.stream().filter(this::mergeMark).toList();
     removeExpired(nowMillis);
@@ -79,7 +86,7 @@
     return cleared;
   }
 
-  /** Ends that are held against the request. */
+  /** Crashes of the request that are not cleared. */
   int crashCount() {
     return (int) marks.values().stream().filter(mark -> !mark.cleared()).count();
   }
@@ -92,7 +99,7 @@
     return marks.values().stream().mapToLong(CrashMark::atMillis).max().orElse(Long.MIN_VALUE);
   }
 
-  /** Drops marks that are too old; returns whether any is left. */
+  /** Removes expired marks; returns whether any is left. */
   boolean removeExpired(long nowMillis) {
     marks.values().removeIf(mark -> !isCurrent(nowMillis, mark));
     return !marks.isEmpty();
@@ -106,7 +113,7 @@
         > nowMillis;
   }
 
-  /** Whether a request that is held may be tried again. */
+  /** Whether a quarantined request may be tried again. */
   boolean isTrialDue(long nowMillis) {
     long[] crashMillis =
         marks.values().stream()
@@ -131,7 +138,7 @@
     marks.clear();
   }
 
-  /** By how much the digest of its marks has changed since the last call. */
+  /** Change of the digest of its marks since the last call. */
   long digestChange(RequestFingerprint request) {
     long before = digest;
     digest = marks.values().stream().mapToLong(mark -> digest(request, mark)).sum();
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/quarantine/Suspicion.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/quarantine/Suspicion.java
@@ -3,8 +3,9 @@
 import java.util.List;
 
 /**
- * What is held against one request, as nodes tell each other.
+ * Report about one suspected request, exchanged between nodes.
  *
- * @param marks ends of back ends that ran it
+ * @param request the suspected request
+ * @param marks crashes of backends that were running it
  */
 public record Suspicion(RequestFingerprint request, List<CrashMark> marks) {}
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/quarantine/package-info.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/quarantine/package-info.java
@@ -1,2 +1,2 @@
-/** Requests that end the back ends that run them: how they are known again, and held back. */
+/** Detection and quarantine of requests that crash the backends that run them. */
 package io.umberpath.traffic.quarantine;
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/BackendStats.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/BackendStats.java
@@ -7,14 +7,14 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What a node knows of one start of a back end. Owner synchronizes. */
+/** Statistics that a node keeps about one start of a backend. The owner synchronizes access. */
 final class BackendStats {
   private static final double MICROS_PER_MILLI = 1_000;
 
-  /** Routes remembered of one back end. */
+  /** Upper bound on the routes that are tracked per backend. */
   private static final int MAX_ROUTES = 1_024;
 
-  /** Weight of one answer in how fast a back end is taken to be. */
+  /** Weight of one response in the moving average of the relative speed. */
   private static final double SPEED_SAMPLE_WEIGHT = 0.2;
 
   private static final long AVOID_UNREACHABLE_MILLIS = 300;
@@ -22,7 +22,7 @@
 
   private final long firstSeenMillis;
 
-  /** The start that it is of, once its entry or its node has told. */
+  /** Start time of the backend; unknown until its entry or the node beside it has reported it. */
   private long startTimeMillis = BackendStart.UNKNOWN_BORN_MILLIS;
 
   private boolean hasLoadReport;
@@ -38,15 +38,15 @@
   private long avoidUntilMillis;
   private long lastActiveMillis;
 
-  /** Begins the view of a back end that was not known. */
+  /** Creates statistics for a backend that was not known before. */
   BackendStats(long nowMillis) {
     firstSeenMillis = nowMillis;
     lastActiveMillis = nowMillis;
   }
 
   /**
-   * Begins the view of a new start of a back end. What was stated or reported before this node
-   * heard of the start is of the earlier one.
+   * Creates statistics for a restarted backend. Load reports from before {@code nowMillis} belong
+   * to the earlier start and are ignored.
    */
   static BackendStats forRestartedBackend(long nowMillis) {
     BackendStats stats = new BackendStats(nowMillis);
@@ -54,36 +54,39 @@
     return stats;
   }
 
-  /** Whether both starts are told, and differ. */
+  /** Whether both start times are known and differ. */
   boolean isDifferentStart(long otherStartTimeMillis) {
     return startTimeMillis != BackendStart.UNKNOWN_BORN_MILLIS
         && otherStartTimeMillis != BackendStart.UNKNOWN_BORN_MILLIS
         && startTimeMillis != otherStartTimeMillis;
   }
 
-  /** Takes which start the back end's entry says it is. */
+  /** Takes start time and slots from the entry of the backend. */
   void updateEntry(BackendEntry entry) {
     startTimeMillis = entry.bornMillis();
     slots = Math.max(slots, entry.slots());
   }
 
-  /** Something was heard of the back end or done with it. */
+  /** Notes that the backend was used or reported on. */
   void recordActivity(long nowMillis) {
     lastActiveMillis = Math.max(lastActiveMillis, nowMillis);
   }
 
-  /** Whether no own request is there and nothing was heard or done since then. */
+  /**
+   * Whether this node has no request in flight to the backend and nothing was recorded since that
+   * time.
+   */
   boolean isIdleSince(long millis) {
     return ownInFlight == 0 && lastActiveMillis < millis;
   }
 
-  /** A request was sent towards the back end. */
+  /** Records that a request was sent to the backend. */
   void recordRequestStart() {
     ownInFlight++;
     outstanding++;
   }
 
-  /** A request sent towards the back end has ended. */
+  /** Records the end of a request that was sent to the backend. */
   void recordRequestEnd(long nowMillis, Verdict verdict) {
     ownInFlight = Math.max(0, ownInFlight - 1);
     outstanding = Math.max(0, outstanding - 1);
@@ -100,7 +103,8 @@
       case UNREACHABLE -> recordConnectionLoss(nowMillis);
       case DRAINING, NOT_READY, UNREADABLE -> avoidUntilMillis = nowMillis + AVOID_REFUSING_MILLIS;
       default -> {
-        // The stated load says the rest, also how often it sheds work.
+        // Other refusals need no action: the reported load covers them, and the reported failure
+        // rate covers shed work.
       }
     }
   }
@@ -110,14 +114,14 @@
     hasLoadReport = false;
   }
 
-  /** Takes what the node beside the back end stated, unless something newer is known. */
+  /** Applies a load report from the node beside the backend, unless a newer one is known. */
   void updateLoad(long atMillis, GateLoad load) {
     if (atMillis < reportedAtMillis) {
-      // Reports pass through other nodes; an answer of the gate may have overtaken one.
+      // Gossiped reports are delayed; a load header on a response may be newer than this one.
       return;
     }
     if (isDifferentStart(load.bornMillis())) {
-      // The gate's figures are of an earlier start, or of one that this node has not heard of yet.
+      // The report is about an earlier start, or about one that this node has not heard of yet.
       return;
     }
     reportedAtMillis = atMillis;
@@ -130,9 +134,10 @@
   }
 
   /**
-   * Takes how long requests of a route take there.
+   * Updates the response time of a route at this backend.
    *
-   * @param usualMicros the same at back ends of the service in general, microseconds
+   * @param usualMicros response time of the route averaged over the backends of the service,
+   *     microseconds
    */
   void updateRouteTime(String route, long micros, long usualMicros) {
     if (routeMillis.size() >= MAX_ROUTES) {
@@ -143,7 +148,7 @@
     speedRatio += SPEED_SAMPLE_WEIGHT * (ratio - speedRatio);
   }
 
-  /** Whether it was first seen so lately. */
+  /** Whether the backend was first seen less than {@code ageMillis} ago. */
   boolean isYoungerThan(long ageMillis, long nowMillis) {
     return nowMillis < firstSeenMillis + ageMillis;
   }
@@ -152,17 +157,20 @@
     return hasLoadReport;
   }
 
-  /** Requests that run or wait there, as stated and carried on by own sends. */
+  /**
+   * Requests that run or wait at the backend: the last reported number, adjusted by this node's own
+   * requests since then.
+   */
   double outstanding() {
     return outstanding;
   }
 
-  /** Requests of this node that run or wait there. */
+  /** Requests of this node that run or wait at the backend. */
   int ownInFlight() {
     return ownInFlight;
   }
 
-  /** Requests that it works on at once. */
+  /** Requests that the backend processes concurrently. */
   int slots() {
     return slots;
   }
@@ -172,27 +180,30 @@
     return serviceMillis;
   }
 
-  /** How long a request of the route takes there, milliseconds; null if not known. */
+  /** Response time of the route at this backend, milliseconds; null if not known. */
   Double routeMillis(String route) {
     return routeMillis.get(route);
   }
 
-  /** How long its work takes against other back ends, over all routes; 1 as usual. */
+  /** Response time relative to other backends, over all routes; 1 is average. */
   double speedRatio() {
     return speedRatio;
   }
 
-  /** How long its work takes now against its usual time, as far as that is still believed. */
+  /**
+   * Current response time relative to the backend's usual one; decays towards 1 with the age of the
+   * report.
+   */
   double slowdown(long nowMillis) {
     return slowdown.factorAt(nowMillis);
   }
 
-  /** Share of its answers that failed lately, 0 to 1. */
+  /** Share of its recent responses that failed, 0 to 1. */
   double failureRate() {
     return hasLoadReport ? failureRate : 0;
   }
 
-  /** For how much longer it is avoided, milliseconds. */
+  /** Remaining time for which the backend is avoided, milliseconds. */
   double remainingAvoidMillis(long nowMillis) {
     return Math.max(0, avoidUntilMillis - nowMillis);
   }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/CallerPatience.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/CallerPatience.java
@@ -4,19 +4,23 @@
 import java.util.Map;
 
 /**
- * Tells how long ago a caller first asked: callers of a route mostly give the same time at first,
- * and what is left of it when they come back. Owner synchronizes.
+ * Estimates how long ago a client first sent a request. Clients of a route mostly start with the
+ * same timeout and state what is left of it when they retry, so the difference to the usual timeout
+ * is the age. The owner synchronizes access.
  */
 public final class CallerPatience {
   private static final int MAX_ROUTES = 1_024;
 
-  /** Share by which times that count as the same may differ. */
+  /** Relative difference up to which two timeouts count as equal. */
   private static final double TOLERANCE = 0.03;
 
-  /** Votes that a time can gather. */
+  /** Maximum weight of the usual timeout. */
   private static final double MAX_WEIGHT = 64;
 
-  /** What another time takes from them: the times of those who come back differ. */
+  /**
+   * Weight that a different timeout takes away; small, since the remaining timeouts of retries all
+   * differ.
+   */
   private static final double MISMATCH_WEIGHT = 0.25;
 
   private static final class UsualTimeout {
@@ -40,10 +44,11 @@
   private final Map<String, UsualTimeout> byRoute = new HashMap<>();
 
   /**
-   * Takes a request.
+   * Records a request and estimates its age.
    *
-   * @param timeoutMillis time that its caller gives
-   * @return how long ago the caller first asked, milliseconds; 0 if nothing speaks for more
+   * @param timeoutMillis timeout that the client states, milliseconds
+   * @return how long ago the client first sent the request, milliseconds; 0 if there is no evidence
+   *     of an earlier attempt
    */
   public long ageMillis(String route, long timeoutMillis) {
     if (byRoute.size() >= MAX_ROUTES && !byRoute.containsKey(route)) {
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/CandidateSampler.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/CandidateSampler.java
@@ -7,34 +7,38 @@
 import java.util.function.Predicate;
 
 /**
- * The candidates that are compared for a choice: all of a small service, else those of the own zone
- * first, as they are the cheapest to reach, and some of the others, from a random one on.
+ * Selects the candidates that are compared for a request: all backends of a small service;
+ * otherwise those of the local zone first, as they are the cheapest to reach, and some of the
+ * others, starting at a random one.
  */
 final class CandidateSampler {
-  /** Choice is made among this many at most, so that its cost does not grow with the service. */
+  /**
+   * Upper bound on the compared candidates, so that the cost of a choice does not grow with the
+   * service.
+   */
   private static final int MAX_CANDIDATES = 24;
 
-  /** Candidates of other zones that are looked at even where the own zone has many. */
+  /** Candidates of other zones that are compared even if the local zone has many. */
   private static final int MIN_REMOTE_CANDIDATES = 8;
 
-  /** Candidates drawn of each part: the power of two choices needs no more. */
+  /** Candidates drawn from each group: the power of two choices needs no more. */
   private static final int CHOICES = 2;
 
   private final String zone;
 
   /**
-   * Creates samples for a node.
+   * Creates a sampler.
    *
-   * @param zone zone of the node
+   * @param zone zone of this node
    */
   CandidateSampler(String zone) {
     this.zone = zone;
   }
 
   /**
-   * Takes a sample, those of the own zone first.
+   * Takes a sample, local zone first.
    *
-   * @param allowed which candidates may be in it
+   * @param allowed filter of the candidates
    * @param random random number from 0 to 1
    */
   List<BackendEntry> sample(
@@ -57,7 +61,10 @@
     return sample;
   }
 
-  /** Two of the own zone and two of the others, drawn at random; fewer where there are no more. */
+  /**
+   * Draws two random candidates of the local zone and two of the others; fewer if there are no
+   * more.
+   */
   List<BackendEntry> drawChoices(List<BackendEntry> sample, DoubleSupplier random) {
     int localCount = 0;
     while (localCount < sample.size() && isLocal(sample.get(localCount))) {
@@ -82,12 +89,12 @@
     drawn.add(from.get((first + step) % size));
   }
 
-  /** Whether so many candidates are all compared, so that no chance is needed. */
+  /** Whether that many candidates are all compared, so that no random number is needed. */
   static boolean comparesAll(int candidateCount) {
     return candidateCount <= MAX_CANDIDATES;
   }
 
-  /** Whether a back end stands in the node's zone. */
+  /** Whether a backend is in the zone of this node. */
   boolean isLocal(BackendEntry candidate) {
     return candidate.zone().equals(zone);
   }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/ExpectedResponseTimes.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/ExpectedResponseTimes.java
@@ -5,15 +5,14 @@
 import java.util.List;
 
 /**
- * How long an answer to a request of one route is expected to take at each back end of a service:
- * the wait for a slot there and the work. What is not known of one back end is taken from what is
- * usual among the others.
+ * Expected response times of one route at the backends of a service: the wait for a slot plus the
+ * work. Unknown values of a backend are replaced by the mean of the others.
  */
 final class ExpectedResponseTimes {
   private static final double DEFAULT_SERVICE_MILLIS = 60;
   private static final double WARM_UP_FACTOR = 2;
 
-  /** Weight of how full a back end is while it still has a free slot. */
+  /** Weight of the utilization of a backend that still has a free slot. */
   private static final double UTILIZATION_WEIGHT = 0.4;
 
   private final BackendStatsTable statsTable;
@@ -24,7 +23,7 @@
   private final double meanFailureRate;
 
   /**
-   * Takes what is usual among the candidates.
+   * Computes the means over the candidates.
    *
    * @param route the request's route
    */
@@ -57,7 +56,7 @@
     meanFailureRate = failures.orElse(0);
   }
 
-  /** Expected time to an answer from a back end, milliseconds. */
+  /** Expected response time of a backend, milliseconds. */
   double expectedMillis(long nowMillis, BackendEntry candidate) {
     BackendStats stats = statsTable.getOrCreate(nowMillis, candidate);
     double workMillis = workMillis(nowMillis, stats);
@@ -74,8 +73,9 @@
   }
 
   /**
-   * Requests that run or wait there. Where the node has not stated them, it has as many as is
-   * usual: otherwise all nodes would send all they have to one that comes back.
+   * Requests that run or wait at a backend. Without a load report the mean of the others is
+   * assumed: otherwise all nodes would send all their requests to a backend that has just come
+   * back.
    */
   private double outstanding(BackendStats stats) {
     return stats.hasLoadReport()
@@ -83,14 +83,17 @@
         : meanOutstanding + stats.ownInFlight();
   }
 
-  /** How long a back end works on the request once it has a slot, milliseconds. */
+  /** Expected time that the backend works on the request once it has a slot, milliseconds. */
   double workMillis(long nowMillis, BackendStats stats) {
     Double known = stats.routeMillis(route);
     return (known == null ? meanRouteMillis * stats.speedRatio() : known)
         * stats.slowdown(nowMillis);
   }
 
-  /** Share of the worth lost at a back end since its answers fail more often than the others'. */
+  /**
+   * Share of the request's value that is lost because this backend fails more often than the
+   * others.
+   */
   double failureLoss(BackendEntry candidate) {
     double failureRate = statsTable.find(candidate).failureRate();
     return failureRate == 0
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/GateBalancer.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/GateBalancer.java
@@ -8,54 +8,58 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Chooses among the back ends of a service by least expected loss: how likely an answer from there
- * is late, and what its bytes cost in another zone. The expected time to an answer is the wait that
- * the gate beside each stated, carried on by this node's own sends since, and the time its work
- * takes there. That is the route's own mean at that back end: the mean of all that a back end does
+ * Chooses the backend with the least expected loss: the probability of a late response plus the
+ * cost of cross-zone traffic. The expected response time is the wait reported by the node beside
+ * the backend, adjusted by this node's own requests since then, plus the time of the work. The work
+ * is estimated by the mean of the route at that backend, because the mean over all its requests
  * depends on which routes it happens to serve.
  *
- * <p>The best of two drawn at random is taken if it is likely in time, and all are compared only
- * else: what is known of back ends is some tenths of a second old, and all nodes that compare the
- * same old figures send what they have to the same few. Owner synchronizes.
+ * <p>The best of two random choices is taken if it is likely in time; only otherwise are all
+ * candidates compared. Load reports are some tenths of a second old, and nodes that all compare the
+ * same old reports send their requests to the same few backends. The owner synchronizes access.
  */
 public final class GateBalancer {
   /**
-   * A choice.
+   * A chosen backend.
    *
-   * @param backend the back end
-   * @param toleratedWaitMillis wait there beyond which another one is better; {@link
-   *     #ANY_WAIT_MILLIS} if there is no other
+   * @param backend the backend
+   * @param toleratedWaitMillis queueing time at that backend beyond which another one is better;
+   *     {@link #ANY_WAIT_MILLIS} if there is no other
    */
   public record Choice(BackendEntry backend, long toleratedWaitMillis) {}
 
-  /** Tolerated wait where nothing else is left. */
+  /** Tolerated wait if there is no other backend. */
   public static final long ANY_WAIT_MILLIS = Integer.MAX_VALUE;
 
   /**
-   * What a request needs.
+   * Requirements of a request.
    *
    * @param route name of its route
-   * @param targetMillis time left within which its answer has full worth, milliseconds
-   * @param otherZoneLoss what an answer from another zone costs, as a share of its worth
+   * @param targetMillis remaining time within which the response has its full value, milliseconds
+   * @param otherZoneLoss cost of a response from another zone, as a share of its value
    */
   public record RequestConstraints(String route, double targetMillis, double otherZoneLoss) {
-    /** Shortest time that is reckoned with, milliseconds: none is hopeless everywhere. */
+    /**
+     * Lower bound on the target, milliseconds: with none left every backend would look equally
+     * late.
+     */
     private static final double MIN_TARGET_MILLIS = 10;
 
-    /** Takes a target that has passed for a short one. */
+    /** Raises a target that is too short or has passed to the lower bound. */
     public RequestConstraints {
       targetMillis = Math.max(MIN_TARGET_MILLIS, targetMillis);
     }
 
-    /** Share of the worth that an answer expected after so long is likely to lose. */
+    /** Probability that a response is late whose expected time is {@code millis}. */
     private double lateProbability(double millis) {
       double ratio = millis / targetMillis;
-      // To the power of LATENESS_STEEPNESS; worked out for each back end that is compared.
+      // The ratio to the power of LATENESS_STEEPNESS, without {@code Math.pow}: this runs for each
+      // compared backend.
       double odds = ratio * ratio * ratio * ratio;
       return odds / (1 + odds);
     }
 
-    /** The expected time that makes for such a loss; the reverse of {@link #lateProbability}. */
+    /** The expected time at which {@link #lateProbability} has that value; its inverse. */
     private double millisAtLoss(double loss) {
       if (loss >= 1) {
         return ANY_WAIT_MILLIS;
@@ -65,10 +69,10 @@
     }
   }
 
-  /** How steeply the likelihood of a late answer rises around the target. */
+  /** Steepness of the probability of a late response around the target. */
   private static final double LATENESS_STEEPNESS = 4;
 
-  /** Share of the expected time that is drawn at random, so that nodes with equal views part. */
+  /** Random share of the expected time, so that nodes with equal statistics choose differently. */
   private static final double JITTER = 0.15;
 
   private final CandidateSampler sampler;
@@ -77,10 +81,10 @@
   private final RouteMeans routeTimes = new RouteMeans(1);
 
   /**
-   * Creates one that knows nothing.
+   * Creates a balancer without statistics.
    *
    * @param zone zone of this node
-   * @param random numbers from 0 to 1
+   * @param random source of numbers from 0 to 1
    */
   public GateBalancer(String zone, DoubleSupplier random) {
     this.sampler = new CandidateSampler(zone);
@@ -88,13 +92,12 @@
   }
 
   /**
-   * Picks a back end.
+   * Picks a backend.
    *
-   * @param candidates those of the service that take new work
-   * @param constraints what the request needs
+   * @param candidates backends of the service that accept new work
+   * @param constraints requirements of the request
    * @param excluded ids not to pick
-   * @param silent ids whose node has not been heard of for too long; picked only if nothing else is
-   *     left
+   * @param silent ids of backends whose node has not reported for too long; not picked
    */
   public Optional<Choice> pick(
       long nowMillis,
@@ -119,14 +122,14 @@
   }
 
   /**
-   * What a comparison found.
+   * Result of a comparison.
    *
-   * @param best the back end of least loss; null if none was compared
-   * @param loss that loss, as a share of the request's worth
+   * @param best the backend with the least loss; null if none was compared
+   * @param loss that loss, as a share of the request's value
    * @param secondLoss the least loss of the others; {@link Double#MAX_VALUE} if there are none
    */
   private record Ranking(BackendEntry best, double loss, double secondLoss) {
-    /** Loss from which on an answer is more likely late than in time. */
+    /** Loss from which a response is more likely late than in time. */
     private static final double LIKELY_LATE_LOSS = 0.5;
 
     boolean isLikelyInTime() {
@@ -134,7 +137,7 @@
     }
   }
 
-  /** Compares back ends for one request. */
+  /** Compares backends for one request. */
   private final class Comparison {
     private final long nowMillis;
     private final RequestConstraints constraints;
@@ -194,33 +197,33 @@
         start);
   }
 
-  /** A request was sent towards the back end. */
+  /** Records that a request was sent to the backend. */
   public void started(long nowMillis, String id) {
     statsTable.getOrCreate(nowMillis, id).recordRequestStart();
   }
 
   /**
-   * A request sent towards the back end has ended.
+   * Records the end of a request that was sent to the backend.
    *
-   * @param verdict how
+   * @param verdict its outcome
    */
   public void finished(long nowMillis, String id, Verdict verdict) {
     statsTable.getOrCreate(nowMillis, id).recordRequestEnd(nowMillis, verdict);
   }
 
   /**
-   * Takes what the node beside the back end stated.
+   * Applies a load report from the node beside the backend.
    *
-   * @param nowMillis when it did
+   * @param nowMillis when the report was made
    */
   public void stated(long nowMillis, String id, GateLoad load) {
     statsTable.getOrCreate(nowMillis, id).updateLoad(nowMillis, load);
   }
 
   /**
-   * Takes how long requests of a route take at a back end.
+   * Updates the response time of a route at a backend.
    *
-   * @param routeMicros their mean time there, microseconds; 0 if not known
+   * @param routeMicros mean response time there, microseconds; 0 if not known
    */
   public void answered(String id, String route, long routeMicros) {
     BackendStats stats = statsTable.find(id);
@@ -231,7 +234,7 @@
     stats.updateRouteTime(route, routeMicros, routeTimes.expected(route));
   }
 
-  /** Forgets back ends of which nothing has been heard for long. */
+  /** Removes backends that have been inactive for too long. */
   public void forget(long nowMillis) {
     statsTable.removeExpired(nowMillis);
   }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/GateLoad.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/GateLoad.java
@@ -1,19 +1,19 @@
 package io.umberpath.traffic.routing;
 
 /**
- * What the node beside a back end states of it.
+ * Load of a backend as reported by the node beside it.
  *
  * @param running requests that hold a slot
  * @param queued requests that wait at that node
- * @param slots requests that run at a time
+ * @param slots requests that run concurrently
  * @param serviceMicros mean time that a request holds a slot, microseconds; 0 if not known
- * @param slownessPercent how long work takes there right now against its usual time, percent; 100
- *     as usual, less if it is faster
- * @param routeMicros the mean of the route that an answer belongs to, microseconds; 0 if not known
- *     or not with an answer
- * @param bornMillis which start of the back end this is of, as {@link
- *     io.umberpath.model.routing.BackendEntry#bornMillis}; 0 if it is not told from others
- * @param failurePercent share of its answers that failed lately, percent
+ * @param slownessPercent current response time relative to the usual one, percent; 100 as usual,
+ *     less if faster
+ * @param routeMicros mean response time of the route that a response belongs to, microseconds; 0 if
+ *     not known or not sent with a response
+ * @param bornMillis start time of the backend, as {@link
+ *     io.umberpath.model.routing.BackendEntry#bornMillis}; 0 if not known
+ * @param failurePercent share of its recent responses that failed, percent
  */
 public record GateLoad(
     int running,
@@ -24,14 +24,14 @@
     long routeMicros,
     long bornMillis,
     int failurePercent) {
-  /** Slowness of a back end that is as fast as usual. */
+  /** Slowdown of a backend at its usual speed. */
   public static final int USUAL_PERCENT = 100;
 
   private static final int MIN_PERCENT = 10;
   private static final int MAX_PERCENT = 2_000;
   private static final int FIELD_COUNT = 8;
 
-  /** A statement of a start that is not told from others, and where nothing waits. */
+  /** Creates a report without a start time and without failures. */
   public GateLoad(
       int running,
       int queued,
@@ -42,7 +42,7 @@
     this(running, queued, slots, serviceMicros, slownessPercent, routeMicros, 0);
   }
 
-  /** A statement of a back end whose answers do not fail. */
+  /** Creates a report without failures. */
   public GateLoad(
       int running,
       int queued,
@@ -54,18 +54,18 @@
     this(running, queued, slots, serviceMicros, slownessPercent, routeMicros, bornMillis, 0);
   }
 
-  /** The same of a back end of whose answers such a share fails. */
+  /** Returns a copy with that share of failed responses. */
   public GateLoad withFailures(int percent) {
     return new GateLoad(
         running, queued, slots, serviceMicros, slownessPercent, routeMicros, bornMillis, percent);
   }
 
-  /** Slowness as another node may state it, within bounds: a fault there does little harm here. */
+  /** Clamps a slowdown that another node reports, to limit the effect of a faulty report. */
   public static int boundedSlowness(int percent) {
     return Math.min(MAX_PERCENT, Math.max(MIN_PERCENT, percent));
   }
 
-  /** The same with an answer of a route. */
+  /** Returns a copy with the response time of a route. */
   public GateLoad withRoute(long newRouteMicros) {
     return new GateLoad(
         running,
@@ -78,7 +78,7 @@
         failurePercent);
   }
 
-  /** Text form for a header: numbers joined by commas. */
+  /** Encodes the report for a header: numbers joined by commas. */
   public String encode() {
     return running
         + ","
@@ -97,7 +97,7 @@
         + failurePercent;
   }
 
-  /** Reads the text form; null if it is not one. */
+  /** Decodes the text form; null if it is malformed. */
   public static GateLoad decode(String text) {
     String[] fields = text.split(",", FIELD_COUNT + 1);
     if (fields.length != FIELD_COUNT) {
@@ -118,7 +118,7 @@
     }
   }
 
-  /** A share that a text or a report states, kept within its bounds. */
+  /** Clamps a received percentage to 0 to 100. */
   public static int percent(long stated) {
     return (int) Math.max(0, Math.min(USUAL_PERCENT, stated));
   }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/NestedRoutes.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/NestedRoutes.java
@@ -4,19 +4,22 @@
 import java.util.Map;
 
 /**
- * Tells the routes of nested requests, which back ends send while they work on another request, by
- * where their requests begin: all beside back ends of one service. Callers' own routes begin beside
- * those of every service. Whoever waits for a nested request holds a slot meanwhile. Owner
- * synchronizes.
+ * Detects routes of nested requests, which backends send while they process another request. All
+ * requests of such a route originate beside backends of one service; routes of external clients
+ * have origins beside those of every service. The sender of a nested request holds a slot while it
+ * waits. The owner synchronizes access.
  */
 public final class NestedRoutes {
-  /** Requests of a route before it is judged. */
+  /** Requests of a route before it is classified. */
   private static final int MIN_REQUESTS = 24;
 
-  /** Requests after which all counts are halved, so that a change of callers shows. */
+  /** Requests after which all counts are halved, so that a change of origins shows. */
   private static final int MAX_REQUESTS = 512;
 
-  /** Share of the requests of a nested route that may begin elsewhere, such as an operator's. */
+  /**
+   * Share of the requests of a nested route that may originate elsewhere, for example from an
+   * operator.
+   */
   private static final double MAX_STRAY_RATIO = 0.02;
 
   private static final int MAX_ROUTES = 1_024;
@@ -45,10 +48,10 @@
   private final OriginCounts allRoutes = new OriginCounts();
 
   /**
-   * A request arrived.
+   * Records a request.
    *
    * @param route its route
-   * @param callerService service of the back end beside the node where it began
+   * @param callerService service of the backend beside the node where the request originated
    */
   public void arrived(String route, String callerService) {
     if (byRoute.size() >= MAX_ROUTES && !byRoute.containsKey(route)) {
@@ -59,8 +62,8 @@
   }
 
   /**
-   * Whether the requests of a route are nested. Never while requests of all routes begin beside one
-   * service, since where a request begins then says nothing.
+   * Whether the requests of a route are nested. Always false while the requests of all routes
+   * originate beside one service, since the origin then tells nothing.
    */
   public boolean isNested(String route) {
     OriginCounts origins = byRoute.get(route);
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/RetryWindow.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/RetryWindow.java
@@ -4,15 +4,18 @@
 import java.util.Map;
 
 /**
- * Retries a node may make to each service within a sliding window: a share of its own requests for
- * the service, and a few more. The bound of the whole fleet is kept because each node keeps its
- * share of it. Owner synchronizes.
+ * Retry budget of a node for each service within a sliding window: a share of its own requests to
+ * the service plus a few extra ones. Each node keeps to its share, which bounds the retries of the
+ * whole fleet. The owner synchronizes access.
  */
 public final class RetryWindow {
-  /** Parts of a window, counted as wholes. */
+  /** Buckets per window; a bucket enters and leaves the window as a whole. */
   private static final int BUCKETS_PER_WINDOW = 20;
 
-  /** Of the oldest part some is still within the window when the newest has just begun. */
+  /**
+   * One more bucket than the window has: part of the oldest is still within the window when the
+   * newest has just begun.
+   */
   private static final int BUCKETS = BUCKETS_PER_WINDOW + 1;
 
   private static final class Counts {
@@ -32,7 +35,9 @@
       return (int) (bucket % BUCKETS);
     }
 
-    /** Requests of a whole window at most: those of the oldest part may be out of it. */
+    /**
+     * Requests within the window without its oldest bucket, part of which may already be outside.
+     */
     private double requestsInWindow() {
       return sum(requests) - requests[index(bucket + 1)];
     }
@@ -52,11 +57,11 @@
   private final Map<String, Counts> byService = new HashMap<>();
 
   /**
-   * Creates a window without counts.
+   * Creates a budget without recorded requests.
    *
    * @param windowMillis length of the window, milliseconds
    * @param ratio retries per request
-   * @param extra retries beyond that, of all nodes together
+   * @param extra additional retries, shared by all nodes
    */
   public RetryWindow(long windowMillis, double ratio, double extra) {
     this.bucketMillis = Math.max(1, (windowMillis + BUCKETS_PER_WINDOW - 1) / BUCKETS_PER_WINDOW);
@@ -64,16 +69,20 @@
     this.extra = extra;
   }
 
-  /** A request of a caller for the service began here; what back ends call earns no retries. */
+  /**
+   * Records a request of a client to the service; nested calls of backends add nothing to the
+   * budget.
+   */
   public void requestStarted(long nowMillis, String service) {
     Counts counts = counts(nowMillis, service);
     counts.requests[Counts.index(counts.bucket)]++;
   }
 
   /**
-   * Whether a further arrival at the service is within the bound; counts it if so.
+   * Takes one retry from the budget.
    *
    * @param nodes nodes that share the extra retries
+   * @return whether the retry is within the budget
    */
   public boolean tryRetry(long nowMillis, String service, int nodes) {
     Counts counts = counts(nowMillis, service);
@@ -86,10 +95,10 @@
   }
 
   /**
-   * Counts arrivals that are repeats without being asked for: what a back end calls while it works
-   * on a request that is itself a repeat.
+   * Records retries that did not ask the budget: calls that a backend makes while it processes a
+   * request that is itself a retry.
    *
-   * @param retries how many; a share where only the likelihood is known
+   * @param retries how many; a fraction if only the probability is known
    */
   public void repeated(long nowMillis, String service, double retries) {
     Counts counts = counts(nowMillis, service);
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/RouteMeans.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/RouteMeans.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * Moving means of one figure, such as a time or a size, for each route, and how far it strays from
- * them. Owner synchronizes.
+ * Moving averages and mean deviations of one value per route, such as a time or a size. The owner
+ * synchronizes access.
  */
 public final class RouteMeans {
   private static final double SAMPLE_WEIGHT = 0.1;
@@ -21,15 +21,15 @@
   private final Map<String, MovingAverage> byRoute = new HashMap<>();
 
   /**
-   * Creates one that knows nothing.
+   * Creates averages without samples.
    *
-   * @param minSamples samples before a mean is believed, at least 1
+   * @param minSamples samples before an average is used, at least 1
    */
   public RouteMeans(int minSamples) {
     this.minSamples = minSamples;
   }
 
-  /** Forgets all samples. */
+  /** Removes all samples. */
   public void clear() {
     byRoute.clear();
   }
@@ -47,9 +47,9 @@
   }
 
   /**
-   * What about four values in five stay below: mean and mean absolute deviation, as for the
-   * retransmission time-out of TCP (RFC 6298) but with one deviation instead of four; 0 if too
-   * little is known.
+   * Value that about four samples in five stay below: mean plus mean absolute deviation, like the
+   * retransmission timeout of TCP (RFC 6298) but with one deviation instead of four; 0 if there are
+   * too few samples.
    */
   public long likelyMost(String route) {
     MovingAverage mean = byRoute.get(route);
@@ -57,7 +57,7 @@
     return known ? Math.round(mean.value + mean.deviation) : 0;
   }
 
-  /** The expected value; 0 if too little is known. */
+  /** The moving average; 0 if there are too few samples. */
   public long expected(String route) {
     MovingAverage mean = byRoute.get(route);
     return mean == null || mean.samples < minSamples ? 0 : Math.round(mean.value);
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/RoutingTable.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/RoutingTable.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Finds the route of a request in one configuration. Immutable and thread-safe. */
+/** Matches requests against the routes of one configuration. Immutable and thread-safe. */
 public final class RoutingTable {
   /** The routes of a host by prefix, and the lengths of those prefixes, longest first. */
   private record HostRoutes(Map<String, RoutingRule> byPrefix, List<Integer> lengths) {}
@@ -23,7 +23,7 @@
     this.byHost = byHost;
   }
 
-  /** Builds the table of a configuration. */
+  /** Builds the table for a configuration. */
   public static RoutingTable of(RoutingConfiguration configuration) {
     Map<String, Map<String, RoutingRule>> grouped = new HashMap<>();
     for (RoutingRule rule : configuration.rules()) {
@@ -50,9 +50,9 @@
   }
 
   /**
-   * The route with the longest prefix that begins the path.
+   * Finds the route with the longest matching path prefix.
    *
-   * @param host host as the request names it, any case, with or without a port
+   * @param host host as given in the request, any case, with or without a port
    * @param path path without query
    */
   public Optional<RoutingRule> match(String host, String path) {
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/Slowness.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/Slowness.java
@@ -4,30 +4,30 @@
 import java.util.Collection;
 
 /**
- * How much slower than usual a back end is, seen from the ages of the requests that run there: it
- * shows before the first slow request ends.
+ * Detects a slowdown of a backend from the ages of its running requests, before the first slow
+ * request ends.
  */
 public final class Slowness {
-  /** Running requests from which on their ages say something. */
+  /** Running requests that are needed for an estimate. */
   private static final int MIN_RUNNING = 3;
 
-  /** Factor from which on it is no chance. */
+  /** Factor below which a slowdown may be noise. */
   private static final double SIGNIFICANT_FACTOR = 2.5;
 
-  /** On average a running request has half of its time behind it. */
+  /** On average a running request is at half of its duration. */
   private static final double DURATION_PER_AGE = 2;
 
   private Slowness() {}
 
   /**
-   * A request that runs.
+   * A running request.
    *
-   * @param ageMicros how long it has run
-   * @param expectedMicros how long its route's requests take; 0 if not known
+   * @param ageMicros time since its start, microseconds
+   * @param expectedMicros expected duration for its route, microseconds; 0 if not known
    */
   public record Running(long ageMicros, long expectedMicros) {}
 
-  /** The factor; 1 where nothing speaks for more. */
+  /** Estimates the slowdown factor; 1 if there is no significant slowdown. */
   public static double of(Collection<Running> running) {
     if (running.size() < MIN_RUNNING) {
       return 1;
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/WeightedSplit.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/WeightedSplit.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 
 /**
- * Deals a route's requests to its parts by weight, evenly spread over time (smooth weighted round
- * robin): after any number of requests each part is within one request of its share. Owner
- * synchronizes.
+ * Distributes the requests of a route over its targets by weight, evenly spread over time (smooth
+ * weighted round robin): after any number of requests each target is within one request of its
+ * share. The owner synchronizes access.
  */
 public final class WeightedSplit {
   private static final int MAX_ROUTES = 10_000;
@@ -41,7 +41,7 @@
 
   private final Map<String, RouteCredits> byRoute = new HashMap<>();
 
-  /** The service that the next request of the route goes to. */
+  /** Selects the service for the next request of the route. */
   public String next(RoutingRule rule) {
     if (rule.targets().size() == 1) {
       return rule.targets().get(0).service();
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/package-info.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Pure decisions about requests under a configuration of an external store: which route, which part
- * of it, which back end, whether again.
+ * Side-effect-free routing decisions under a configuration from an external store: route match,
+ * weighted split, choice of a backend, retries.
  */
 package io.umberpath.traffic.routing;
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/load/BackendSpeedTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/load/BackendSpeedTest.java
@@ -14,7 +14,7 @@
   private static final String ROUTE = "read";
   private static final double NO_AGE_SIGNAL = 1;
 
-  /** Moments of slowness: how long, how often and how slow. */
+  /** Simulated slowdowns: duration, probability and factor. */
   private static final int PHASE_MILLIS = 600;
 
   private static final double SLOW_PROBABILITY = 0.15;
@@ -42,7 +42,7 @@
     assertThat(speed.slowness(now + 300, NO_AGE_SIGNAL)).isEqualTo(1.75, TOLERANCE);
   }
 
-  /** Some back ends of a service always take 1.7 times as long as is usual there. */
+  /** Some backends of a service always take 1.7 times as long as is usual there. */
   @Test
   void aConstantlySlowBackendIsAtItsUsualSpeed() {
     stateFor(10_000, 170);
@@ -106,7 +106,10 @@
     assertThat(speed.isBelieved()).isTrue();
   }
 
-  /** Where neighbours take the machine for moments: how far off expected times of answers are. */
+  /**
+   * Response times with short slowdowns caused by other processes on the machine: compares the
+   * errors of normalized and plain estimates.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void normalizedEstimatesAreCloserThanPlainMeans(long seed) {
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/outlier/FailureShareTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/outlier/FailureShareTest.java
@@ -38,7 +38,7 @@
     assertThat(failures.percent(0)).isZero();
   }
 
-  /** One that gets nothing any more shows nothing, and is tried again. */
+  /** A backend that receives no requests shows no failures and is tried again. */
   @Test
   void decaysToZeroWithoutAttempts() {
     ended(0, 40, AttemptResult.SERVER_ERROR);
@@ -62,7 +62,7 @@
     assertThat(FailureRateOutlier.excessLoss(new FailureRates(0.15, 0))).isZero();
   }
 
-  /** Too many would go: none stands out, so none goes. */
+  /** Equal failure rates must not remove most of the backends. */
   @Test
   void equalFailureRatesAreNoOutlier() {
     assertThat(FailureRateOutlier.excessLoss(new FailureRates(0.55, 0.55))).isZero();
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/quarantine/SuspectLedgerTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/quarantine/SuspectLedgerTest.java
@@ -101,7 +101,7 @@
     quarantineCrashingRequest();
   }
 
-  /** As the news of three nodes travels: lost, repeated and in any order. */
+  /** Reports between nodes are lost, repeated and reordered. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void nodesConvergeWhateverTheOrderOfReports(long seed) {
@@ -128,7 +128,7 @@
     quarantineCrashingRequest();
     SuspectLedger newNode = new SuspectLedger(3);
     assertThat(newNode.digest()).isZero();
-    // By then it is past the time for which a single end is remembered.
+    // Past the time for which a single crash is remembered.
     now += 20 * MINUTE_MILLIS;
 
     ledger.all().forEach(each -> newNode.take(now, each));
@@ -151,7 +151,7 @@
     assertThat(first).hasSize(2);
     other.take(now, first.get(1));
     assertThat(other.weight(HARMLESS)).isZero();
-    // What is heard late does not undo it.
+    // A late report does not undo the clearing.
     second.forEach(each -> other.take(now, each));
     assertThat(other.weight(HARMLESS)).isZero();
   }
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/BalancingWithStaleStatsTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/BalancingWithStaleStatsTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** 70 nodes that choose among 21 back ends of unequal speeds, with views of a certain age. */
+/** 70 nodes balance over 21 backends of unequal speeds, with load reports of a certain age. */
 final class BalancingWithStaleStatsTest {
   private static final int NODES = 70;
   private static final int SLOTS = 6;
@@ -26,13 +26,13 @@
   private static final String ROUTE = "read";
 
   private enum Strategy {
-    /** What the mesh does. */
+    /** The balancer under test over all candidates. */
     MESH,
-    /** The same between two drawn at random. */
+    /** The balancer under test over two random candidates. */
     TWO_CHOICES,
-    /** At random, by speed. */
+    /** Random, weighted by speed. */
     RANDOM_BY_SPEED,
-    /** By the shortest wait, with the true state of all: the best spread. */
+    /** Shortest expected response time with the true current state: the best distribution. */
     ORACLE
   }
 
@@ -116,7 +116,7 @@
     return inTime / (double) requests;
   }
 
-  /** What a node stated travels for as long as the views are old. */
+  /** Delivers a load report to all nodes after the age of the statistics. */
   private void broadcastLoad(Server server, int statsAgeMillis) {
     GateLoad load = server.load();
     long reportedMillis = (long) nowMillis;
@@ -171,7 +171,9 @@
     return servers.get(0);
   }
 
-  /** Begins what waits while there is a slot, unless it can no longer be in time. */
+  /**
+   * Starts queued requests while there is a free slot; drops those that can no longer be in time.
+   */
   private void serve(Server server) {
     while (server.running < SLOTS && !server.waiting.isEmpty()) {
       double arrived = server.waiting.remove();
@@ -196,10 +198,12 @@
   }
 
   /**
-   * All were compared for each choice, by figures some tenths of a second old, so that all nodes
-   * sent what they had to the same few. In time at 0.9 of the room, speeds 0.6 to 1.4, views 50,
-   * 200 and 500 ms old: 0.77, 0.78 and 0.85; by speed alone, blindly, 0.98; 0.99, 0.95 and 0.97
-   * since. At 1.2 of the room: 0.59, 0.67 and 0.77; 0.78, 0.67 and 0.74 since.
+   * Guards against herding: when each choice compared all candidates by load reports some tenths of
+   * a second old, all nodes sent their requests to the same few backends. Share of responses in
+   * time at a load of 0.9, speeds 0.6 to 1.4, reports 50, 200 and 500 ms old: 0.77, 0.78 and 0.85
+   * when all were compared; 0.98 at random by speed; 0.99, 0.95 and 0.97 with the current choice.
+   * At a load of 1.2: 0.59, 0.67 and 0.77 when all were compared; 0.78, 0.67 and 0.74 with the
+   * current choice.
    */
   @ParameterizedTest
   @CsvSource({"50,0.9", "200,0.9", "500,0.9", "50,1.2", "200,1.2", "500,1.2"})
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/CallerPatienceTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/CallerPatienceTest.java
@@ -28,7 +28,7 @@
     assertThat(patience.ageMillis("r", 9_000)).isZero();
   }
 
-  /** In an overload most requests may be of callers who come back. */
+  /** During an overload most requests may be retries. */
   @Test
   void manyRetriesAreNotTakenForFirstAttempts() {
     SplittableRandom random = new SplittableRandom(3);
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/GateBalancerTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/GateBalancerTest.java
@@ -21,7 +21,7 @@
   private static final BackendEntry SECOND_LOCAL = entry("near-too", "a");
   private static final BackendEntry REMOTE = entry("far", "b");
 
-  /** In time within 200 ms; another zone costs a fifth of the worth. */
+  /** In time within 200 ms; a response from another zone loses a fifth of its value. */
   private static final GateBalancer.RequestConstraints CONSTRAINTS =
       new GateBalancer.RequestConstraints(ROUTE, 200, 0.2);
 
@@ -74,7 +74,7 @@
     assertThat(pick(List.of(localStartedAt(2_000), REMOTE), Set.of())).contains("far");
   }
 
-  /** Some back ends do not say when they started; they are told apart by their ids alone. */
+  /** Some backends do not report a start time; these are identified by their ids alone. */
   @Test
   void anUnknownStartTimeMatchesAnyStart() {
     pick(List.of(localStartedAt(0), REMOTE), Set.of());
@@ -150,7 +150,7 @@
     assertThat(pick(List.of(LOCAL, SECOND_LOCAL), Set.of())).contains("near-too");
   }
 
-  /** A slow one that serves only long requests is not slow for short ones, nor the other way. */
+  /** A backend that happens to serve long requests is not slow for short ones, and vice versa. */
   @Test
   void comparesTheTimeOfTheRouteNotTheMeanOverAllRoutes() {
     balancer.stated(NOW, "near", new GateLoad(1, 0, 6, 800_000, 100, 0));
@@ -161,7 +161,10 @@
     assertThat(pick(List.of(LOCAL, REMOTE), Set.of())).contains("near");
   }
 
-  /** Each node of a fleet would send all it has to one that has just come back. */
+  /**
+   * Otherwise each node of a fleet would send all its requests to a backend that has just come
+   * back.
+   */
   @Test
   void aReturningBackendIsAssumedToHaveMeanLoadUntilItReports() {
     reportLoad(LOCAL, 3, 0, 60);
@@ -223,7 +226,10 @@
         .hasValueSatisfying(choice -> assertThat(choice.backend().id()).isEqualTo("near"));
   }
 
-  /** A shed said nothing but "avoid for a second": where all shed, choice went by chance. */
+  /**
+   * Guards against treating shedding as "avoid for a second" only: when all backends shed, the
+   * choice was random.
+   */
   @Test
   void avoidsABackendThatShedsMoreThanOthersThatAreInTime() {
     reportLoad(LOCAL, 0, 0, 60);
@@ -276,8 +282,8 @@
   }
 
   /**
-   * A window over the list of a large service used to hold only a few back ends of the own zone, so
-   * that requests left it although others there were free.
+   * Guards against leaving the zone while a local backend is idle: a sample taken as a window over
+   * the list of a large service held only a few backends of the local zone.
    */
   @Test
   void staysInTheZoneOfALargeServiceWhileOneLocalBackendIsIdle() {
@@ -298,7 +304,7 @@
     }
   }
 
-  /** All back ends elsewhere get their share, also where the own zone has many. */
+  /** All backends of other zones get their share, even if the local zone has many. */
   @Test
   void requestsThatLeaveTheZoneAreSpreadOverAllOtherBackends() {
     Random random = new Random(3);
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/RetryWindowTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/RetryWindowTest.java
@@ -63,7 +63,7 @@
     assertThat(total).isLessThanOrEqualTo((int) (0.2 * 10 * nodes + 64));
   }
 
-  /** A request that runs again makes its calls again, which the called service counts. */
+  /** A retried request repeats its nested calls, which count at the called service. */
   @Test
   void nestedCallsOfRetriedRequestsConsumeTheBudget() {
     for (int index = 0; index < 100; index++) {
@@ -77,9 +77,10 @@
   }
 
   /**
-   * Nodes that know nothing of each other spent up to twice the extra within one window: the counts
-   * of its first tenth were dropped as a whole as soon as its last tenth began, so that what was
-   * spent at the end of the one was spent again at the start of the other.
+   * Guards against spending up to twice the extra retries within one window: with windows of ten
+   * buckets, the oldest was dropped as a whole as soon as the newest began, so that retries spent
+   * at the end of a bucket could be spent again at the start of the bucket that replaced it. Nodes
+   * do not coordinate.
    */
   @ParameterizedTest
   @ValueSource(ints = {20, 100})
@@ -94,7 +95,7 @@
     int[] requests = new int[steps];
     int[] retries = new int[steps];
     for (int step = 0; step < steps; step++) {
-      // Bursts a little less than a window apart, as when back ends refuse work again and again.
+      // Bursts slightly less than a window apart, as when backends refuse requests repeatedly.
       boolean isBurst = step % 181 == 19;
       for (RetryWindow each : fleet) {
         if (random.nextInt(4) == 0) {
