--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/AdmissionController.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/AdmissionController.java
@@ -93,7 +93,7 @@
   }
 
   /** Handles an ask; the first decision is its own, others may follow for queued ones. */
-  List<Decision> ask(long nowMillis, AdmissionRequest ask);
+  List<Decision> ask(long nowMillis, AdmissionRequest request);
 
   /** A request that held a slot has ended. */
   List<Decision> release(long nowMillis, long id, long serviceMicros);
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/AdmissionControllers.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/AdmissionControllers.java
@@ -12,10 +12,10 @@
   /**
    * Creates the controller of one back end that takes requests in the order they are due.
    *
-   * @param coldStarts bounds what the back end gets while it is cold
+   * @param coldStartLimiter bounds what the back end gets while it is cold
    */
   public static AdmissionController createInDueOrder(
-      AdmissionSettings settings, ColdStartLimiter coldStarts) {
-    return new DueOrderAdmissionController(settings, coldStarts);
+      AdmissionSettings settings, ColdStartLimiter coldStartLimiter) {
+    return new DueOrderAdmissionController(settings, coldStartLimiter);
   }
 }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/AdmissionSettings.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/AdmissionSettings.java
@@ -20,7 +20,7 @@
     long minRetryAfterMillis,
     long maxRetryAfterMillis) {
   /** Queue places kept for each tier, so that none can be shut out of the queue. */
-  static final int RESERVED_PLACES = 1;
+  static final int RESERVED_PLACES_PER_TIER = 1;
 
   private static final int DEFAULT_QUEUE_PER_SLOT = 4;
   private static final int DEFAULT_STARVATION_BOUND = 16;
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/BackendState.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/BackendState.java
@@ -8,17 +8,17 @@
 /** What one edge proxy knows of one back end: its own attempts and the last report. */
 final class BackendState {
   /** Weight of one sample; small, for the noise of a larger one outweighs the loads compared. */
-  private static final double LATENCY_WEIGHT = 0.015;
+  private static final double LATENCY_SAMPLE_WEIGHT = 0.015;
 
   /** A latency within this factor of the pool's says nothing. */
-  private static final double LATENCY_BAND = 1.3;
+  private static final double LATENCY_TOLERANCE = 1.3;
 
   private static final double MIN_LATENCY_FACTOR = 0.5;
   private static final double MAX_LATENCY_FACTOR = 4;
 
   private static final double LATENCY_HALF_LIFE_MILLIS = 2_000;
   private static final double REFUSAL_HALF_LIFE_MILLIS = 500;
-  private static final double DOUBT_HALF_LIFE_MILLIS = 10_000;
+  private static final double DISTRUST_HALF_LIFE_MILLIS = 10_000;
   private static final double SMOOTHING_MILLIS = 500;
 
   /**
@@ -27,93 +27,93 @@
    */
   private static final double REPORT_GAIN = 0.25;
 
-  private static final double SLOW_DOUBT = 0.1;
+  private static final double SLOW_DISTRUST = 0.1;
   private static final double SLOW_FACTOR = 2;
   private static final int FULL_LOAD_PERCENT = 100;
   private static final long LOCAL_DRAIN_MILLIS = 5_000;
-  private static final long NOT_READY_MILLIS = 200;
+  private static final long NOT_READY_BACK_OFF_MILLIS = 200;
   private static final int MAX_EJECTION_FACTOR = 8;
   private static final double SLOW_START_FLOOR = 0.1;
 
   private final BalancerSettings settings;
-  private final long[] shedUntilMillis = new long[Tier.values().length];
+  private final long[] backOffUntilMillis = new long[Tier.values().length];
   private final DecayingValue refusals = new DecayingValue(REFUSAL_HALF_LIFE_MILLIS);
-  private final DecayingValue doubt = new DecayingValue(DOUBT_HALF_LIFE_MILLIS);
+  private final DecayingValue distrust = new DecayingValue(DISTRUST_HALF_LIFE_MILLIS);
   private ObservedBackend report;
-  private long reportedAtMillis;
-  private double othersShare;
+  private long reportMillis;
+  private double othersUtilization;
   private int slots = 1;
   private int inFlight;
   private double latencyMicros;
   private long latencyAtMillis;
   private double poolLatencyMicros;
-  private int failuresInRow;
+  private int consecutiveFailures;
   private int ejections;
   private long ejectedUntilMillis;
   private long drainingUntilMillis;
-  private long slowStartAtMillis;
-  private boolean slowStart;
-  private long touchedMillis;
+  private long slowStartMillis;
+  private boolean isSlowStarting;
+  private long lastActiveMillis;
 
   BackendState(BalancerSettings settings, long nowMillis, boolean isNew) {
     this.settings = settings;
-    touchedMillis = nowMillis;
+    lastActiveMillis = nowMillis;
     if (isNew) {
       beginSlowStart(nowMillis);
     }
   }
 
-  void started(long nowMillis) {
+  void recordAttemptStart(long nowMillis) {
     inFlight++;
-    touchedMillis = nowMillis;
+    lastActiveMillis = nowMillis;
   }
 
-  void finished(long nowMillis, Verdict verdict, long micros) {
+  void recordAttemptEnd(long nowMillis, Verdict verdict, long micros) {
     inFlight = Math.max(0, inFlight - 1);
-    touchedMillis = nowMillis;
+    lastActiveMillis = nowMillis;
     if (verdict instanceof Verdict.NotRun notRun) {
-      refused(nowMillis, notRun.reason());
+      recordRefusal(nowMillis, notRun.reason());
     } else if (verdict instanceof Verdict.MayHaveRun mayHaveRun) {
-      outcomeUnknown(nowMillis, mayHaveRun.reason(), micros);
+      recordUnknownOutcome(nowMillis, mayHaveRun.reason(), micros);
     } else {
-      failuresInRow = 0;
+      consecutiveFailures = 0;
       ejections = 0;
       addLatency(nowMillis, micros);
     }
     boolean slow = latencyFactor(nowMillis) > SLOW_FACTOR;
     if (slow && report != null && report.load() < FULL_LOAD_PERCENT / 2) {
-      doubt.add(nowMillis, SLOW_DOUBT);
+      distrust.add(nowMillis, SLOW_DISTRUST);
     }
   }
 
-  private void refused(long nowMillis, Verdict.Reason reason) {
+  private void recordRefusal(long nowMillis, Verdict.Reason reason) {
     switch (reason) {
       case OVERLOADED -> {
         refusals.add(nowMillis, 1);
         if (report != null && report.load() < FULL_LOAD_PERCENT) {
-          doubt.add(nowMillis, 1);
+          distrust.add(nowMillis, 1);
         }
       }
       case DRAINING -> drainingUntilMillis = nowMillis + LOCAL_DRAIN_MILLIS;
-      case NOT_READY -> shed(nowMillis, Tier.PREMIUM, NOT_READY_MILLIS);
-      case UNREACHABLE -> failed(nowMillis);
+      case NOT_READY -> backOff(nowMillis, Tier.PREMIUM, NOT_READY_BACK_OFF_MILLIS);
+      case UNREACHABLE -> recordFailure(nowMillis);
       default -> {
         // The request's own fault or the caller's choice says nothing of the back end.
       }
     }
   }
 
-  private void outcomeUnknown(long nowMillis, Verdict.Reason reason, long micros) {
+  private void recordUnknownOutcome(long nowMillis, Verdict.Reason reason, long micros) {
     if (reason != Verdict.Reason.CANCELLED && reason != Verdict.Reason.DUPLICATE) {
       addLatency(nowMillis, micros);
-      failed(nowMillis);
+      recordFailure(nowMillis);
     }
   }
 
-  private void failed(long nowMillis) {
-    failuresInRow++;
-    if (failuresInRow >= settings.ejectionFailures()) {
-      failuresInRow = 0;
+  private void recordFailure(long nowMillis) {
+    consecutiveFailures++;
+    if (consecutiveFailures >= settings.ejectionFailures()) {
+      consecutiveFailures = 0;
       ejections = Math.min(MAX_EJECTION_FACTOR, ejections + 1);
       ejectedUntilMillis = nowMillis + settings.ejectionMillis() * ejections;
       beginSlowStart(ejectedUntilMillis);
@@ -122,55 +122,58 @@
 
   private void addLatency(long nowMillis, long micros) {
     latencyMicros =
-        latencyMicros == 0 ? micros : latencyMicros + LATENCY_WEIGHT * (micros - latencyMicros);
+        latencyMicros == 0
+            ? micros
+            : latencyMicros + LATENCY_SAMPLE_WEIGHT * (micros - latencyMicros);
     latencyAtMillis = nowMillis;
   }
 
   /** It asked to be left alone by requests of the tier and lower ones for a time. */
-  void shed(long nowMillis, Tier tier, long retryAfterMillis) {
-    touchedMillis = nowMillis;
-    for (int lower = tier.ordinal(); lower < shedUntilMillis.length; lower++) {
-      shedUntilMillis[lower] = Math.max(shedUntilMillis[lower], nowMillis + retryAfterMillis);
+  void backOff(long nowMillis, Tier tier, long retryAfterMillis) {
+    lastActiveMillis = nowMillis;
+    for (int lower = tier.ordinal(); lower < backOffUntilMillis.length; lower++) {
+      backOffUntilMillis[lower] = Math.max(backOffUntilMillis[lower], nowMillis + retryAfterMillis);
     }
   }
 
   /** Takes a statement of the node beside it, unless a newer one is known. */
-  void observed(long nowMillis, ObservedBackend statement) {
-    if (report != null && !statement.supersedes(report)) {
+  void updateReport(long nowMillis, ObservedBackend newReport) {
+    if (report != null && !newReport.supersedes(report)) {
       return;
     }
-    touchedMillis = nowMillis;
+    lastActiveMillis = nowMillis;
     boolean wasAway = report != null && report.phase() != Phase.READY;
-    if (statement.phase() == Phase.WARMING || (wasAway && statement.phase() == Phase.READY)) {
+    if (newReport.phase() == Phase.WARMING || (wasAway && newReport.phase() == Phase.READY)) {
       beginSlowStart(nowMillis);
     }
-    if (statement.phase() == Phase.READY) {
+    if (newReport.phase() == Phase.READY) {
       drainingUntilMillis = 0;
     }
-    double others = statement.load() / (double) FULL_LOAD_PERCENT - inFlight / (double) slots;
+    double utilizationByOthers =
+        newReport.load() / (double) FULL_LOAD_PERCENT - inFlight / (double) slots;
     double weight =
         report == null
             ? 1
-            : 1 - DecayingValue.weight(nowMillis - reportedAtMillis, SMOOTHING_MILLIS);
-    othersShare += weight * (Math.max(0, others) - othersShare);
-    report = statement;
-    reportedAtMillis = nowMillis;
+            : 1 - DecayingValue.decayFactor(nowMillis - reportMillis, SMOOTHING_MILLIS);
+    othersUtilization += weight * (Math.max(0, utilizationByOthers) - othersUtilization);
+    report = newReport;
+    reportMillis = nowMillis;
   }
 
   private void beginSlowStart(long atMillis) {
-    slowStart = true;
-    slowStartAtMillis = atMillis;
+    isSlowStarting = true;
+    slowStartMillis = atMillis;
   }
 
   /** Whether it takes new work, as far as its node and its own answers say. */
-  boolean inService(long nowMillis) {
-    boolean leaving =
+  boolean isInService(long nowMillis) {
+    boolean isLeaving =
         report != null && (report.phase() == Phase.DRAINING || report.phase() == Phase.DOWN);
-    return !leaving && nowMillis >= drainingUntilMillis;
+    return !isLeaving && nowMillis >= drainingUntilMillis;
   }
 
   /** Whether it failed too often of late. */
-  boolean ejected(long nowMillis) {
+  boolean isEjected(long nowMillis) {
     return nowMillis < ejectedUntilMillis;
   }
 
@@ -179,13 +182,13 @@
   }
 
   /** How long requests of the tier still leave it alone, milliseconds. */
-  long shedMillisLeft(long nowMillis, Tier tier) {
-    return Math.max(0, shedUntilMillis[tier.ordinal()] - nowMillis);
+  long remainingBackOffMillis(long nowMillis, Tier tier) {
+    return Math.max(0, backOffUntilMillis[tier.ordinal()] - nowMillis);
   }
 
   /** Whether it has no attempt under way and nothing was heard of it since. */
-  boolean idleSince(long millis) {
-    return inFlight == 0 && touchedMillis < millis;
+  boolean isIdleSince(long millis) {
+    return inFlight == 0 && lastActiveMillis < millis;
   }
 
   /** Mean latency of own attempts, microseconds; 0 if there is none. */
@@ -198,14 +201,14 @@
     if (report == null) {
       return 0;
     }
-    double fresh =
-        DecayingValue.weight(nowMillis - reportedAtMillis, settings.reportHalfLifeMillis());
-    return REPORT_GAIN * fresh / (1 + doubt.get(nowMillis));
+    double freshness =
+        DecayingValue.decayFactor(nowMillis - reportMillis, settings.reportHalfLifeMillis());
+    return REPORT_GAIN * freshness / (1 + distrust.get(nowMillis));
   }
 
   /** Slots that the reports say others use, smoothed. */
-  double reportedByOthers() {
-    return othersShare * slots;
+  double slotsUsedByOthers() {
+    return othersUtilization * slots;
   }
 
   /**
@@ -213,16 +216,16 @@
    * as fuller. A report that is not believed is replaced by the others' mean, never by nothing:
    * else an old or false report would draw requests.
    *
-   * @param othersMean mean of {@link #reportedByOthers} over the pool
+   * @param meanUsedByOthers mean of {@link #slotsUsedByOthers} over the pool
    * @param meanLatencyMicros mean latency over the pool, 0 if unknown
    */
-  double load(long nowMillis, int poolSlots, double othersMean, double meanLatencyMicros) {
+  double load(long nowMillis, int poolSlots, double meanUsedByOthers, double meanLatencyMicros) {
     poolLatencyMicros = meanLatencyMicros;
     slots = poolSlots;
     double weight = reportWeight(nowMillis);
-    double others = weight * reportedByOthers() + (1 - weight) * othersMean;
-    double used = inFlight + 1 + others + refusals.get(nowMillis);
-    return used * latencyFactor(nowMillis) / (slots * warmth(nowMillis));
+    double usedByOthers = weight * slotsUsedByOthers() + (1 - weight) * meanUsedByOthers;
+    double used = inFlight + 1 + usedByOthers + refusals.get(nowMillis);
+    return used * latencyFactor(nowMillis) / (slots * slowStartFactor(nowMillis));
   }
 
   /** Own latency against the pool's, between 1/2 and 4; fades to 1 when nothing new is seen. */
@@ -233,25 +236,26 @@
     double ratio =
         Math.min(
             MAX_LATENCY_FACTOR, Math.max(MIN_LATENCY_FACTOR, latencyMicros / poolLatencyMicros));
-    if (ratio < LATENCY_BAND && ratio > 1 / LATENCY_BAND) {
+    if (ratio < LATENCY_TOLERANCE && ratio > 1 / LATENCY_TOLERANCE) {
       return 1;
     }
-    double fresh = DecayingValue.weight(nowMillis - latencyAtMillis, LATENCY_HALF_LIFE_MILLIS);
-    return 1 + (ratio - 1) * fresh;
+    double freshness =
+        DecayingValue.decayFactor(nowMillis - latencyAtMillis, LATENCY_HALF_LIFE_MILLIS);
+    return 1 + (ratio - 1) * freshness;
   }
 
   /** Share of full speed that a new back end is trusted with. */
-  private double warmth(long nowMillis) {
-    boolean usedThoughEjected = nowMillis < slowStartAtMillis;
-    if (!slowStart || usedThoughEjected) {
+  private double slowStartFactor(long nowMillis) {
+    boolean isUsedThoughEjected = nowMillis < slowStartMillis;
+    if (!isSlowStarting || isUsedThoughEjected) {
       return 1;
     }
-    boolean warming = report != null && report.phase() == Phase.WARMING;
-    double passed = (nowMillis - slowStartAtMillis) / (double) settings.slowStartMillis();
-    if (!warming && passed >= 1) {
-      slowStart = false;
+    boolean isWarming = report != null && report.phase() == Phase.WARMING;
+    double progress = (nowMillis - slowStartMillis) / (double) settings.slowStartMillis();
+    if (!isWarming && progress >= 1) {
+      isSlowStarting = false;
       return 1;
     }
-    return warming ? SLOW_START_FLOOR : Math.max(SLOW_START_FLOOR, passed);
+    return isWarming ? SLOW_START_FLOOR : Math.max(SLOW_START_FLOOR, progress);
   }
 }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/BudgetedRetryPolicy.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/BudgetedRetryPolicy.java
@@ -35,8 +35,8 @@
   public boolean mayRetry(long nowMillis, FailedAttempt failed, ChainBudget chain) {
     boolean allowed =
         failed.bodyReplayable()
-            && worthwhile(failed.verdict())
-            && harmless(failed)
+            && canSucceed(failed.verdict())
+            && isSafe(failed)
             && failed.attempts() < settings.maxAttempts()
             && chain.retriesLeft() > 0
             && nowMillis + settings.minRemainingMillis() < failed.deadlineMillis();
@@ -47,19 +47,19 @@
     return true;
   }
 
-  private static boolean harmless(FailedAttempt failed) {
+  private static boolean isSafe(FailedAttempt failed) {
     return failed.verdict().safeToSendAgain() || failed.repeatable();
   }
 
   /** Whether another attempt could end otherwise. */
-  private static boolean worthwhile(Verdict verdict) {
+  private static boolean canSucceed(Verdict verdict) {
     if (verdict instanceof Verdict.NotRun notRun) {
-      return mayPass(notRun.reason());
+      return isTransient(notRun.reason());
     }
-    return verdict instanceof Verdict.MayHaveRun mayHaveRun && mayPass(mayHaveRun.reason());
+    return verdict instanceof Verdict.MayHaveRun mayHaveRun && isTransient(mayHaveRun.reason());
   }
 
-  private static boolean mayPass(Verdict.Reason reason) {
+  private static boolean isTransient(Verdict.Reason reason) {
     return switch (reason) {
       case OVERLOADED,
           REJECTED,
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/ChainBudget.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/ChainBudget.java
@@ -79,7 +79,7 @@
 
   private static ChainBudget parse(String value) {
     String digits = value.strip();
-    boolean oneDigit = digits.length() == 1 && digits.charAt(0) >= '0' && digits.charAt(0) <= '9';
-    return oneDigit ? new ChainBudget(digits.charAt(0) - '0') : NONE;
+    boolean isOneDigit = digits.length() == 1 && digits.charAt(0) >= '0' && digits.charAt(0) <= '9';
+    return isOneDigit ? new ChainBudget(digits.charAt(0) - '0') : NONE;
   }
 }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/ColdStartLimiter.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/ColdStartLimiter.java
@@ -21,7 +21,7 @@
     public static final Bounds RATE_ALONE = new Bounds(1, 0);
 
     /** Most requests in a second; at least one, or the back end would never turn warm in use. */
-    private int most(double perSecond) {
+    private int limitPerSecond(double perSecond) {
       return (int) Math.max(1, Math.floor(perSecond * overage + slack));
     }
   }
@@ -35,24 +35,24 @@
    * Requests begun a second apart then still arrive within one second; so what was begun counts
    * that much longer.
    */
-  private static final long SENDING_MILLIS = 100;
+  private static final long MAX_TRANSIT_MILLIS = 100;
 
-  private static final long WINDOW_MILLIS = BOUND_MILLIS + SENDING_MILLIS;
+  private static final long WINDOW_MILLIS = BOUND_MILLIS + MAX_TRANSIT_MILLIS;
 
   /** Parts of the window in which as much may begin: a caller bears a wait of one of them. */
-  private static final int PARTS = 4;
+  private static final int SLICES = 4;
 
-  private static final long PART_MILLIS = WINDOW_MILLIS / PARTS;
+  private static final long SLICE_MILLIS = WINDOW_MILLIS / SLICES;
   private static final double MICROS_PER_MILLI = 1_000;
 
   /** Beginnings that are remembered while the back end is warm: more than any bound. */
-  private static final int MAX_REMEMBERED = 1_024;
+  private static final int MAX_START_TIMES = 1_024;
 
   private final Bounds bounds;
-  private final Deque<Long> begunMillis = new ArrayDeque<>();
-  private final long unknownBeforeMillis;
+  private final Deque<Long> startTimesMillis = new ArrayDeque<>();
+  private final long historyStartMillis;
   private long coldUntilMillis = Long.MIN_VALUE;
-  private int most = 1;
+  private int limitPerSecond = 1;
 
   /**
    * Creates the limiter of a back end that is warm.
@@ -61,7 +61,7 @@
    */
   public ColdStartLimiter(Bounds bounds, long nowMillis) {
     this.bounds = bounds;
-    this.unknownBeforeMillis = nowMillis;
+    this.historyStartMillis = nowMillis;
   }
 
   /**
@@ -74,7 +74,7 @@
     if (coldPerSecond <= 0 || untilMillis <= nowMillis) {
       return;
     }
-    most = bounds.most(coldPerSecond);
+    limitPerSecond = bounds.limitPerSecond(coldPerSecond);
     coldUntilMillis = Math.max(coldUntilMillis, untilMillis);
   }
 
@@ -84,17 +84,17 @@
   }
 
   /** Whether one more request may begin. */
-  public synchronized boolean mayBegin(long nowMillis) {
+  public synchronized boolean canStart(long nowMillis) {
     return !isCold(nowMillis) || waitMillis(nowMillis, 0) <= 0;
   }
 
   /** A request begins. */
-  public synchronized void begins(long nowMillis) {
-    forget(nowMillis);
-    if (begunMillis.size() == MAX_REMEMBERED) {
-      begunMillis.removeFirst();
+  public synchronized void recordStart(long nowMillis) {
+    removeExpired(nowMillis);
+    if (startTimesMillis.size() == MAX_START_TIMES) {
+      startTimesMillis.removeFirst();
     }
-    begunMillis.addLast(nowMillis);
+    startTimesMillis.addLast(nowMillis);
   }
 
   /** Time until a request may begin that so many others are ahead of, milliseconds. */
@@ -102,33 +102,34 @@
     if (!isCold(nowMillis)) {
       return 0;
     }
-    forget(nowMillis);
-    double ofWindow = untilFits(nowMillis, ahead + 1, WINDOW_MILLIS, known(nowMillis));
-    double ofPart = untilFits(nowMillis, ahead + 1, PART_MILLIS, mostInPart());
-    return Math.min(coldUntilMillis - nowMillis, Math.max(ofWindow, ofPart));
+    removeExpired(nowMillis);
+    double windowWaitMillis =
+        millisUntilAllowed(nowMillis, ahead + 1, WINDOW_MILLIS, windowLimit(nowMillis));
+    double sliceWaitMillis = millisUntilAllowed(nowMillis, ahead + 1, SLICE_MILLIS, sliceLimit());
+    return Math.min(coldUntilMillis - nowMillis, Math.max(windowWaitMillis, sliceWaitMillis));
   }
 
   /** Time until so many more are within what may begin in a span of time, milliseconds. */
-  private double untilFits(long nowMillis, int more, long spanMillis, double allowed) {
+  private double millisUntilAllowed(long nowMillis, int more, long spanMillis, double allowed) {
     long[] recent =
-        begunMillis.stream()
-            .filter(begun -> begun > nowMillis - spanMillis)
+        startTimesMillis.stream()
+            .filter(start -> start > nowMillis - spanMillis)
             .mapToLong(l -> l)
             .toArray();
-    int missing = (int) Math.ceil(recent.length + more - allowed);
-    if (missing <= 0) {
+    int excess = (int) Math.ceil(recent.length + more - allowed);
+    if (excess <= 0) {
       return 0;
     }
-    if (missing <= recent.length) {
-      return recent[missing - 1] + spanMillis - nowMillis;
+    if (excess <= recent.length) {
+      return recent[excess - 1] + spanMillis - nowMillis;
     }
-    double perMilli = most / (double) WINDOW_MILLIS;
+    double perMilli = limitPerSecond / (double) WINDOW_MILLIS;
     double sinceLast = recent.length == 0 ? 0 : recent[recent.length - 1] + spanMillis - nowMillis;
-    return sinceLast + (missing - recent.length) / perMilli;
+    return sinceLast + (excess - recent.length) / perMilli;
   }
 
-  private int mostInPart() {
-    return (most + PARTS - 1) / PARTS;
+  private int sliceLimit() {
+    return (limitPerSecond + SLICES - 1) / SLICES;
   }
 
   /**
@@ -141,20 +142,21 @@
     if (!isCold(nowMillis) || waitMillis(nowMillis, slots - 1) <= 0) {
       return slots;
     }
-    int usable = (int) Math.ceil(most * serviceMicros / MICROS_PER_MILLI / WINDOW_MILLIS);
+    int usable = (int) Math.ceil(limitPerSecond * serviceMicros / MICROS_PER_MILLI / WINDOW_MILLIS);
     return Math.max(1, Math.min(slots, usable));
   }
 
   /** What may begin in a window; less while an earlier process may have begun some of it. */
-  private double known(long nowMillis) {
+  private double windowLimit(long nowMillis) {
     double unknownShare =
-        Math.max(0, unknownBeforeMillis + WINDOW_MILLIS - nowMillis) / (double) WINDOW_MILLIS;
-    return most * (1 - unknownShare);
+        Math.max(0, historyStartMillis + WINDOW_MILLIS - nowMillis) / (double) WINDOW_MILLIS;
+    return limitPerSecond * (1 - unknownShare);
   }
 
-  private void forget(long nowMillis) {
-    while (!begunMillis.isEmpty() && begunMillis.peekFirst() <= nowMillis - WINDOW_MILLIS) {
-      begunMillis.removeFirst();
+  private void removeExpired(long nowMillis) {
+    while (!startTimesMillis.isEmpty()
+        && startTimesMillis.peekFirst() <= nowMillis - WINDOW_MILLIS) {
+      startTimesMillis.removeFirst();
     }
   }
 }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/DecayingValue.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/DecayingValue.java
@@ -4,7 +4,7 @@
 public final class DecayingValue {
   private final double halfLifeMillis;
   private double value;
-  private long atMillis;
+  private long updatedMillis;
 
   /**
    * Creates one that is 0.
@@ -17,17 +17,17 @@
 
   /** What is left of it now. */
   public double get(long nowMillis) {
-    return value == 0 ? 0 : value * weight(nowMillis - atMillis, halfLifeMillis);
+    return value == 0 ? 0 : value * decayFactor(nowMillis - updatedMillis, halfLifeMillis);
   }
 
   /** Adds to what is left. */
   public void add(long nowMillis, double amount) {
     value = get(nowMillis) + amount;
-    atMillis = nowMillis;
+    updatedMillis = nowMillis;
   }
 
   /** What is left of 1 at an age. */
-  public static double weight(long ageMillis, double halfLifeMillis) {
+  public static double decayFactor(long ageMillis, double halfLifeMillis) {
     return ageMillis <= 0 ? 1 : Math.exp(-Math.log(2) * ageMillis / halfLifeMillis);
   }
 }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/DueOrderAdmissionController.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/DueOrderAdmissionController.java
@@ -24,86 +24,90 @@
       Comparator.comparingLong(AdmissionRequest::dueMillis).thenComparingLong(AdmissionRequest::id);
 
   private final AdmissionSettings settings;
-  private final ColdStartLimiter coldStarts;
-  private final ServiceTimeEstimate service;
+  private final ColdStartLimiter coldStartLimiter;
+  private final ServiceTimeEstimate serviceTime;
   private final TreeSet<AdmissionRequest> nested = new TreeSet<>(DUE_FIRST);
-  private final TreeSet<AdmissionRequest> timely = new TreeSet<>(DUE_FIRST);
+  private final TreeSet<AdmissionRequest> onTime = new TreeSet<>(DUE_FIRST);
   private final TreeSet<AdmissionRequest> late = new TreeSet<>(DUE_FIRST);
   private final Set<Long> running = new HashSet<>();
-  private final OverloadPressure pressure;
+  private final OverloadBackoff backoff;
   private int slots;
   private boolean draining;
 
-  DueOrderAdmissionController(AdmissionSettings settings, ColdStartLimiter coldStarts) {
+  DueOrderAdmissionController(AdmissionSettings settings, ColdStartLimiter coldStartLimiter) {
     this.settings = settings;
-    this.coldStarts = coldStarts;
+    this.coldStartLimiter = coldStartLimiter;
     this.slots = settings.slots();
-    this.pressure = new OverloadPressure(settings.maxRetryAfterMillis());
-    this.service = new ServiceTimeEstimate(settings.initialServiceMicros());
+    this.backoff = new OverloadBackoff(settings.maxRetryAfterMillis());
+    this.serviceTime = new ServiceTimeEstimate(settings.initialServiceMicros());
   }
 
   @Override
-  public List<Decision> ask(long nowMillis, AdmissionRequest ask) {
+  public List<Decision> ask(long nowMillis, AdmissionRequest request) {
     if (draining) {
-      return List.of(new Decision.Refused(ask.id(), Reason.DRAINING, 0));
+      return List.of(new Decision.Refused(request.id(), Reason.DRAINING, 0));
     }
-    if (ask.deadlineMillis() <= nowMillis) {
-      return List.of(new Decision.Refused(ask.id(), Reason.DEADLINE, 0));
+    if (request.deadlineMillis() <= nowMillis) {
+      return List.of(new Decision.Refused(request.id(), Reason.DEADLINE, 0));
     }
-    if (queued() == 0 && mayBegin(nowMillis)) {
-      begin(nowMillis, ask);
-      pressure.note(false);
-      return List.of(new Decision.Admitted(ask.id()));
+    if (queued() == 0 && canStart(nowMillis)) {
+      start(nowMillis, request);
+      backoff.record(false);
+      return List.of(new Decision.Admitted(request.id()));
     }
-    if (ask.nested()) {
-      return List.of(askNested(nowMillis, ask));
+    if (request.nested()) {
+      return List.of(decideNested(nowMillis, request));
     }
     List<Decision> decisions = new ArrayList<>();
-    decisions.add(askTimed(nowMillis, ask));
+    decisions.add(decideRegular(nowMillis, request));
     demote(nowMillis, decisions);
     return decisions;
   }
 
-  private boolean mayBegin(long nowMillis) {
-    return running.size() < slots && coldStarts.mayBegin(nowMillis);
+  private boolean canStart(long nowMillis) {
+    return running.size() < slots && coldStartLimiter.canStart(nowMillis);
   }
 
-  private void begin(long nowMillis, AdmissionRequest ask) {
-    running.add(ask.id());
-    coldStarts.begins(nowMillis);
+  private void start(long nowMillis, AdmissionRequest request) {
+    running.add(request.id());
+    coldStartLimiter.recordStart(nowMillis);
   }
 
-  private Decision askTimed(long nowMillis, AdmissionRequest ask) {
-    double waitMillis = waitMillis(nowMillis, nested.size() + timely.headSet(ask).size());
-    boolean isTimely = canBeTimely(nowMillis, ask, waitMillis);
-    boolean isRefused = !isTimely && nowMillis <= ask.refuseByMillis();
-    pressure.note(isRefused);
+  private Decision decideRegular(long nowMillis, AdmissionRequest request) {
+    double waitMillis = waitMillis(nowMillis, nested.size() + onTime.headSet(request).size());
+    boolean isTimely = canMeetTarget(nowMillis, request, waitMillis);
+    boolean isRefused = !isTimely && nowMillis <= request.refuseByMillis();
+    backoff.record(isRefused);
     if (isRefused) {
-      return overloaded(nowMillis, ask);
+      return refusalOfOverload(nowMillis, request);
     }
     if (!isTimely) {
-      waitMillis = waitMillis(nowMillis, nested.size() + timely.size() + late.headSet(ask).size());
+      waitMillis =
+          waitMillis(nowMillis, nested.size() + onTime.size() + late.headSet(request).size());
     }
-    if (!canBegin(nowMillis, ask, waitMillis)) {
-      return overloaded(nowMillis, ask);
+    if (!canStartInTime(nowMillis, request, waitMillis)) {
+      return refusalOfOverload(nowMillis, request);
     }
-    return queue(nowMillis, isTimely ? timely : late, ask, waitMillis);
+    return enqueue(nowMillis, isTimely ? onTime : late, request, waitMillis);
   }
 
-  private Decision askNested(long nowMillis, AdmissionRequest ask) {
-    double waitMillis = waitMillis(nowMillis, nested.headSet(ask).size());
-    return canFinish(nowMillis + waitMillis, ask)
-        ? queue(nowMillis, nested, ask, waitMillis)
-        : overloaded(nowMillis, ask);
+  private Decision decideNested(long nowMillis, AdmissionRequest request) {
+    double waitMillis = waitMillis(nowMillis, nested.headSet(request).size());
+    return canMeetDeadline(nowMillis + waitMillis, request)
+        ? enqueue(nowMillis, nested, request, waitMillis)
+        : refusalOfOverload(nowMillis, request);
   }
 
-  private Decision queue(
-      long nowMillis, TreeSet<AdmissionRequest> queue, AdmissionRequest ask, double waitMillis) {
-    if (waitMillis > ask.toleratedWaitMillis() || queued() >= settings.queueLimit()) {
-      return overloaded(nowMillis, ask);
+  private Decision enqueue(
+      long nowMillis,
+      TreeSet<AdmissionRequest> queue,
+      AdmissionRequest request,
+      double waitMillis) {
+    if (waitMillis > request.toleratedWaitMillis() || queued() >= settings.queueLimit()) {
+      return refusalOfOverload(nowMillis, request);
     }
-    queue.add(ask);
-    return new Decision.Queued(ask.id());
+    queue.add(request);
+    return new Decision.Queued(request.id());
   }
 
   @Override
@@ -112,41 +116,42 @@
       return List.of();
     }
     if (serviceMicros > 0) {
-      service.add(serviceMicros);
+      serviceTime.add(serviceMicros);
     }
     return dispatch(nowMillis);
   }
 
   @Override
   public List<Decision> cancel(long nowMillis, long id) {
-    boolean waited = queues().stream().anyMatch(queue -> queue.removeIf(ask -> ask.id() == id));
-    return waited ? List.of(new Decision.Refused(id, Reason.CANCELLED, 0)) : List.of();
+    boolean wasQueued =
+        queues().stream().anyMatch(queue -> queue.removeIf(request -> request.id() == id));
+    return wasQueued ? List.of(new Decision.Refused(id, Reason.CANCELLED, 0)) : List.of();
   }
 
   @Override
   public List<Decision> tick(long nowMillis) {
     List<Decision> decisions = new ArrayList<>();
     demote(nowMillis, decisions);
-    refuseTooLate(nowMillis, nested, decisions);
-    refuseTooLate(nowMillis, late, decisions);
+    refuseExpired(nowMillis, nested, decisions);
+    refuseExpired(nowMillis, late, decisions);
     decisions.addAll(dispatch(nowMillis));
     return decisions;
   }
 
-  private void refuseTooLate(
+  private void refuseExpired(
       long nowMillis, TreeSet<AdmissionRequest> queue, List<Decision> decisions) {
     for (Iterator<AdmissionRequest> waiting = queue.iterator(); waiting.hasNext(); ) {
-      AdmissionRequest ask = waiting.next();
-      if (!canBegin(nowMillis, ask, 0)) {
+      AdmissionRequest request = waiting.next();
+      if (!canStartInTime(nowMillis, request, 0)) {
         waiting.remove();
-        decisions.add(tooLate(nowMillis, ask));
+        decisions.add(refusalOfExpired(nowMillis, request));
       }
     }
   }
 
   /** In the order in which they are served. */
   private List<TreeSet<AdmissionRequest>> queues() {
-    return List.of(nested, timely, late);
+    return List.of(nested, onTime, late);
   }
 
   @Override
@@ -154,7 +159,8 @@
     draining = true;
     List<Decision> decisions = new ArrayList<>();
     for (TreeSet<AdmissionRequest> queue : queues()) {
-      queue.forEach(ask -> decisions.add(new Decision.Refused(ask.id(), Reason.DRAINING, 0)));
+      queue.forEach(
+          request -> decisions.add(new Decision.Refused(request.id(), Reason.DRAINING, 0)));
       queue.clear();
     }
     return decisions;
@@ -174,87 +180,92 @@
 
   @Override
   public int queued() {
-    return nested.size() + timely.size() + late.size();
+    return nested.size() + onTime.size() + late.size();
   }
 
   @Override
   public long meanServiceMicros() {
-    return Math.round(service.meanMicros());
+    return Math.round(serviceTime.meanMicros());
   }
 
   private List<Decision> dispatch(long nowMillis) {
     List<Decision> decisions = new ArrayList<>();
     demote(nowMillis, decisions);
-    while (queued() > 0 && mayBegin(nowMillis)) {
-      AdmissionRequest next = next();
-      if (canBegin(nowMillis, next, 0)) {
-        begin(nowMillis, next);
+    while (queued() > 0 && canStart(nowMillis)) {
+      AdmissionRequest next = pollNext();
+      if (canStartInTime(nowMillis, next, 0)) {
+        start(nowMillis, next);
         decisions.add(new Decision.Admitted(next.id()));
       } else {
-        decisions.add(tooLate(nowMillis, next));
+        decisions.add(refusalOfExpired(nowMillis, next));
       }
     }
     return decisions;
   }
 
-  private AdmissionRequest next() {
+  private AdmissionRequest pollNext() {
     if (!nested.isEmpty()) {
       return nested.pollFirst();
     }
-    return timely.isEmpty() ? late.pollFirst() : timely.pollFirst();
+    return onTime.isEmpty() ? late.pollFirst() : onTime.pollFirst();
   }
 
   /** Those that can no longer be in time are refused, or go behind the others. */
   private void demote(long nowMillis, List<Decision> decisions) {
-    for (Iterator<AdmissionRequest> waiting = timely.iterator(); waiting.hasNext(); ) {
-      AdmissionRequest ask = waiting.next();
-      if (!canBeTimely(nowMillis, ask, 0)) {
+    for (Iterator<AdmissionRequest> waiting = onTime.iterator(); waiting.hasNext(); ) {
+      AdmissionRequest request = waiting.next();
+      if (!canMeetTarget(nowMillis, request, 0)) {
         waiting.remove();
-        if (nowMillis <= ask.refuseByMillis()) {
-          decisions.add(overloaded(nowMillis, ask));
+        if (nowMillis <= request.refuseByMillis()) {
+          decisions.add(refusalOfOverload(nowMillis, request));
         } else {
-          late.add(ask);
+          late.add(request);
         }
       }
     }
   }
 
-  private static boolean canBeTimely(long nowMillis, AdmissionRequest ask, double waitMillis) {
-    return nowMillis + waitMillis + ask.likelyMicros() / MICROS_PER_MILLI <= ask.targetMillis();
+  private static boolean canMeetTarget(
+      long nowMillis, AdmissionRequest request, double waitMillis) {
+    return nowMillis + waitMillis + request.likelyMicros() / MICROS_PER_MILLI
+        <= request.targetMillis();
   }
 
-  private static boolean canBegin(long nowMillis, AdmissionRequest ask, double waitMillis) {
-    double beginMillis = nowMillis + waitMillis;
-    boolean inTime = ask.nested() || beginMillis <= ask.startByMillis();
-    return inTime && canFinish(beginMillis, ask);
+  private static boolean canStartInTime(
+      long nowMillis, AdmissionRequest request, double waitMillis) {
+    double startMillis = nowMillis + waitMillis;
+    boolean startsInTime = request.nested() || startMillis <= request.startByMillis();
+    return startsInTime && canMeetDeadline(startMillis, request);
   }
 
-  private static boolean canFinish(double beginMillis, AdmissionRequest ask) {
-    return beginMillis < ask.deadlineMillis()
-        && beginMillis + expectedMillis(ask) <= ask.deadlineMillis();
+  private static boolean canMeetDeadline(double startMillis, AdmissionRequest request) {
+    return startMillis < request.deadlineMillis()
+        && startMillis + expectedMillis(request) <= request.deadlineMillis();
   }
 
-  private static double expectedMillis(AdmissionRequest ask) {
-    return ask.expectedMicros() / MICROS_PER_MILLI;
+  private static double expectedMillis(AdmissionRequest request) {
+    return request.expectedMicros() / MICROS_PER_MILLI;
   }
 
   /** One that has waited too long: coming back makes sense only if its work still fits. */
-  private Decision tooLate(long nowMillis, AdmissionRequest ask) {
-    boolean fits = nowMillis + expectedMillis(ask) < ask.deadlineMillis();
-    return fits ? overloaded(nowMillis, ask) : new Decision.Refused(ask.id(), Reason.DEADLINE, 0);
+  private Decision refusalOfExpired(long nowMillis, AdmissionRequest request) {
+    boolean fits = nowMillis + expectedMillis(request) < request.deadlineMillis();
+    return fits
+        ? refusalOfOverload(nowMillis, request)
+        : new Decision.Refused(request.id(), Reason.DEADLINE, 0);
   }
 
   /** Expected wait behind so many, and one running to end. */
   private double waitMillis(long nowMillis, int ahead) {
-    double forSlot = (ahead + 1) * service.meanMicros() / slots / MICROS_PER_MILLI;
-    return Math.max(forSlot, coldStarts.waitMillis(nowMillis, ahead));
+    double slotWaitMillis = (ahead + 1) * serviceTime.meanMicros() / slots / MICROS_PER_MILLI;
+    return Math.max(slotWaitMillis, coldStartLimiter.waitMillis(nowMillis, ahead));
   }
 
-  private Decision overloaded(long nowMillis, AdmissionRequest ask) {
-    long waitMillis = Math.round(waitMillis(nowMillis, nested.size() + timely.size()));
+  private Decision refusalOfOverload(long nowMillis, AdmissionRequest request) {
+    long waitMillis = Math.round(waitMillis(nowMillis, nested.size() + onTime.size()));
     long retryAfter =
-        Math.max(settings.minRetryAfterMillis(), waitMillis + pressure.awayMillis(ask.id()));
+        Math.max(settings.minRetryAfterMillis(), waitMillis + backoff.backoffMillis(request.id()));
     return new Decision.Refused(
-        ask.id(), Reason.OVERLOADED, Math.min(settings.maxRetryAfterMillis(), retryAfter));
+        request.id(), Reason.OVERLOADED, Math.min(settings.maxRetryAfterMillis(), retryAfter));
   }
 }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/LeastLoadBalancer.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/LeastLoadBalancer.java
@@ -14,8 +14,8 @@
 
 /** Compares a few back ends by expected load; design note 0005. Owner synchronizes. */
 final class LeastLoadBalancer implements LoadBalancer {
-  private static final long FORGET_MILLIS = 600_000;
-  private static final long FORGET_CHECK_MILLIS = 10_000;
+  private static final long EXPIRY_MILLIS = 600_000;
+  private static final long EXPIRY_CHECK_MILLIS = 10_000;
   private static final int MAX_ORDERED_POOLS = 1_024;
   private static final long GOLDEN_GAMMA = 0x9e3779b97f4a7c15L;
 
@@ -29,8 +29,8 @@
   private final Map<String, BackendState> states = new HashMap<>();
   private final Map<String, OrderedPool> pools = new HashMap<>();
   private int edges = 1;
-  private long firstMillis = -1;
-  private long nextForgetMillis;
+  private long firstUseMillis = -1;
+  private long nextExpiryCheckMillis;
 
   LeastLoadBalancer(BalancerSettings settings) {
     this.settings = settings;
@@ -45,16 +45,16 @@
   @Override
   public Either<Verdict.Reason, BackendView> pick(
       long nowMillis, PoolView pool, Tier tier, long spread, Set<String> excluded) {
-    List<Candidate> inService = withoutOutliers(nowMillis, inService(nowMillis, pool));
+    List<Candidate> inService = withoutEjected(nowMillis, candidatesInService(nowMillis, pool));
     List<Candidate> local = new ArrayList<>();
     List<Candidate> remote = new ArrayList<>();
-    boolean shedding = false;
+    boolean isShedding = false;
     for (Candidate candidate : inService) {
       if (excluded.contains(candidate.view.address().id())) {
         continue;
       }
-      if (candidate.state.shedMillisLeft(nowMillis, tier) > 0) {
-        shedding = true;
+      if (candidate.state.remainingBackOffMillis(nowMillis, tier) > 0) {
+        isShedding = true;
       } else if (candidate.view.address().zone().equals(settings.zone())) {
         local.add(candidate);
       } else {
@@ -62,7 +62,7 @@
       }
     }
     if (local.isEmpty() && remote.isEmpty()) {
-      return Either.left(shedding ? Verdict.Reason.OVERLOADED : Verdict.Reason.NO_BACKEND);
+      return Either.left(isShedding ? Verdict.Reason.OVERLOADED : Verdict.Reason.NO_BACKEND);
     }
     Scoring scoring = new Scoring(nowMillis, pool.pool().slotsPerBackend(), inService);
     return Either.right(choose(local, remote, scoring, spread));
@@ -70,26 +70,26 @@
 
   private BackendView choose(
       List<Candidate> local, List<Candidate> remote, Scoring scoring, long spread) {
-    Candidate near = leastOfChoices(local, scoring, spread);
-    double nearLoad = near == null ? Double.POSITIVE_INFINITY : scoring.load(near);
-    if (nearLoad < settings.spillOverLoad() || remote.isEmpty()) {
-      return near.view;
+    Candidate bestLocal = leastLoaded(local, scoring, spread);
+    double bestLocalLoad = bestLocal == null ? Double.POSITIVE_INFINITY : scoring.load(bestLocal);
+    if (bestLocalLoad < settings.spillOverLoad() || remote.isEmpty()) {
+      return bestLocal.view;
     }
-    Candidate far = leastOfChoices(remote, scoring, spread + 1);
+    Candidate bestRemote = leastLoaded(remote, scoring, spread + 1);
     boolean spillOver =
-        scoring.load(far) + settings.remotePenaltySlots() / scoring.slots < nearLoad;
-    return spillOver ? far.view : near.view;
+        scoring.load(bestRemote) + settings.remotePenaltySlots() / scoring.slots < bestLocalLoad;
+    return spillOver ? bestRemote.view : bestLocal.view;
   }
 
   /** The least loaded of a few taken by the spread number; null if there is none. */
-  private Candidate leastOfChoices(List<Candidate> candidates, Scoring scoring, long spread) {
+  private Candidate leastLoaded(List<Candidate> candidates, Scoring scoring, long spread) {
     Candidate least = null;
     double leastLoad = 0;
     int choices = Math.min(settings.choices(), candidates.size());
     for (int i = 0; i < choices; i++) {
       long random = SpreadHash.mix(spread + (i + 1) * GOLDEN_GAMMA);
-      int taken = i + (int) Long.remainderUnsigned(random, candidates.size() - i);
-      Candidate candidate = candidates.set(taken, candidates.get(i));
+      int index = i + (int) Long.remainderUnsigned(random, candidates.size() - i);
+      Candidate candidate = candidates.set(index, candidates.get(i));
       candidates.set(i, candidate);
       double load = scoring.load(candidate);
       if (least == null || load < leastLoad) {
@@ -103,55 +103,55 @@
   @Override
   public long retryAfterMillis(long nowMillis, PoolView pool, Tier tier) {
     long least = Long.MAX_VALUE;
-    for (Candidate candidate : inService(nowMillis, pool)) {
-      least = Math.min(least, candidate.state.shedMillisLeft(nowMillis, tier));
+    for (Candidate candidate : candidatesInService(nowMillis, pool)) {
+      least = Math.min(least, candidate.state.remainingBackOffMillis(nowMillis, tier));
     }
     return least == Long.MAX_VALUE ? 0 : least;
   }
 
   /** The first of this proxy's order that take work, as many as its subset has. */
-  private List<Candidate> inService(long nowMillis, PoolView pool) {
-    if (firstMillis < 0) {
-      firstMillis = nowMillis;
+  private List<Candidate> candidatesInService(long nowMillis, PoolView pool) {
+    if (firstUseMillis < 0) {
+      firstUseMillis = nowMillis;
     }
     List<BackendView> order = order(pool);
     int size =
         Subsetting.size(
             edges, order.size(), settings.connectionsPerEdge(), settings.connectionLimit());
-    List<Candidate> found = new ArrayList<>(size);
-    for (BackendView view : order) {
-      if (found.size() == size) {
+    List<Candidate> candidates = new ArrayList<>(size);
+    for (BackendView backend : order) {
+      if (candidates.size() == size) {
         break;
       }
-      BackendState state = state(nowMillis, view.address().id());
-      if (!view.drained() && state.inService(nowMillis)) {
-        found.add(new Candidate(view, state));
+      BackendState state = state(nowMillis, backend.address().id());
+      if (!backend.drained() && state.isInService(nowMillis)) {
+        candidates.add(new Candidate(backend, state));
       }
     }
-    return found;
+    return candidates;
   }
 
   private List<BackendView> order(PoolView pool) {
-    OrderedPool known = pools.get(pool.pool().name());
-    if (known == null || known.view != pool) {
-      known =
+    OrderedPool cached = pools.get(pool.pool().name());
+    if (cached == null || cached.view != pool) {
+      cached =
           new OrderedPool(
               pool,
               Subsetting.order(settings.edgeId(), pool.backends(), view -> view.address().id()));
       if (pools.size() >= MAX_ORDERED_POOLS) {
         pools.clear();
       }
-      pools.put(pool.pool().name(), known);
+      pools.put(pool.pool().name(), cached);
     }
-    return known.order;
+    return cached.order;
   }
 
   /** Leaves out ejected back ends, but keeps at least half of them all. */
-  private static List<Candidate> withoutOutliers(long nowMillis, List<Candidate> inService) {
+  private static List<Candidate> withoutEjected(long nowMillis, List<Candidate> inService) {
     List<Candidate> kept = new ArrayList<>(inService.size());
     List<Candidate> ejected = new ArrayList<>();
     for (Candidate candidate : inService) {
-      (candidate.state.ejected(nowMillis) ? ejected : kept).add(candidate);
+      (candidate.state.isEjected(nowMillis) ? ejected : kept).add(candidate);
     }
     if (ejected.isEmpty()) {
       return inService;
@@ -169,27 +169,27 @@
 
   @Override
   public void started(long nowMillis, String backendId) {
-    state(nowMillis, backendId).started(nowMillis);
+    state(nowMillis, backendId).recordAttemptStart(nowMillis);
   }
 
   @Override
   public void finished(long nowMillis, String backendId, Verdict verdict, long latencyMicros) {
-    state(nowMillis, backendId).finished(nowMillis, verdict, latencyMicros);
+    state(nowMillis, backendId).recordAttemptEnd(nowMillis, verdict, latencyMicros);
   }
 
   @Override
   public void shed(long nowMillis, String backendId, Tier tier, long retryAfterMillis) {
-    state(nowMillis, backendId).shed(nowMillis, tier, retryAfterMillis);
+    state(nowMillis, backendId).backOff(nowMillis, tier, retryAfterMillis);
   }
 
   @Override
   public void observed(long nowMillis, List<ObservedBackend> backends) {
     for (ObservedBackend backend : backends) {
-      state(nowMillis, backend.backendId()).observed(nowMillis, backend);
+      state(nowMillis, backend.backendId()).updateReport(nowMillis, backend);
     }
-    if (nowMillis >= nextForgetMillis) {
-      nextForgetMillis = nowMillis + FORGET_CHECK_MILLIS;
-      states.values().removeIf(state -> state.idleSince(nowMillis - FORGET_MILLIS));
+    if (nowMillis >= nextExpiryCheckMillis) {
+      nextExpiryCheckMillis = nowMillis + EXPIRY_CHECK_MILLIS;
+      states.values().removeIf(state -> state.isIdleSince(nowMillis - EXPIRY_MILLIS));
     }
   }
 
@@ -203,7 +203,8 @@
   private BackendState state(long nowMillis, String id) {
     BackendState known = states.get(id);
     if (known == null) {
-      boolean isNew = firstMillis >= 0 && nowMillis - firstMillis > settings.slowStartMillis();
+      boolean isNew =
+          firstUseMillis >= 0 && nowMillis - firstUseMillis > settings.slowStartMillis();
       known = new BackendState(settings, nowMillis, isNew);
       states.put(id, known);
     }
@@ -214,8 +215,8 @@
   private static final class Scoring {
     private final long nowMillis;
     private final int slots;
-    private final double othersMean;
-    private final double latencyMean;
+    private final double meanUsedByOthers;
+    private final double meanLatencyMicros;
 
     Scoring(long nowMillis, int slots, List<Candidate> candidates) {
       this.nowMillis = nowMillis;
@@ -227,16 +228,16 @@
       for (Candidate candidate : candidates) {
         double weight = candidate.state.reportWeight(nowMillis);
         weights += weight;
-        others += weight * candidate.state.reportedByOthers();
+        others += weight * candidate.state.slotsUsedByOthers();
         latency += candidate.state.latencyMicros();
         measured += candidate.state.latencyMicros() > 0 ? 1 : 0;
       }
-      othersMean = weights == 0 ? 0 : others / weights;
-      latencyMean = measured < 2 ? 0 : latency / measured;
+      meanUsedByOthers = weights == 0 ? 0 : others / weights;
+      meanLatencyMicros = measured < 2 ? 0 : latency / measured;
     }
 
     double load(Candidate candidate) {
-      return candidate.state.load(nowMillis, slots, othersMean, latencyMean);
+      return candidate.state.load(nowMillis, slots, meanUsedByOthers, meanLatencyMicros);
     }
   }
 }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/SimpleRouteTable.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/SimpleRouteTable.java
@@ -20,18 +20,18 @@
 
   @Override
   public Optional<Route> match(String host, String path) {
-    Optional<Route> exact = first(byHost.get(host.toLowerCase(Locale.ROOT)), path);
-    return exact.isPresent() ? exact : first(byHost.get(Route.ANY_HOST), path);
+    Optional<Route> exact = findFirst(byHost.get(host.toLowerCase(Locale.ROOT)), path);
+    return exact.isPresent() ? exact : findFirst(byHost.get(Route.ANY_HOST), path);
   }
 
-  private static Optional<Route> first(List<Route> candidates, String path) {
+  private static Optional<Route> findFirst(List<Route> candidates, String path) {
     if (candidates == null) {
       return Optional.empty();
     }
-    return candidates.stream().filter(route -> covers(route.pathPrefix(), path)).findFirst();
+    return candidates.stream().filter(route -> matchesPrefix(route.pathPrefix(), path)).findFirst();
   }
 
-  private static boolean covers(String prefix, String path) {
+  private static boolean matchesPrefix(String prefix, String path) {
     if (!path.startsWith(prefix)) {
       return false;
     }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/SlotAdmissionController.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/SlotAdmissionController.java
@@ -18,10 +18,10 @@
   private static final double MICROS_PER_MILLI = 1_000.0;
   private static final Tier[] TIERS = Tier.values();
 
-  private record Running(AdmissionRequest ask, double chargedMicros) {}
+  private record Running(AdmissionRequest request, double chargedMicros) {}
 
   private final AdmissionSettings settings;
-  private final ServiceTimeEstimate service;
+  private final ServiceTimeEstimate serviceTime;
   private final Map<Tier, TierQueue> queues = new EnumMap<>(Tier.class);
   private final int[] passedOver = new int[TIERS.length];
   private final Map<Long, Running> running = new HashMap<>();
@@ -32,34 +32,34 @@
   SlotAdmissionController(AdmissionSettings settings) {
     this.settings = settings;
     this.slots = settings.slots();
-    this.service = new ServiceTimeEstimate(settings.initialServiceMicros());
+    this.serviceTime = new ServiceTimeEstimate(settings.initialServiceMicros());
     for (Tier tier : TIERS) {
       queues.put(tier, new TierQueue());
     }
   }
 
   @Override
-  public List<Decision> ask(long nowMillis, AdmissionRequest ask) {
-    if (running.containsKey(ask.id())) {
-      throw new IllegalArgumentException("request " + ask.id() + " already holds a slot");
+  public List<Decision> ask(long nowMillis, AdmissionRequest request) {
+    if (running.containsKey(request.id())) {
+      throw new IllegalArgumentException("request " + request.id() + " already holds a slot");
     }
     if (draining) {
-      return List.of(new Decision.Refused(ask.id(), Reason.DRAINING, 0));
+      return List.of(new Decision.Refused(request.id(), Reason.DRAINING, 0));
     }
-    if (ask.deadlineMillis() <= nowMillis) {
-      return List.of(new Decision.Refused(ask.id(), Reason.DEADLINE, 0));
+    if (request.deadlineMillis() <= nowMillis) {
+      return List.of(new Decision.Refused(request.id(), Reason.DEADLINE, 0));
     }
     if (running.size() < slots) {
-      double charge = service.meanMicros();
-      queues.get(ask.tier()).startedUncontended(ask.tenant(), charge);
-      return List.of(hold(ask, charge));
+      double charge = serviceTime.meanMicros();
+      queues.get(request.tier()).startedUncontended(request.tenant(), charge);
+      return List.of(admit(request, charge));
     }
-    double waitMicros = waitMicros(ask);
-    boolean tooLong = waitMicros / MICROS_PER_MILLI > ask.toleratedWaitMillis();
-    if (tooLong || !canBeMet(nowMillis, ask, waitMicros)) {
-      return List.of(overloaded(ask));
+    double waitMicros = waitMicros(request);
+    boolean isWaitTooLong = waitMicros / MICROS_PER_MILLI > request.toleratedWaitMillis();
+    if (isWaitTooLong || !canMeetDeadline(nowMillis, request, waitMicros)) {
+      return List.of(refusalOfOverload(request));
     }
-    return enqueue(ask);
+    return enqueue(request);
   }
 
   @Override
@@ -69,11 +69,11 @@
       return List.of();
     }
     if (serviceMicros > 0) {
-      service.add(serviceMicros);
+      serviceTime.add(serviceMicros);
     }
     queues
-        .get(ended.ask.tier())
-        .ended(ended.ask.tenant(), ended.chargedMicros, Math.max(0, serviceMicros));
+        .get(ended.request.tier())
+        .finished(ended.request.tenant(), ended.chargedMicros, Math.max(0, serviceMicros));
     return dispatch(nowMillis);
   }
 
@@ -92,7 +92,8 @@
   public List<Decision> tick(long nowMillis) {
     List<Decision> decisions = new ArrayList<>();
     for (TierQueue queue : queues.values()) {
-      for (AdmissionRequest late : queue.removeIf(ask -> !canBeMet(nowMillis, ask, 0))) {
+      for (AdmissionRequest late :
+          queue.removeIf(request -> !canMeetDeadline(nowMillis, request, 0))) {
         queued--;
         decisions.add(new Decision.Refused(late.id(), Reason.DEADLINE, 0));
       }
@@ -105,8 +106,8 @@
     draining = true;
     List<Decision> decisions = new ArrayList<>();
     for (TierQueue queue : queues.values()) {
-      for (AdmissionRequest ask : queue.removeIf(any -> true)) {
-        decisions.add(new Decision.Refused(ask.id(), Reason.DRAINING, 0));
+      for (AdmissionRequest request : queue.removeIf(all -> true)) {
+        decisions.add(new Decision.Refused(request.id(), Reason.DRAINING, 0));
       }
     }
     queued = 0;
@@ -132,50 +133,51 @@
 
   @Override
   public long meanServiceMicros() {
-    return Math.round(service.meanMicros());
+    return Math.round(serviceTime.meanMicros());
   }
 
-  private Decision hold(AdmissionRequest ask, double charge) {
-    running.put(ask.id(), new Running(ask, charge));
-    return new Decision.Admitted(ask.id());
+  private Decision admit(AdmissionRequest request, double charge) {
+    running.put(request.id(), new Running(request, charge));
+    return new Decision.Admitted(request.id());
   }
 
-  private List<Decision> enqueue(AdmissionRequest ask) {
+  private List<Decision> enqueue(AdmissionRequest request) {
     List<Decision> decisions = new ArrayList<>();
-    if (placesFor(ask.tier()) <= 0) {
-      Optional<AdmissionRequest> displaced = displaceFor(ask);
-      if (displaced.isEmpty()) {
-        return List.of(overloaded(ask));
+    if (freePlaces(request.tier()) <= 0) {
+      Optional<AdmissionRequest> evicted = evictFor(request);
+      if (evicted.isEmpty()) {
+        return List.of(refusalOfOverload(request));
       }
       queued--;
-      decisions.add(overloaded(displaced.get()));
+      decisions.add(refusalOfOverload(evicted.get()));
     }
-    queues.get(ask.tier()).add(ask);
+    queues.get(request.tier()).add(request);
     queued++;
-    decisions.add(0, new Decision.Queued(ask.id()));
+    decisions.add(0, new Decision.Queued(request.id()));
     return decisions;
   }
 
   /** Free queue places, less those kept for the other tiers. */
-  private int placesFor(Tier tier) {
+  private int freePlaces(Tier tier) {
     int places = settings.queueLimit() - queued;
     for (Tier other : TIERS) {
       if (other != tier) {
-        places -= Math.max(0, AdmissionSettings.RESERVED_PLACES - queues.get(other).size());
+        places -=
+            Math.max(0, AdmissionSettings.RESERVED_PLACES_PER_TIER - queues.get(other).size());
       }
     }
     return places;
   }
 
   /** A lower tier gives way first; within the tier, the tenant furthest beyond its share. */
-  private Optional<AdmissionRequest> displaceFor(AdmissionRequest ask) {
-    for (int tier = TIERS.length - 1; tier > ask.tier().ordinal(); tier--) {
+  private Optional<AdmissionRequest> evictFor(AdmissionRequest request) {
+    for (int tier = TIERS.length - 1; tier > request.tier().ordinal(); tier--) {
       TierQueue lower = queues.get(TIERS[tier]);
-      if (lower.size() > AdmissionSettings.RESERVED_PLACES) {
-        return lower.removeLast(service.meanMicros());
+      if (lower.size() > AdmissionSettings.RESERVED_PLACES_PER_TIER) {
+        return lower.removeLast(serviceTime.meanMicros());
       }
     }
-    return queues.get(ask.tier()).removeLastAfter(ask.tenant(), service.meanMicros());
+    return queues.get(request.tier()).removeLastAfter(request.tenant(), serviceTime.meanMicros());
   }
 
   private List<Decision> dispatch(long nowMillis) {
@@ -184,11 +186,11 @@
       Tier tier = nextTier();
       AdmissionRequest next = queues.get(tier).poll();
       queued--;
-      if (canBeMet(nowMillis, next, 0)) {
+      if (canMeetDeadline(nowMillis, next, 0)) {
         countPassedOver(tier);
-        double charge = service.meanMicros();
+        double charge = serviceTime.meanMicros();
         queues.get(tier).started(next.tenant(), charge);
-        decisions.add(hold(next, charge));
+        decisions.add(admit(next, charge));
       } else {
         decisions.add(new Decision.Refused(next.id(), Reason.DEADLINE, 0));
       }
@@ -212,25 +214,25 @@
 
   private void countPassedOver(Tier chosen) {
     for (Tier tier : TIERS) {
-      boolean waits = tier != chosen && queues.get(tier).size() > 0;
-      passedOver[tier.ordinal()] = waits ? passedOver[tier.ordinal()] + 1 : 0;
+      boolean isWaiting = tier != chosen && queues.get(tier).size() > 0;
+      passedOver[tier.ordinal()] = isWaiting ? passedOver[tier.ordinal()] + 1 : 0;
     }
   }
 
-  private boolean canBeMet(long nowMillis, AdmissionRequest ask, double waitMicros) {
-    double workMicros = Math.max(service.fastMicros(), ask.expectedMicros());
+  private boolean canMeetDeadline(long nowMillis, AdmissionRequest request, double waitMicros) {
+    double workMicros = Math.max(serviceTime.fastMicros(), request.expectedMicros());
     double needed = (waitMicros + workMicros) / MICROS_PER_MILLI;
-    return nowMillis < ask.deadlineMillis() && nowMillis + needed <= ask.deadlineMillis();
+    return nowMillis < request.deadlineMillis() && nowMillis + needed <= request.deadlineMillis();
   }
 
   /** Expected wait of a further request: all that go before it, and one running to end. */
-  private double waitMicros(AdmissionRequest ask) {
-    int ahead = queues.get(ask.tier()).ahead(ask.tenant());
+  private double waitMicros(AdmissionRequest request) {
+    int ahead = queues.get(request.tier()).countAhead(request.tenant());
     for (Tier tier : TIERS) {
       int waiting = queues.get(tier).size();
-      if (tier.compareTo(ask.tier()) < 0) {
+      if (tier.compareTo(request.tier()) < 0) {
         ahead += waiting;
-      } else if (tier != ask.tier()) {
+      } else if (tier != request.tier()) {
         ahead += Math.min(waiting, ahead / settings.starvationBound());
       }
     }
@@ -238,13 +240,13 @@
   }
 
   private double drainMicros(int requests) {
-    return requests * service.meanMicros() / slots;
+    return requests * serviceTime.meanMicros() / slots;
   }
 
-  private Decision overloaded(AdmissionRequest ask) {
+  private Decision refusalOfOverload(AdmissionRequest request) {
     long drainMillis = Math.round(drainMicros(queued + 1) / MICROS_PER_MILLI);
     long retryAfter = Math.max(settings.minRetryAfterMillis(), drainMillis);
     return new Decision.Refused(
-        ask.id(), Reason.OVERLOADED, Math.min(settings.maxRetryAfterMillis(), retryAfter));
+        request.id(), Reason.OVERLOADED, Math.min(settings.maxRetryAfterMillis(), retryAfter));
   }
 }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/SpreadHash.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/SpreadHash.java
@@ -15,7 +15,7 @@
   }
 
   /** Hashes a text. */
-  static long of(String text) {
+  static long hash(String text) {
     long hash = FNV_OFFSET;
     for (int i = 0; i < text.length(); i++) {
       hash = (hash ^ text.charAt(i)) * FNV_PRIME;
@@ -24,7 +24,7 @@
   }
 
   /** Hashes an ordered pair. */
-  static long of(String first, String second) {
-    return mix(of(first) * FNV_PRIME + of(second));
+  static long hash(String first, String second) {
+    return mix(hash(first) * FNV_PRIME + hash(second));
   }
 }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/Subsetting.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/Subsetting.java
@@ -25,7 +25,7 @@
   /** Smallest subset, if the pool has as many back ends. */
   public static final int MINIMUM = 2;
 
-  private static final double DEVIATIONS = 4;
+  private static final double STANDARD_DEVIATIONS = 4;
 
   private Subsetting() {}
 
@@ -52,7 +52,7 @@
   /** Edge proxies on the busiest back end, as the bound above states it. */
   public static double expectedMaximum(int edges, int backends, int size) {
     double mean = (double) edges * size / backends;
-    return Math.min(edges, mean + DEVIATIONS * Math.sqrt(mean));
+    return Math.min(edges, mean + STANDARD_DEVIATIONS * Math.sqrt(mean));
   }
 
   /**
@@ -64,7 +64,7 @@
     record Ranked<T>(long rank, T backend) {}
     List<Ranked<T>> ranked = new ArrayList<>(backends.size());
     for (T backend : backends) {
-      ranked.add(new Ranked<>(SpreadHash.of(edgeId, id.apply(backend)), backend));
+      ranked.add(new Ranked<>(SpreadHash.hash(edgeId, id.apply(backend)), backend));
     }
     ranked.sort(Comparator.comparingLong(Ranked::rank));
     return ranked.stream().map(Ranked::backend).toList();
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/TierQueue.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/TierQueue.java
@@ -28,19 +28,19 @@
   }
 
   private final Map<String, Tenant> tenants = new LinkedHashMap<>();
-  private double floorMicros;
+  private double virtualTimeMicros;
   private int size;
 
   int size() {
     return size;
   }
 
-  void add(AdmissionRequest ask) {
-    Tenant tenant = tenant(ask.tenant());
+  void add(AdmissionRequest request) {
+    Tenant tenant = tenant(request.tenant());
     if (tenant.waiting.isEmpty()) {
-      tenant.virtualMicros = Math.max(tenant.virtualMicros, floorMicros);
+      tenant.virtualMicros = Math.max(tenant.virtualMicros, virtualTimeMicros);
     }
-    tenant.waiting.addLast(ask);
+    tenant.waiting.addLast(request);
     size++;
   }
 
@@ -56,7 +56,7 @@
     if (next == null) {
       throw new IllegalStateException("queue is empty");
     }
-    floorMicros = Math.max(floorMicros, next.virtualMicros);
+    virtualTimeMicros = Math.max(virtualTimeMicros, next.virtualMicros);
     size--;
     return next.waiting.removeFirst();
   }
@@ -66,7 +66,7 @@
    * forgiven, so that a busy past does not count against it when a queue forms.
    */
   void startedUncontended(String tenantName, double chargedMicros) {
-    tenant(tenantName).virtualMicros = floorMicros;
+    tenant(tenantName).virtualMicros = virtualTimeMicros;
     started(tenantName, chargedMicros);
   }
 
@@ -74,19 +74,19 @@
   void started(String tenantName, double chargedMicros) {
     Tenant tenant = tenant(tenantName);
     tenant.running++;
-    tenant.virtualMicros = Math.max(tenant.virtualMicros, floorMicros) + chargedMicros;
+    tenant.virtualMicros = Math.max(tenant.virtualMicros, virtualTimeMicros) + chargedMicros;
   }
 
   /** A request of the tenant gave its slot back; corrects the charge. */
-  void ended(String tenantName, double chargedMicros, double usedMicros) {
+  void finished(String tenantName, double chargedMicros, double usedMicros) {
     Tenant tenant = tenant(tenantName);
     tenant.running--;
     tenant.virtualMicros += usedMicros - chargedMicros;
-    forgetIdle();
+    removeIdleTenants();
   }
 
   /** Requests that would be served before a further one of the tenant. */
-  int ahead(String tenantName) {
+  int countAhead(String tenantName) {
     Tenant own = tenants.get(tenantName);
     int ownWaiting = own == null ? 0 : own.waiting.size();
     int ahead = 0;
@@ -116,8 +116,9 @@
     Tenant own = tenants.get(tenantName);
     double ownFinish =
         own == null
-            ? floorMicros + requestMicros
-            : Math.max(own.virtualMicros, floorMicros) + (own.waiting.size() + 1) * requestMicros;
+            ? virtualTimeMicros + requestMicros
+            : Math.max(own.virtualMicros, virtualTimeMicros)
+                + (own.waiting.size() + 1) * requestMicros;
     return removeLast(requestMicros, ownFinish);
   }
 
@@ -140,18 +141,18 @@
 
   /** Removes a request; whether it was here. */
   boolean remove(long id) {
-    return !removeIf(ask -> ask.id() == id).isEmpty();
+    return !removeIf(request -> request.id() == id).isEmpty();
   }
 
   /** Removes the requests that match, oldest first within each tenant. */
   List<AdmissionRequest> removeIf(Predicate<AdmissionRequest> condition) {
     List<AdmissionRequest> removed = new ArrayList<>();
     for (Tenant tenant : tenants.values()) {
-      for (Iterator<AdmissionRequest> asks = tenant.waiting.iterator(); asks.hasNext(); ) {
-        AdmissionRequest ask = asks.next();
-        if (condition.test(ask)) {
-          asks.remove();
-          removed.add(ask);
+      for (Iterator<AdmissionRequest> requests = tenant.waiting.iterator(); requests.hasNext(); ) {
+        AdmissionRequest request = requests.next();
+        if (condition.test(request)) {
+          requests.remove();
+          removed.add(request);
         }
       }
     }
@@ -164,14 +165,14 @@
   }
 
   /** Forgets idle tenants that owe nothing, or any idle ones when there are very many. */
-  private void forgetIdle() {
-    boolean many = tenants.size() > MAX_IDLE_TENANTS;
+  private void removeIdleTenants() {
+    boolean isOverLimit = tenants.size() > MAX_IDLE_TENANTS;
     tenants
         .values()
         .removeIf(
             tenant ->
                 tenant.waiting.isEmpty()
                     && tenant.running == 0
-                    && (many || tenant.virtualMicros <= floorMicros));
+                    && (isOverLimit || tenant.virtualMicros <= virtualTimeMicros));
   }
 }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/load/DecayingSlowdown.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/load/DecayingSlowdown.java
@@ -54,6 +54,7 @@
     double halfLifeMillis =
         Math.min(MAX_HALF_LIFE_MILLIS, Math.max(HALF_LIFE_MILLIS, durationMillis));
     return NORMAL
-        + (lastFactor - NORMAL) * DecayingValue.weight(nowMillis - updatedMillis, halfLifeMillis);
+        + (lastFactor - NORMAL)
+            * DecayingValue.decayFactor(nowMillis - updatedMillis, halfLifeMillis);
   }
 }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/GateBalancer.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/GateBalancer.java
@@ -53,7 +53,7 @@
     /** Probability that a response is late whose expected time is {@code millis}. */
     private double lateProbability(double millis) {
       double ratio = millis / targetMillis;
-      // The ratio to the power of LATENESS_STEEPNESS, without {@code Math.pow}: this runs for each
+      // The ratio to the power of LATENESS_STEEPNESS, without Math.pow: this runs for each
       // compared backend.
       double odds = ratio * ratio * ratio * ratio;
       return odds / (1 + odds);
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/AdmissionControllerTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/AdmissionControllerTest.java
@@ -26,18 +26,18 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class AdmissionControllerTest {
-  private static final long FAR = 1_000_000;
+  private static final long FAR_DEADLINE_MILLIS = 1_000_000;
 
   private final AdmissionController controller =
       AdmissionControllers.create(new AdmissionSettings(2, 6, 4, 10_000, 20, 5_000));
 
-  private static AdmissionRequest ask(long id, String tenant, Tier tier) {
-    return new AdmissionRequest(id, tenant, tier, FAR);
+  private static AdmissionRequest request(long id, String tenant, Tier tier) {
+    return new AdmissionRequest(id, tenant, tier, FAR_DEADLINE_MILLIS);
   }
 
   private void fillSlots() {
-    controller.ask(0, ask(-1, "other", Tier.STANDARD));
-    controller.ask(0, ask(-2, "other", Tier.STANDARD));
+    controller.ask(0, request(-1, "other", Tier.STANDARD));
+    controller.ask(0, request(-2, "other", Tier.STANDARD));
   }
 
   /** Two slots of 10 ms: a request that finds n before it waits for (n + 1) * 5 ms. */
@@ -50,10 +50,10 @@
     "0, 0, DEADLINE",
     "0, -1, DEADLINE"
   })
-  void refusesAtOnceWhatCannotBeMet(int before, long deadline, String expected) {
+  void refusesImmediatelyIfTheDeadlineCannotBeMet(int before, long deadline, String expected) {
     fillSlots();
     for (int i = 0; i < before; i++) {
-      controller.ask(0, ask(i, "a", Tier.STANDARD));
+      controller.ask(0, request(i, "a", Tier.STANDARD));
     }
     List<Decision> decisions =
         controller.ask(0, new AdmissionRequest(9, "a", Tier.STANDARD, deadline));
@@ -67,15 +67,15 @@
   }
 
   @Test
-  void aFreeSlotIsNeverRefusedForASlowPast() {
-    controller.ask(0, ask(1, "a", Tier.BASIC));
+  void admitsToAFreeSlotDespiteSlowEarlierRequests() {
+    controller.ask(0, request(1, "a", Tier.BASIC));
     controller.release(0, 1, 60_000_000);
     assertThat(controller.ask(0, new AdmissionRequest(2, "a", Tier.BASIC, 5)))
         .containsExactly(new Admitted(2));
   }
 
   @Test
-  void whatWaitedTooLongIsRefusedAndNotRun() {
+  void refusesAQueuedRequestAtItsDeadline() {
     fillSlots();
     controller.ask(0, new AdmissionRequest(1, "a", Tier.STANDARD, 30));
     assertThat(controller.tick(29)).isEmpty();
@@ -84,29 +84,29 @@
   }
 
   @Test
-  void aFullQueueDropsTheLowestTierAndKeepsAPlaceForEach() {
+  void aFullQueueEvictsTheLowestTierAndReservesAPlaceForEach() {
     fillSlots();
     for (int i = 0; i < 4; i++) {
-      assertThat(controller.ask(0, ask(i, "a", Tier.BASIC))).containsExactly(new Queued(i));
+      assertThat(controller.ask(0, request(i, "a", Tier.BASIC))).containsExactly(new Queued(i));
     }
-    assertThat(controller.ask(0, ask(4, "a", Tier.BASIC)).get(0)).isInstanceOf(Refused.class);
+    assertThat(controller.ask(0, request(4, "a", Tier.BASIC)).get(0)).isInstanceOf(Refused.class);
     List<Decision> all = new ArrayList<>();
     for (int i = 10; i < 20; i++) {
-      all.addAll(controller.ask(0, ask(i, "a", Tier.PREMIUM)));
+      all.addAll(controller.ask(0, request(i, "a", Tier.PREMIUM)));
     }
     assertThat(all.stream().filter(Queued.class::isInstance)).hasSize(4);
     assertThat(all).anyMatch(decision -> decision instanceof Refused refused && refused.id() == 3);
-    assertThat(controller.ask(0, ask(30, "a", Tier.STANDARD))).containsExactly(new Queued(30));
+    assertThat(controller.ask(0, request(30, "a", Tier.STANDARD))).containsExactly(new Queued(30));
     assertThat(controller.queued()).isEqualTo(6);
   }
 
   @Test
-  void withinATierTheTenantThatWaitsMostLosesItsNewest() {
+  void aFullTierEvictsTheNewestRequestOfTheLargestTenant() {
     fillSlots();
     for (int i = 0; i < 4; i++) {
-      controller.ask(0, ask(i, "greedy", Tier.STANDARD));
+      controller.ask(0, request(i, "greedy", Tier.STANDARD));
     }
-    List<Decision> decisions = controller.ask(0, ask(9, "modest", Tier.STANDARD));
+    List<Decision> decisions = controller.ask(0, request(9, "modest", Tier.STANDARD));
     assertThat(decisions.get(0)).isEqualTo(new Queued(9));
     assertThat(decisions.get(1).id()).isEqualTo(3);
   }
@@ -114,12 +114,12 @@
   @Test
   void cancelledDrainedAndUnknownRequestsNeverHoldASlot() {
     fillSlots();
-    controller.ask(0, ask(1, "a", Tier.STANDARD));
-    controller.ask(0, ask(2, "a", Tier.STANDARD));
+    controller.ask(0, request(1, "a", Tier.STANDARD));
+    controller.ask(0, request(2, "a", Tier.STANDARD));
     assertThat(controller.cancel(0, 1)).containsExactly(new Refused(1, Reason.CANCELLED, 0));
     assertThat(controller.cancel(0, -1)).isEmpty();
     assertThat(controller.drain(0)).containsExactly(new Refused(2, Reason.DRAINING, 0));
-    assertThat(controller.ask(0, ask(3, "a", Tier.PREMIUM)))
+    assertThat(controller.ask(0, request(3, "a", Tier.PREMIUM)))
         .containsExactly(new Refused(3, Reason.DRAINING, 0));
     assertThat(controller.release(0, 77, 5)).isEmpty();
     assertThat(controller.running()).isEqualTo(2);
@@ -130,11 +130,11 @@
   }
 
   @Test
-  void moreSlotsAdmitAtOnceAndFewerWaitForTheRunning() {
+  void moreSlotsAdmitAtOnceAndFewerSlotsLetRunningRequestsFinish() {
     fillSlots();
-    controller.ask(0, ask(1, "a", Tier.STANDARD));
+    controller.ask(0, request(1, "a", Tier.STANDARD));
     assertThat(controller.resize(0, 3)).containsExactly(new Admitted(1));
-    controller.ask(0, ask(2, "a", Tier.STANDARD));
+    controller.ask(0, request(2, "a", Tier.STANDARD));
     assertThat(controller.resize(0, 1)).isEmpty();
     controller.release(0, 1, 5);
     controller.release(0, -1, 5);
@@ -145,26 +145,26 @@
   /** One slot, all tiers and three tenants always waiting: who gets the slot how often. */
   @Test
   void lowerTiersAndTenantsGetTheirBoundedShare() {
-    AdmissionController one =
+    AdmissionController singleSlotController =
         AdmissionControllers.create(new AdmissionSettings(1, 60, 4, 1_000, 20, 5_000));
     Map<Tier, Integer> byTier = new EnumMap<>(Tier.class);
     Map<String, Double> timeByTenant = new HashMap<>();
-    Map<Long, AdmissionRequest> asks = new HashMap<>();
+    Map<Long, AdmissionRequest> requests = new HashMap<>();
     Deque<Long> running = new ArrayDeque<>();
     long id = 0;
     for (int round = 0; round < 3_000; round++) {
       for (Tier tier : Tier.values()) {
         for (String tenant : List.of("slow", "b", "c")) {
-          AdmissionRequest ask = ask(id++, tenant, tier);
-          asks.put(ask.id(), ask);
-          admitted(one.ask(0, ask), running);
+          AdmissionRequest request = request(id++, tenant, tier);
+          requests.put(request.id(), request);
+          addAdmitted(singleSlotController.ask(0, request), running);
         }
       }
-      AdmissionRequest ended = asks.get(running.poll());
+      AdmissionRequest ended = requests.get(running.poll());
       byTier.merge(ended.tier(), 1, Integer::sum);
       long used = ended.tenant().equals("slow") ? 4_000 : 1_000;
       timeByTenant.merge(ended.tenant(), (double) used, Double::sum);
-      admitted(one.release(0, ended.id(), used), running);
+      addAdmitted(singleSlotController.release(0, ended.id(), used), running);
     }
     assertThat(byTier.get(Tier.BASIC)).isBetween(3_000 / 7, 3_000 / 4);
     assertThat(byTier.get(Tier.STANDARD)).isBetween(3_000 / 7, 3_000 / 4);
@@ -173,15 +173,15 @@
   }
 
   @Test
-  void useOfFreeSlotsDoesNotCountWhenAQueueForms() {
+  void uncontendedUseDoesNotCountAgainstATenantLater() {
     for (int i = 100; i < 1_100; i++) {
-      controller.ask(0, ask(i, "busy", Tier.STANDARD));
+      controller.ask(0, request(i, "busy", Tier.STANDARD));
       controller.release(0, i, 10_000);
     }
     fillSlots();
     for (int i = 0; i < 2; i++) {
-      controller.ask(0, ask(2 * i, "new", Tier.STANDARD));
-      controller.ask(0, ask(2 * i + 1, "busy", Tier.STANDARD));
+      controller.ask(0, request(2 * i, "new", Tier.STANDARD));
+      controller.ask(0, request(2 * i + 1, "busy", Tier.STANDARD));
     }
     controller.release(0, -1, 10_000);
     controller.release(0, -2, 10_000);
@@ -189,7 +189,7 @@
     assertThat(controller.release(0, 1, 10_000)).containsExactly(new Admitted(3));
   }
 
-  private static void admitted(List<Decision> decisions, Deque<Long> running) {
+  private static void addAdmitted(List<Decision> decisions, Deque<Long> running) {
     decisions.stream().filter(Admitted.class::isInstance).forEach(d -> running.add(d.id()));
   }
 
@@ -241,19 +241,19 @@
   }
 
   @Test
-  void refusesWhatWouldWaitLongerThanItTolerates() {
+  void refusesARequestWhoseWaitExceedsItsTolerance() {
     AdmissionController controller = AdmissionControllers.create(AdmissionSettings.forSlots(1));
     controller.ask(0, new AdmissionController.AdmissionRequest(1, "t", Tier.STANDARD, 60_000));
     controller.release(100, 1, 100_000);
     controller.ask(100, new AdmissionController.AdmissionRequest(2, "t", Tier.STANDARD, 60_000));
 
-    assertThat(askTolerating(controller, 3, 50))
+    assertThat(submitTolerating(controller, 3, 50))
         .isInstanceOf(AdmissionController.Decision.Refused.class);
-    assertThat(askTolerating(controller, 4, 150))
+    assertThat(submitTolerating(controller, 4, 150))
         .isInstanceOf(AdmissionController.Decision.Queued.class);
   }
 
-  private static AdmissionController.Decision askTolerating(
+  private static AdmissionController.Decision submitTolerating(
       AdmissionController controller, long id, long waitMillis) {
     return controller
         .ask(
@@ -264,7 +264,7 @@
   }
 
   @Test
-  void refusesWhatItsOwnWorkCannotFinishInTime() {
+  void refusesARequestThatCannotFinishBeforeItsDeadline() {
     AdmissionController controller = AdmissionControllers.create(AdmissionSettings.forSlots(1));
     controller.ask(0, new AdmissionController.AdmissionRequest(1, "t", Tier.STANDARD, 60_000));
     controller.release(10, 1, 10_000);
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/ColdStartLimiterTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/ColdStartLimiterTest.java
@@ -19,19 +19,19 @@
   /** The users' bound: {@code coldPerS x warmupOverage + warmupSlack} in any second. */
   @ParameterizedTest
   @CsvSource({"13, 1.5, 8", "9.1, 1.5, 8", "10, 1, 0", "2, 1, 1", "40, 2, 0"})
-  void noSecondHoldsMoreThanTheBoundHoweverManyAsk(double perSecond, double overage, double slack) {
+  void noSecondExceedsTheLimitUnderAnyDemand(double perSecond, double overage, double slack) {
     ColdStartLimiter limiter =
         new ColdStartLimiter(new ColdStartLimiter.Bounds(overage, slack), LONG_AGO);
     limiter.cold(0, WARMUP_MILLIS, perSecond);
     Deque<Long> lastSecond = new ArrayDeque<>();
-    int all = 0;
+    int total = 0;
 
     for (long now = 0; now < WARMUP_MILLIS; now++) {
       // A pause, in which the bucket fills, then as many as are let in.
-      while (now >= 1_200 && limiter.mayBegin(now)) {
-        limiter.begins(now);
+      while (now >= 1_200 && limiter.canStart(now)) {
+        limiter.recordStart(now);
         lastSecond.add(now);
-        all++;
+        total++;
       }
       while (!lastSecond.isEmpty() && lastSecond.peek() <= now - 1_000) {
         lastSecond.remove();
@@ -39,26 +39,26 @@
       assertThat(lastSecond.size()).isLessThanOrEqualTo((int) (perSecond * overage + slack));
     }
     // In 1.8 s, of which 0.1 s a second is left for the way.
-    assertThat(all).isGreaterThanOrEqualTo((int) (1.5 * (int) (perSecond * overage + slack)));
+    assertThat(total).isGreaterThanOrEqualTo((int) (1.5 * (int) (perSecond * overage + slack)));
   }
 
   @ParameterizedTest
   @CsvSource({"13, 1.5, 8"})
-  void nothingIsBoundedBeforeAndAfter(double perSecond, double overage, double slack) {
+  void thereIsNoLimitBeforeAndAfterTheWarmUp(double perSecond, double overage, double slack) {
     ColdStartLimiter limiter =
         new ColdStartLimiter(new ColdStartLimiter.Bounds(overage, slack), LONG_AGO);
     for (int count = 0; count < 100; count++) {
-      assertThat(limiter.mayBegin(0)).isTrue();
-      limiter.begins(0);
+      assertThat(limiter.canStart(0)).isTrue();
+      limiter.recordStart(0);
     }
 
     limiter.cold(0, WARMUP_MILLIS, perSecond);
-    assertThat(limiter.mayBegin(0)).isFalse();
+    assertThat(limiter.canStart(0)).isFalse();
     assertThat(limiter.waitMillis(0, 0)).isEqualTo(1_100);
     assertThat(limiter.usableSlots(0, 13, 200_000)).isEqualTo(5);
 
-    assertThat(limiter.mayBegin(1_100)).isTrue();
-    assertThat(limiter.mayBegin(WARMUP_MILLIS)).isTrue();
+    assertThat(limiter.canStart(1_100)).isTrue();
+    assertThat(limiter.canStart(WARMUP_MILLIS)).isTrue();
     assertThat(limiter.waitMillis(WARMUP_MILLIS, 50)).isZero();
     assertThat(limiter.usableSlots(WARMUP_MILLIS, 13, 200_000)).isEqualTo(13);
   }
@@ -69,10 +69,10 @@
    */
   @ParameterizedTest
   @CsvSource({"10.5, 1.5, 8, 20", "10.5, 1.5, 8, 100", "10, 1, 0, 100"})
-  void whatArrivesInASecondKeepsTheBoundThoughItIsDelayedOnTheWay(
+  void arrivalsWithVaryingTransitTimesStayWithinTheLimit(
       double perSecond, double overage, double slack, int maxDelay) {
     SplittableRandom random = new SplittableRandom(5);
-    int most = (int) (perSecond * overage + slack);
+    int limit = (int) (perSecond * overage + slack);
     for (int round = 0; round < 50; round++) {
       ColdStartLimiter limiter =
           new ColdStartLimiter(new ColdStartLimiter.Bounds(overage, slack), LONG_AGO);
@@ -80,51 +80,51 @@
       List<Long> arrivals = new ArrayList<>();
       double load = random.nextDouble();
       for (long now = 0; now < WARMUP_MILLIS; now++) {
-        while (random.nextDouble() < load && limiter.mayBegin(now)) {
-          limiter.begins(now);
+        while (random.nextDouble() < load && limiter.canStart(now)) {
+          limiter.recordStart(now);
           arrivals.add(now + random.nextInt(maxDelay));
         }
       }
       Collections.sort(arrivals);
-      for (int last = most; last < arrivals.size(); last++) {
-        assertThat(arrivals.get(last) - arrivals.get(last - most)).isGreaterThanOrEqualTo(1_000);
+      for (int last = limit; last < arrivals.size(); last++) {
+        assertThat(arrivals.get(last) - arrivals.get(last - limit)).isGreaterThanOrEqualTo(1_000);
       }
     }
   }
 
   /** A burst that used the whole bound would leave nothing to what comes in the second after. */
   @Test
-  void theWholeBoundIsUsedEvenly() {
+  void theLimitIsUsedFullyAndEvenly() {
     ColdStartLimiter limiter = new ColdStartLimiter(new ColdStartLimiter.Bounds(1.5, 8), LONG_AGO);
     limiter.cold(0, WARMUP_MILLIS, 10.5);
 
     assertThat(limiter.usableSlots(0, 4, 130_000)).isEqualTo(4);
-    assertThat(begun(limiter, 0)).isEqualTo(6);
+    assertThat(startAllAllowed(limiter, 0)).isEqualTo(6);
     assertThat(limiter.waitMillis(0, 0)).isEqualTo(275);
     assertThat(limiter.usableSlots(0, 4, 130_000)).isEqualTo(3);
-    assertThat(begun(limiter, 275)).isEqualTo(6);
-    assertThat(begun(limiter, 550)).isEqualTo(6);
-    assertThat(begun(limiter, 825)).isEqualTo(5);
-    assertThat(begun(limiter, 1_100)).isEqualTo(6);
+    assertThat(startAllAllowed(limiter, 275)).isEqualTo(6);
+    assertThat(startAllAllowed(limiter, 550)).isEqualTo(6);
+    assertThat(startAllAllowed(limiter, 825)).isEqualTo(5);
+    assertThat(startAllAllowed(limiter, 1_100)).isEqualTo(6);
   }
 
   /** An earlier process may have begun what the bound allows just before this one started. */
   @Test
-  void aProcessThatHasJustStartedLetsInOnlyWhatAnEarlierOneLeaves() {
+  void aNewProcessAllowsForStartsOfAnEarlierProcess() {
     ColdStartLimiter limiter = new ColdStartLimiter(new ColdStartLimiter.Bounds(1.5, 8), 0);
     limiter.cold(0, WARMUP_MILLIS, 10.5);
 
-    assertThat(begun(limiter, 0)).isZero();
-    assertThat(begun(limiter, 275)).isEqualTo(5);
-    assertThat(begun(limiter, 550)).isEqualTo(6);
-    assertThat(begun(limiter, 825)).isEqualTo(6);
-    assertThat(begun(limiter, 1_100)).isEqualTo(6);
+    assertThat(startAllAllowed(limiter, 0)).isZero();
+    assertThat(startAllAllowed(limiter, 275)).isEqualTo(5);
+    assertThat(startAllAllowed(limiter, 550)).isEqualTo(6);
+    assertThat(startAllAllowed(limiter, 825)).isEqualTo(6);
+    assertThat(startAllAllowed(limiter, 1_100)).isEqualTo(6);
   }
 
-  private static int begun(ColdStartLimiter limiter, long now) {
+  private static int startAllAllowed(ColdStartLimiter limiter, long now) {
     int count = 0;
-    while (limiter.mayBegin(now)) {
-      limiter.begins(now);
+    while (limiter.canStart(now)) {
+      limiter.recordStart(now);
       count++;
     }
     return count;
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/DecisionCosts.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/DecisionCosts.java
@@ -24,7 +24,7 @@
     for (int backends : new int[] {5, 7, 100}) {
       LoadBalancer balancer = LoadBalancers.create(BalancerSettings.of("edge", "a"));
       PoolView pool = pool(backends);
-      time(
+      measure(
           "pick, started, finished; back ends: " + backends,
           i -> {
             String id = balancer.pick(i, pool, Tier.BASIC, i, Set.of()).get().address().id();
@@ -33,14 +33,14 @@
           });
     }
     AdmissionController free = AdmissionControllers.create(AdmissionSettings.forSlots(6));
-    time("ask and release, free slots", i -> askAndRelease(free, i, i));
+    measure("ask and release, free slots", i -> askAndRelease(free, i, i));
     AdmissionController full = AdmissionControllers.create(AdmissionSettings.forSlots(6));
     for (int i = 1; i <= 26; i++) {
       full.ask(
           0,
           new AdmissionController.AdmissionRequest(-i, "t" + i % 5, Tier.STANDARD, Long.MAX_VALUE));
     }
-    time(
+    measure(
         "ask and cancel, full slots, 20 queued",
         i -> {
           full.ask(
@@ -51,7 +51,7 @@
     RetryPolicy.FailedAttempt failed =
         new RetryPolicy.FailedAttempt(
             new Verdict.NotRun(Verdict.Reason.OVERLOADED), false, 1, true, Long.MAX_VALUE);
-    time(
+    measure(
         "request and retry decision",
         i -> {
           retries.requestStarted(i);
@@ -66,7 +66,7 @@
   }
 
   /** Prints the best of some rounds after one that is not counted. */
-  private static void time(String what, LongConsumer call) {
+  private static void measure(String label, LongConsumer call) {
     double best = Double.MAX_VALUE;
     long number = 1;
     for (int round = 0; round <= ROUNDS; round++) {
@@ -77,7 +77,7 @@
       double nanos = (System.nanoTime() - start) / (double) CALLS;
       best = round == 0 ? best : Math.min(best, nanos);
     }
-    System.out.printf(Locale.ROOT, "| ns, %s | %.0f |%n", what, best);
+    System.out.printf(Locale.ROOT, "| ns, %s | %.0f |%n", label, best);
   }
 
   private static PoolView pool(int backends) {
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/DueOrderAdmissionControllerTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/DueOrderAdmissionControllerTest.java
@@ -16,31 +16,32 @@
 import org.junit.jupiter.api.Test;
 
 final class DueOrderAdmissionControllerTest {
-  private static final long FAR = 1_000_000;
+  private static final long FAR_DEADLINE_MILLIS = 1_000_000;
 
-  private final ColdStartLimiter coldStarts =
+  private final ColdStartLimiter coldStartLimiter =
       new ColdStartLimiter(new ColdStartLimiter.Bounds(1, 0), -10_000);
 
   /** Two slots of 10 ms. */
   private final AdmissionController controller =
       AdmissionControllers.createInDueOrder(
-          new AdmissionSettings(2, 6, 4, 10_000, 20, 5_000), coldStarts);
+          new AdmissionSettings(2, 6, 4, 10_000, 20, 5_000), coldStartLimiter);
 
-  private static AdmissionRequest ask(long id, long dueMillis) {
-    return new AdmissionRequest(id, "", Tier.STANDARD, FAR, 0, FAR, dueMillis);
+  private static AdmissionRequest request(long id, long dueMillis) {
+    return new AdmissionRequest(
+        id, "", Tier.STANDARD, FAR_DEADLINE_MILLIS, 0, FAR_DEADLINE_MILLIS, dueMillis);
   }
 
   private void fillSlots() {
-    controller.ask(0, ask(-1, 0));
-    controller.ask(0, ask(-2, 0));
+    controller.ask(0, request(-1, 0));
+    controller.ask(0, request(-2, 0));
   }
 
   @Test
-  void takesWhatIsDueFirst() {
+  void admitsInDueOrder() {
     fillSlots();
-    controller.ask(0, ask(1, 600));
-    controller.ask(0, ask(2, 60));
-    controller.ask(0, ask(3, 300));
+    controller.ask(0, request(1, 600));
+    controller.ask(0, request(2, 60));
+    controller.ask(0, request(3, 300));
 
     assertThat(controller.release(1, -1, 10_000)).containsExactly(new Admitted(2));
     assertThat(controller.release(1, -2, 10_000)).containsExactly(new Admitted(3));
@@ -48,32 +49,36 @@
   }
 
   @Test
-  void onlyWhatIsDueEarlierCountsForTheWait() {
+  void onlyRequestsDueEarlierCountTowardsTheWait() {
     fillSlots();
-    controller.ask(0, ask(1, 600));
-    controller.ask(0, ask(2, 600));
-    controller.ask(0, ask(3, 600));
+    controller.ask(0, request(1, 600));
+    controller.ask(0, request(2, 600));
+    controller.ask(0, request(3, 600));
 
-    AdmissionRequest urgent = new AdmissionRequest(4, "", Tier.STANDARD, FAR, 0, 5, 60);
-    AdmissionRequest patient = new AdmissionRequest(5, "", Tier.STANDARD, FAR, 0, 5, 700);
+    AdmissionRequest urgent =
+        new AdmissionRequest(4, "", Tier.STANDARD, FAR_DEADLINE_MILLIS, 0, 5, 60);
+    AdmissionRequest patient =
+        new AdmissionRequest(5, "", Tier.STANDARD, FAR_DEADLINE_MILLIS, 0, 5, 700);
 
     assertThat(controller.ask(0, urgent)).containsExactly(new Queued(4));
     assertThat(controller.ask(0, patient).get(0)).isInstanceOf(Refused.class);
   }
 
   @Test
-  void refusesWhatItsOwnWorkCannotFinishInTime() {
+  void refusesARequestThatCannotFinishBeforeItsDeadline() {
     fillSlots();
 
-    AdmissionRequest late = new AdmissionRequest(1, "", Tier.STANDARD, 50, 60_000, FAR, 50);
+    AdmissionRequest request =
+        new AdmissionRequest(1, "", Tier.STANDARD, 50, 60_000, FAR_DEADLINE_MILLIS, 50);
 
-    assertThat(controller.ask(0, late).get(0)).isEqualTo(new Refused(1, Reason.OVERLOADED, 20));
+    assertThat(controller.ask(0, request).get(0)).isEqualTo(new Refused(1, Reason.OVERLOADED, 20));
   }
 
   @Test
-  void refusesWhatBecameTooLateInTheQueue() {
+  void refusesAQueuedRequestThatCanNoLongerMeetItsDeadline() {
     fillSlots();
-    controller.ask(0, new AdmissionRequest(1, "", Tier.STANDARD, 100, 60_000, FAR, 50));
+    controller.ask(
+        0, new AdmissionRequest(1, "", Tier.STANDARD, 100, 60_000, FAR_DEADLINE_MILLIS, 50));
 
     assertThat(controller.tick(30)).isEmpty();
     assertThat(controller.tick(41)).containsExactly(new Refused(1, Reason.DEADLINE, 0));
@@ -87,10 +92,10 @@
         id,
         "",
         Tier.STANDARD,
-        FAR,
+        FAR_DEADLINE_MILLIS,
         10_000,
         10_000,
-        FAR,
+        FAR_DEADLINE_MILLIS,
         dueMillis,
         targetMillis,
         -1,
@@ -99,7 +104,7 @@
   }
 
   @Test
-  void whatCanBeInTimeGoesBeforeWhatCannot() {
+  void requestsThatCanMeetTheirTargetGoFirst() {
     fillSlots();
     controller.ask(0, withTarget(1, 10, 30, 500));
     controller.ask(0, withTarget(2, 90, 100, 500));
@@ -109,7 +114,7 @@
   }
 
   @Test
-  void whatComesTooLateToBeInTimeWaitsBehindTheOthers() {
+  void aRequestThatCannotMeetItsTargetQueuesBehindTheOthers() {
     fillSlots();
     controller.ask(0, withTarget(1, 10, 12, 500));
     controller.ask(0, withTarget(2, 90, 100, 500));
@@ -118,7 +123,7 @@
   }
 
   @Test
-  void whatHasWaitedTooLongIsRefusedWithATimeToComeBack() {
+  void aRequestThatWaitedTooLongIsRefusedWithARetryAfter() {
     fillSlots();
     controller.ask(0, withTarget(1, 10, 30, 50));
 
@@ -128,7 +133,7 @@
   }
 
   @Test
-  void whatWouldWaitTooLongIsRefusedAtOnce() {
+  void aRequestThatWouldWaitTooLongIsRefusedImmediately() {
     fillSlots();
     for (int id = 1; id <= 4; id++) {
       controller.ask(0, withTarget(id, 10, 200, 500));
@@ -146,7 +151,7 @@
         deadlineMillis,
         10_000,
         10_000,
-        FAR,
+        FAR_DEADLINE_MILLIS,
         dueMillis,
         dueMillis,
         -1,
@@ -186,32 +191,33 @@
   void theQueueIsBounded() {
     fillSlots();
     for (int id = 1; id <= 6; id++) {
-      controller.ask(0, ask(id, 600));
+      controller.ask(0, request(id, 600));
     }
 
-    assertThat(controller.ask(0, ask(7, 1)).get(0)).isInstanceOf(Refused.class);
+    assertThat(controller.ask(0, request(7, 1)).get(0)).isInstanceOf(Refused.class);
   }
 
   @Test
-  void whoLeavesTheQueueIsGone() {
+  void aCancelledRequestIsNotAdmitted() {
     fillSlots();
-    controller.ask(0, ask(1, 600));
+    controller.ask(0, request(1, 600));
     controller.cancel(0, 1);
 
     assertThat(controller.release(1, -1, 10_000)).isEmpty();
   }
 
   @Test
-  void drainingRefusesTheQueueAndWhatComes() {
+  void drainingRefusesQueuedAndNewRequests() {
     fillSlots();
-    controller.ask(0, ask(1, 600));
+    controller.ask(0, request(1, 600));
 
     assertThat(controller.drain(0)).containsExactly(new Refused(1, Reason.DRAINING, 0));
-    assertThat(controller.ask(0, ask(2, 600))).containsExactly(new Refused(2, Reason.DRAINING, 0));
+    assertThat(controller.ask(0, request(2, 600)))
+        .containsExactly(new Refused(2, Reason.DRAINING, 0));
     assertThat(controller.running()).isEqualTo(2);
   }
 
-  private static AdmissionRequest randomAsk(SplittableRandom random, long id, long due) {
+  private static AdmissionRequest randomRequest(SplittableRandom random, long id, long due) {
     int expectedMicros = random.nextInt(50_000);
     long target = due + random.nextInt(100);
     long startBy = due + random.nextInt(100);
@@ -226,14 +232,14 @@
         200,
         due,
         target,
-        random.nextInt(3) == 0 ? FAR : -1,
+        random.nextInt(3) == 0 ? FAR_DEADLINE_MILLIS : -1,
         startBy,
         nested);
   }
 
   /** Random asks, ends and cancellations: never more than the slots, each decided once. */
   @Test
-  void everyAskIsDecidedOnceAndSlotsAreNeverExceeded() {
+  void everyRequestIsDecidedOnceAndSlotsAreNeverExceeded() {
     SplittableRandom random = new SplittableRandom(11);
     Set<Long> running = new HashSet<>();
     Set<Long> waiting = new HashSet<>();
@@ -244,7 +250,7 @@
         long id = nextId++;
         waiting.add(id);
         long due = now + random.nextInt(500);
-        decisions = controller.ask(now, randomAsk(random, id, due));
+        decisions = controller.ask(now, randomRequest(random, id, due));
       } else {
         long id = running.iterator().next();
         running.remove(id);
@@ -265,29 +271,30 @@
     }
   }
 
-  private void useUpOneColdSecond() {
-    coldStarts.cold(0, 3_000, 1);
-    controller.ask(0, ask(-1, 600));
+  private void useUpTheColdLimitOfOneSecond() {
+    coldStartLimiter.cold(0, 3_000, 1);
+    controller.ask(0, request(-1, 600));
     controller.release(10, -1, 10_000);
   }
 
   /** One request a second is let in; a tenth of a second is left for the way. */
   @Test
-  void aColdBackendIsGivenWhatItBearsThoughSlotsAreFree() {
-    useUpOneColdSecond();
+  void aColdBackendIsRateLimitedThoughSlotsAreFree() {
+    useUpTheColdLimitOfOneSecond();
 
-    assertThat(controller.ask(10, ask(1, 600))).containsExactly(new Queued(1));
+    assertThat(controller.ask(10, request(1, 600))).containsExactly(new Queued(1));
     assertThat(controller.tick(1_099)).isEmpty();
     assertThat(controller.tick(1_100)).containsExactly(new Admitted(1));
   }
 
   @Test
-  void aColdBackendsWaitCountsWhereARequestMayGoElsewhere() {
-    useUpOneColdSecond();
+  void theWaitForAColdBackendCountsTowardsTheTolerance() {
+    useUpTheColdLimitOfOneSecond();
 
-    AdmissionRequest elsewhere = new AdmissionRequest(2, "", Tier.STANDARD, FAR, 0, 1_000, 700);
+    AdmissionRequest impatient =
+        new AdmissionRequest(2, "", Tier.STANDARD, FAR_DEADLINE_MILLIS, 0, 1_000, 700);
 
-    assertThat(controller.ask(10, elsewhere).get(0)).isInstanceOf(Refused.class);
-    assertThat(controller.ask(3_000, ask(3, 700))).containsExactly(new Admitted(3));
+    assertThat(controller.ask(10, impatient).get(0)).isInstanceOf(Refused.class);
+    assertThat(controller.ask(3_000, request(3, 700))).containsExactly(new Admitted(3));
   }
 }
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/LoadBalancerTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/LoadBalancerTest.java
@@ -46,7 +46,7 @@
   }
 
   /** Shares of picks, each of which ends before the next. */
-  private Map<String, Integer> picks(long now, PoolView pool) {
+  private Map<String, Integer> countPicks(long now, PoolView pool) {
     Map<String, Integer> counts = new HashMap<>();
     for (int i = 0; i < PICKS; i++) {
       String id = balancer.pick(now, pool, i, Set.of()).get().address().id();
@@ -59,39 +59,39 @@
 
   @ParameterizedTest
   @CsvSource({"DRAINING", "DOWN"})
-  void whatLeavesGetsNothingFromThatMoment(Phase phase) {
-    picks(0, pool("aa"));
+  void aLeavingBackendGetsNoNewRequests(Phase phase) {
+    countPicks(0, pool("aa"));
     report(1, "b0", phase, 0);
-    assertThat(picks(1, pool("aa"))).containsOnlyKeys("b1");
+    assertThat(countPicks(1, pool("aa"))).containsOnlyKeys("b1");
     report(2, "b0", Phase.READY, 0);
-    assertThat(picks(20_000, pool("aa"))).containsOnlyKeys("b0", "b1");
+    assertThat(countPicks(20_000, pool("aa"))).containsOnlyKeys("b0", "b1");
   }
 
   @Test
-  void anOlderStatementChangesNothing() {
+  void anOlderReportIsIgnored() {
     balancer.observed(0, List.of(new ObservedBackend("b0", 7, 2, Phase.DRAINING, 0)));
     balancer.observed(0, List.of(new ObservedBackend("b0", 7, 1, Phase.READY, 0)));
     balancer.observed(0, List.of(new ObservedBackend("b0", 6, 9, Phase.READY, 0)));
-    assertThat(picks(1, pool("aa"))).containsOnlyKeys("b1");
+    assertThat(countPicks(1, pool("aa"))).containsOnlyKeys("b1");
   }
 
   @Test
-  void drainedByAnOperatorOrByARefusalIsSkipped() {
-    assertThat(picks(0, pool("Aa"))).containsOnlyKeys("b1");
+  void backendsDrainedByAnOperatorOrARefusalAreSkipped() {
+    assertThat(countPicks(0, pool("Aa"))).containsOnlyKeys("b1");
     balancer.started(0, "b1");
     balancer.finished(0, "b1", new Verdict.NotRun(Reason.DRAINING), 100);
     assertThat(balancer.pick(1, pool("Aa"), 1, Set.of())).isEqualTo(Either.left(Reason.NO_BACKEND));
   }
 
   @Test
-  void nothingInServiceOrUntriedIsNoBackend() {
+  void noCandidateIsReportedAsNoBackend() {
     assertThat(balancer.pick(0, pool(""), 1, Set.of())).isEqualTo(Either.left(Reason.NO_BACKEND));
     assertThat(balancer.pick(0, pool("aa"), 1, Set.of("b0", "b1")))
         .isEqualTo(Either.left(Reason.NO_BACKEND));
   }
 
   @Test
-  void sheddingIsHonouredForTheTierAndLowerOnes() {
+  void sheddingAppliesToTheTierAndLowerTiers() {
     PoolView one = pool("a");
     balancer.shed(0, "b0", Tier.STANDARD, 100);
     assertThat(balancer.pick(99, one, Tier.BASIC, 1, Set.of()))
@@ -102,13 +102,13 @@
   }
 
   @Test
-  void ownZoneFirstAndSpillOverWhenItIsFull() {
-    assertThat(picks(0, pool("aabb"))).containsOnlyKeys("b0", "b1");
+  void prefersTheLocalZoneAndSpillsOverWhenItIsFull() {
+    assertThat(countPicks(0, pool("aabb"))).containsOnlyKeys("b0", "b1");
     for (int i = 0; i < 6; i++) {
       balancer.started(0, "b0");
       balancer.started(0, "b1");
     }
-    assertThat(picks(0, pool("aabb"))).containsOnlyKeys("b2", "b3");
+    assertThat(countPicks(0, pool("aabb"))).containsOnlyKeys("b2", "b3");
   }
 
   @ParameterizedTest
@@ -121,26 +121,26 @@
         balancer.finished(0, "b" + backend, new Verdict.MayHaveRun(Reason.CONNECTION_LOST), 10);
       }
     }
-    Map<String, Integer> used = picks(1, six);
+    Map<String, Integer> used = countPicks(1, six);
     assertThat(used.size()).isGreaterThanOrEqualTo(3);
     if (!allUsed) {
       assertThat(used).doesNotContainKeys("b0", "b1", "b2");
     }
-    assertThat(picks(30_000, six)).hasSize(6);
+    assertThat(countPicks(30_000, six)).hasSize(6);
   }
 
   @Test
   void aNewOrWarmingBackendStartsSlowly() {
-    picks(0, pool("aaaa"));
+    countPicks(0, pool("aaaa"));
     PoolView grown = pool("aaaaa");
-    assertThat(picks(20_000, grown).getOrDefault("b4", 0)).isLessThan(PICKS / 20);
-    assertThat(picks(30_001, grown).get("b4")).isBetween(PICKS / 8, PICKS / 3);
+    assertThat(countPicks(20_000, grown).getOrDefault("b4", 0)).isLessThan(PICKS / 20);
+    assertThat(countPicks(30_001, grown).get("b4")).isBetween(PICKS / 8, PICKS / 3);
     report(40_000, "b0", Phase.WARMING, 0);
-    assertThat(picks(40_000, grown).getOrDefault("b0", 0)).isLessThan(PICKS / 20);
+    assertThat(countPicks(40_000, grown).getOrDefault("b0", 0)).isLessThan(PICKS / 20);
   }
 
   @Test
-  void aLowLoadThatOwnRefusalsContradictDrawsNothing() {
+  void aLowReportedLoadContradictedByRefusalsIsNotTrusted() {
     PoolView pool = pool("aaa");
     for (int i = 0; i < 20; i++) {
       report(i, "b0", Phase.READY, 0);
@@ -149,7 +149,7 @@
       balancer.started(i, "b0");
       balancer.finished(i, "b0", new Verdict.NotRun(Reason.OVERLOADED), 500);
     }
-    assertThat(picks(20, pool).getOrDefault("b0", 0)).isLessThan(PICKS / 20);
+    assertThat(countPicks(20, pool).getOrDefault("b0", 0)).isLessThan(PICKS / 20);
   }
 
   @ParameterizedTest
@@ -162,7 +162,7 @@
     "600, 400, 2, 130, 26",
     "5900, 7, 1, 130, 2"
   })
-  void subsetsKeepTheConnectionsUnderTheLimit(
+  void subsetsKeepConnectionsUnderTheLimit(
       int edges, int backends, int perEdge, int limit, int size) {
     assertThat(Subsetting.size(edges, backends, perEdge, limit)).isEqualTo(size);
     boolean reachable = size > Subsetting.MINIMUM;
@@ -182,7 +182,7 @@
   }
 
   @Test
-  void aBackendThatLeavesMovesOnlyItsOwnEdges() {
+  void aLeavingBackendChangesOnlyTheSubsetsThatHeldIt() {
     List<String> ids = List.of("a", "b", "c", "d", "e", "f");
     for (int edge = 0; edge < 200; edge++) {
       List<String> before = Subsetting.order("edge-" + edge, ids, id -> id);
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/RetryChainTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/RetryChainTest.java
@@ -27,7 +27,7 @@
 
   @ParameterizedTest
   @CsvSource({"28, 1.0", "28, 0.5", "14, 1.0", "14, 0.5", "1, 1.0", "28, 0.05", "14, 0.01"})
-  void aChainOf29IsAmplifiedByLessThanAFifth(int level, double ratio) {
+  void retriesInAChainOf29AddLessThanAFifth(int level, double ratio) {
     run(29, level, ratio, RetrySettings.DEFAULT);
     for (long reached : arrivals) {
       assertThat((double) reached / REQUESTS).isLessThan(1.2);
@@ -35,13 +35,13 @@
   }
 
   @Test
-  void rareFailuresAreMended() {
+  void retriesRecoverRareFailures() {
     assertThat(run(29, 28, 0.02, RetrySettings.DEFAULT)).isGreaterThan(REQUESTS * 999 / 1_000);
   }
 
   /** The baseline this replaces: each level tries three times, without budgets. */
   @Test
-  void threeAttemptsAtEachLevelMultiply() {
+  void threeAttemptsPerLevelMultiplyWithoutBudgets() {
     failingLevel = 5;
     failureRatio = 1;
     arrivals = new long[6];
@@ -54,15 +54,15 @@
     for (int level : new int[] {28, 14, 1}) {
       for (double ratio : new double[] {0.01, 0.05, 0.5, 1.0}) {
         RetryChainTest chain = new RetryChainTest();
-        long answered = chain.run(29, level, ratio, RetrySettings.DEFAULT);
-        double most = Arrays.stream(chain.arrivals).max().orElseThrow();
+        long succeeded = chain.run(29, level, ratio, RetrySettings.DEFAULT);
+        double maxArrivals = Arrays.stream(chain.arrivals).max().orElseThrow();
         System.out.printf(
             Locale.ROOT,
             "| %d | %.2f | %.3f | %.4f |%n",
             level,
             ratio,
-            most / REQUESTS,
-            answered / (double) REQUESTS);
+            maxArrivals / REQUESTS,
+            succeeded / (double) REQUESTS);
       }
     }
   }
@@ -74,11 +74,11 @@
     for (int i = 0; i < depth; i++) {
       policies.add(RetryPolicies.create(settings));
     }
-    long answered = 0;
+    long succeeded = 0;
     for (int request = 0; request < REQUESTS; request++) {
-      answered += call(0, Optional.empty(), settings).isEmpty() ? 1 : 0;
+      succeeded += call(0, Optional.empty(), settings).isEmpty() ? 1 : 0;
     }
-    return answered;
+    return succeeded;
   }
 
   /** Empty when answered, else the header of the refusal. */
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/RetryPolicyTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/RetryPolicyTest.java
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void retriesAreATenthOfTheRequestsBeyondTheSavedTen() {
+  void retriesAreLimitedToATenthOfTheRequestsPlusTheBurst() {
     int retries = 0;
     for (int request = 0; request < 1_000; request++) {
       policy.requestStarted(request);
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/simulation/EventLoop.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/simulation/EventLoop.java
@@ -11,7 +11,7 @@
       new PriorityQueue<>(
           Comparator.comparingLong(Event::atMicros).thenComparingLong(Event::number));
   private long nowMicros;
-  private long number;
+  private long nextNumber;
 
   long nowMicros() {
     return nowMicros;
@@ -21,8 +21,8 @@
     return nowMicros / 1_000;
   }
 
-  void after(long micros, Runnable action) {
-    events.add(new Event(nowMicros + micros, number++, action));
+  void schedule(long micros, Runnable action) {
+    events.add(new Event(nowMicros + micros, nextNumber++, action));
   }
 
   void runUntil(long endMicros) {
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/simulation/Outcome.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/simulation/Outcome.java
@@ -9,56 +9,56 @@
 /** Counts of one simulated run. */
 final class Outcome {
   private final Scenario scenario;
-  private final Map<Tier, long[]> offeredAndAnswered = new EnumMap<>(Tier.class);
+  private final Map<Tier, long[]> requestsAndSuccesses = new EnumMap<>(Tier.class);
   private long[] latencies = new long[1 << 16];
-  private int answered;
-  long offered;
+  private int succeeded;
+  long requests;
   long attempts;
   long refusedAtOnce;
 
   Outcome(Scenario scenario) {
     this.scenario = scenario;
     for (Tier tier : Tier.values()) {
-      offeredAndAnswered.put(tier, new long[2]);
+      requestsAndSuccesses.put(tier, new long[2]);
     }
   }
 
-  void offered(Tier tier) {
-    offered++;
-    offeredAndAnswered.get(tier)[0]++;
+  void recordRequest(Tier tier) {
+    requests++;
+    requestsAndSuccesses.get(tier)[0]++;
   }
 
   /** The caller got its answer; it counts if it came before the deadline. */
-  void answered(Tier tier, long micros) {
+  void recordResponse(Tier tier, long micros) {
     if (micros > Scenario.DEADLINE_MILLIS * 1_000) {
       return;
     }
-    if (answered == latencies.length) {
-      latencies = Arrays.copyOf(latencies, 2 * answered);
+    if (succeeded == latencies.length) {
+      latencies = Arrays.copyOf(latencies, 2 * succeeded);
     }
-    latencies[answered++] = micros;
-    offeredAndAnswered.get(tier)[1]++;
+    latencies[succeeded++] = micros;
+    requestsAndSuccesses.get(tier)[1]++;
   }
 
   /** Answers in time a second, against the capacity. */
   double goodput() {
-    return answered / (double) scenario.seconds() / scenario.capacity();
+    return succeeded / (double) scenario.seconds() / scenario.capacity();
   }
 
   /** Share of the tier's requests answered in time. */
-  double answeredOf(Tier tier) {
-    long[] counts = offeredAndAnswered.get(tier);
+  double successRate(Tier tier) {
+    long[] counts = requestsAndSuccesses.get(tier);
     return counts[1] / (double) counts[0];
   }
 
   double attemptsPerRequest() {
-    return attempts / (double) offered;
+    return attempts / (double) requests;
   }
 
-  double millis(double quantile) {
-    long[] sorted = Arrays.copyOf(latencies, answered);
+  double latencyMillis(double quantile) {
+    long[] sorted = Arrays.copyOf(latencies, succeeded);
     Arrays.sort(sorted);
-    return answered == 0 ? 0 : sorted[(int) Math.min(answered - 1, quantile * answered)] / 1e3;
+    return succeeded == 0 ? 0 : sorted[(int) Math.min(succeeded - 1, quantile * succeeded)] / 1e3;
   }
 
   static String header() {
@@ -73,15 +73,15 @@
         scenario.policy().name().toLowerCase(Locale.ROOT),
         scenario.load(),
         scenario.reportLagMillis(),
-        scenario.loadOnAnswers() ? "yes" : "no",
-        scenario.lying(),
-        scenario.slow(),
+        scenario.loadInResponses() ? "yes" : "no",
+        scenario.misreportingBackends(),
+        scenario.slowBackends(),
         goodput(),
-        millis(0.5),
-        millis(0.99),
-        answeredOf(Tier.PREMIUM),
-        answeredOf(Tier.STANDARD),
-        answeredOf(Tier.BASIC),
+        latencyMillis(0.5),
+        latencyMillis(0.99),
+        successRate(Tier.PREMIUM),
+        successRate(Tier.STANDARD),
+        successRate(Tier.BASIC),
         attemptsPerRequest());
   }
 }
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/simulation/Scenario.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/simulation/Scenario.java
@@ -7,9 +7,9 @@
  * @param policy how attempts are placed and limited
  * @param load arrivals against the capacity of all slots
  * @param reportLagMillis time from a back end's load being read until the edge proxies hear it
- * @param loadOnAnswers whether answers carry the back end's load besides
- * @param lying back ends, counted from the first, that always report no load
- * @param slow back ends, counted from the first, that serve at a third of the speed
+ * @param loadInResponses whether answers carry the back end's load besides
+ * @param misreportingBackends back ends, counted from the first, that always report no load
+ * @param slowBackends back ends, counted from the first, that serve at a third of the speed
  * @param seconds measured time, after one second that is not counted
  * @param seed seed of arrivals and service times
  */
@@ -17,9 +17,9 @@
     Policy policy,
     double load,
     long reportLagMillis,
-    boolean loadOnAnswers,
-    int lying,
-    int slow,
+    boolean loadInResponses,
+    int misreportingBackends,
+    int slowBackends,
     int seconds,
     long seed) {
   static final int BACKENDS = 7;
@@ -27,7 +27,7 @@
   static final int EDGES = 12;
   static final long SERVICE_MICROS = 5_000;
   static final long DEADLINE_MILLIS = 250;
-  static final long REPORT_EVERY_MILLIS = 200;
+  static final long REPORT_INTERVAL_MILLIS = 200;
   static final int SLOW_FACTOR = 3;
 
   /** How attempts are placed and limited. */
@@ -44,11 +44,19 @@
 
   /** Requests a second that the slots serve. */
   double capacity() {
-    double speed = BACKENDS - slow + (double) slow / SLOW_FACTOR;
+    double speed = BACKENDS - slowBackends + (double) slowBackends / SLOW_FACTOR;
     return speed * SLOTS * 1e6 / SERVICE_MICROS;
   }
 
-  Scenario with(Policy other) {
-    return new Scenario(other, load, reportLagMillis, loadOnAnswers, lying, slow, seconds, seed);
+  Scenario withPolicy(Policy other) {
+    return new Scenario(
+        other,
+        load,
+        reportLagMillis,
+        loadInResponses,
+        misreportingBackends,
+        slowBackends,
+        seconds,
+        seed);
   }
 }
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/simulation/SimulatedBackend.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/simulation/SimulatedBackend.java
@@ -21,49 +21,52 @@
   private final EventLoop loop;
   private final SplittableRandom random;
   private final double serviceMicros;
-  private final boolean admission;
+  private final boolean hasAdmissionControl;
   private final AdmissionController controller =
       AdmissionControllers.create(AdmissionSettings.forSlots(Scenario.SLOTS));
-  private final Deque<Waiting> unlimited = new ArrayDeque<>();
-  private final Map<Long, Consumer<Decision.Refused>> asked = new HashMap<>();
+  private final Deque<Waiting> unboundedQueue = new ArrayDeque<>();
+  private final Map<Long, Consumer<Decision.Refused>> pending = new HashMap<>();
   private int running;
 
-  SimulatedBackend(EventLoop loop, long seed, double serviceMicros, boolean admission) {
+  SimulatedBackend(EventLoop loop, long seed, double serviceMicros, boolean hasAdmissionControl) {
     this.loop = loop;
     this.random = new SplittableRandom(seed);
     this.serviceMicros = serviceMicros;
-    this.admission = admission;
-    if (admission) {
+    this.hasAdmissionControl = hasAdmissionControl;
+    if (hasAdmissionControl) {
       tick();
     }
   }
 
   /** Calls back with null when the request was served, or with its refusal. */
-  void handle(AdmissionRequest ask, Consumer<Decision.Refused> done) {
-    if (admission) {
-      asked.put(ask.id(), done);
-      apply(controller.ask(loop.nowMillis(), ask));
+  void handle(AdmissionRequest request, Consumer<Decision.Refused> done) {
+    if (hasAdmissionControl) {
+      pending.put(request.id(), done);
+      apply(controller.ask(loop.nowMillis(), request));
     } else if (running < Scenario.SLOTS) {
-      serveUnlimited(new Waiting(ask.id(), done));
+      serveWithoutAdmission(new Waiting(request.id(), done));
     } else {
-      unlimited.add(new Waiting(ask.id(), done));
+      unboundedQueue.add(new Waiting(request.id(), done));
     }
   }
 
   /** Running and queued requests over slots, percent. */
   int load() {
-    int used = admission ? controller.running() + controller.queued() : running + unlimited.size();
+    int used =
+        hasAdmissionControl
+            ? controller.running() + controller.queued()
+            : running + unboundedQueue.size();
     return 100 * used / Scenario.SLOTS;
   }
 
-  private void serveUnlimited(Waiting waiting) {
+  private void serveWithoutAdmission(Waiting waiting) {
     running++;
-    loop.after(
-        drawService(),
+    loop.schedule(
+        drawServiceMicros(),
         () -> {
           running--;
-          if (!unlimited.isEmpty()) {
-            serveUnlimited(unlimited.poll());
+          if (!unboundedQueue.isEmpty()) {
+            serveWithoutAdmission(unboundedQueue.poll());
           }
           waiting.done.accept(null);
         });
@@ -74,17 +77,17 @@
       if (decision instanceof Decision.Admitted) {
         serve(decision.id());
       } else if (decision instanceof Decision.Refused refused) {
-        asked.remove(decision.id()).accept(refused);
+        pending.remove(decision.id()).accept(refused);
       }
     }
   }
 
   private void serve(long id) {
-    long micros = drawService();
-    loop.after(
+    long micros = drawServiceMicros();
+    loop.schedule(
         micros,
         () -> {
-          Consumer<Decision.Refused> done = asked.remove(id);
+          Consumer<Decision.Refused> done = pending.remove(id);
           apply(controller.release(loop.nowMillis(), id, micros));
           done.accept(null);
         });
@@ -92,10 +95,10 @@
 
   private void tick() {
     apply(controller.tick(loop.nowMillis()));
-    loop.after(10_000, this::tick);
+    loop.schedule(10_000, this::tick);
   }
 
-  private long drawService() {
+  private long drawServiceMicros() {
     return Math.round(-serviceMicros * Math.log(1 - random.nextDouble()));
   }
 
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/simulation/TrafficSimulation.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/simulation/TrafficSimulation.java
@@ -26,8 +26,8 @@
 
 /** Runs a {@link Scenario} in virtual time through the pure decisions. */
 final class TrafficSimulation {
-  private static final long ZONE_MICROS = 100;
-  private static final long BETWEEN_ZONES_MICROS = 500;
+  private static final long SAME_ZONE_MICROS = 100;
+  private static final long CROSS_ZONE_MICROS = 500;
   private static final long WARM_UP_MICROS = 1_000_000;
   private static final String[] ZONES = {"a", "b", "c", "d"};
 
@@ -36,27 +36,27 @@
     private final LoadBalancer balancer;
     private final Map<Tier, RetryPolicy> retries =
         RetryPolicies.createPerTier(RetrySettings.DEFAULT);
-    private int turn;
+    private int nextIndex;
 
     Edge(int index) {
       zone = ZONES[index % ZONES.length];
       balancer = LoadBalancers.create(BalancerSettings.of("edge-" + index, zone));
-      turn = index;
+      nextIndex = index;
     }
   }
 
   private static final class Request {
     private final Tier tier;
     private final long startMicros;
-    private final boolean counted;
-    private final Set<String> tried = new HashSet<>();
+    private final boolean isMeasured;
+    private final Set<String> triedIds = new HashSet<>();
     private int attempts;
-    private boolean answered;
+    private boolean isCompleted;
 
     Request(Tier tier, long startMicros) {
       this.tier = tier;
       this.startMicros = startMicros;
-      this.counted = startMicros >= WARM_UP_MICROS;
+      this.isMeasured = startMicros >= WARM_UP_MICROS;
     }
 
     long deadlineMillis() {
@@ -83,7 +83,7 @@
             || scenario.policy() == Scenario.Policy.ROUND_ROBIN_ADMISSION;
     List<BackendView> views = new ArrayList<>();
     for (int i = 0; i < Scenario.BACKENDS; i++) {
-      double factor = i < scenario.slow() ? Scenario.SLOW_FACTOR : 1;
+      double factor = i < scenario.slowBackends() ? Scenario.SLOW_FACTOR : 1;
       double service = Scenario.SERVICE_MICROS * factor;
       backends.add(new SimulatedBackend(loop, random.nextLong(), service, admission));
       String zone = ZONES[i % ZONES.length];
@@ -97,44 +97,44 @@
 
   static Outcome run(Scenario scenario) {
     TrafficSimulation simulation = new TrafficSimulation(scenario);
-    simulation.arrive();
-    simulation.report();
+    simulation.scheduleArrival();
+    simulation.broadcastReports();
     long end = WARM_UP_MICROS + scenario.seconds() * 1_000_000L;
     simulation.loop.runUntil(end);
     return simulation.outcome;
   }
 
-  private void arrive() {
+  private void scheduleArrival() {
     double perMicro = scenario.load() * scenario.capacity() / 1e6;
-    loop.after(
+    loop.schedule(
         Math.round(-Math.log(1 - random.nextDouble()) / perMicro),
         () -> {
           double draw = random.nextDouble();
           Tier tier = draw < 0.2 ? Tier.PREMIUM : draw < 0.5 ? Tier.STANDARD : Tier.BASIC;
           Request request = new Request(tier, loop.nowMicros());
-          if (request.counted) {
-            outcome.offered(tier);
+          if (request.isMeasured) {
+            outcome.recordRequest(tier);
           }
           Edge edge = edges.get(random.nextInt(edges.size()));
           edge.retries.get(tier).requestStarted(loop.nowMillis());
           attempt(edge, request);
-          arrive();
+          scheduleArrival();
         });
   }
 
-  private void report() {
-    List<ObservedBackend> statements = new ArrayList<>();
+  private void broadcastReports() {
+    List<ObservedBackend> reports = new ArrayList<>();
     for (int i = 0; i < backends.size(); i++) {
-      statements.add(statement(i));
+      reports.add(createReport(i));
     }
-    loop.after(
+    loop.schedule(
         scenario.reportLagMillis() * 1_000,
-        () -> edges.forEach(edge -> edge.balancer.observed(loop.nowMillis(), statements)));
-    loop.after(Scenario.REPORT_EVERY_MILLIS * 1_000, this::report);
+        () -> edges.forEach(edge -> edge.balancer.observed(loop.nowMillis(), reports)));
+    loop.schedule(Scenario.REPORT_INTERVAL_MILLIS * 1_000, this::broadcastReports);
   }
 
-  private ObservedBackend statement(int index) {
-    int load = index < scenario.lying() ? 0 : backends.get(index).load();
+  private ObservedBackend createReport(int index) {
+    int load = index < scenario.misreportingBackends() ? 0 : backends.get(index).load();
     return new ObservedBackend("b" + index, 1, ++counter, ObservedBackend.Phase.READY, load);
   }
 
@@ -142,18 +142,18 @@
     if (scenario.policy() == Scenario.Policy.UMBERPATH) {
       Either<Verdict.Reason, BackendView> choice =
           edge.balancer.pick(
-              loop.nowMillis(), pool, request.tier, random.nextLong(), request.tried);
+              loop.nowMillis(), pool, request.tier, random.nextLong(), request.triedIds);
       if (choice.isRight()) {
         send(edge, request, pool.backends().indexOf(choice.get()));
       }
       return;
     }
-    send(edge, request, edge.turn++ % backends.size());
+    send(edge, request, edge.nextIndex++ % backends.size());
     if (scenario.policy() == Scenario.Policy.ROUND_ROBIN_RETRY_THREE) {
-      loop.after(
+      loop.schedule(
           Scenario.DEADLINE_MILLIS * 1_000 / 3,
           () -> {
-            if (!request.answered && request.attempts < 3) {
+            if (!request.isCompleted && request.attempts < 3) {
               attempt(edge, request);
             }
           });
@@ -162,44 +162,47 @@
 
   private void send(Edge edge, Request request, int index) {
     request.attempts++;
-    outcome.attempts += request.counted ? 1 : 0;
+    outcome.attempts += request.isMeasured ? 1 : 0;
     BackendView view = pool.backends().get(index);
     String id = view.address().id();
-    long hop = edge.zone.equals(view.address().zone()) ? ZONE_MICROS : BETWEEN_ZONES_MICROS;
+    long hopMicros = edge.zone.equals(view.address().zone()) ? SAME_ZONE_MICROS : CROSS_ZONE_MICROS;
     long sentMicros = loop.nowMicros();
     edge.balancer.started(loop.nowMillis(), id);
-    request.tried.add(id);
-    AdmissionRequest ask =
+    request.triedIds.add(id);
+    AdmissionRequest admissionRequest =
         new AdmissionRequest(nextId++, "t", request.tier, request.deadlineMillis());
-    loop.after(
-        hop,
+    loop.schedule(
+        hopMicros,
         () ->
             backends
                 .get(index)
-                .handle(ask, refused -> answer(edge, request, index, hop, refused, sentMicros)));
+                .handle(
+                    admissionRequest,
+                    refused -> respond(edge, request, index, hopMicros, refused, sentMicros)));
   }
 
-  private void answer(
-      Edge edge, Request request, int index, long hop, Refused refused, long sentMicros) {
+  private void respond(
+      Edge edge, Request request, int index, long hopMicros, Refused refused, long sentMicros) {
     Optional<ObservedBackend> load =
-        scenario.loadOnAnswers() ? Optional.of(statement(index)) : Optional.empty();
-    loop.after(
-        hop,
+        scenario.loadInResponses() ? Optional.of(createReport(index)) : Optional.empty();
+    loop.schedule(
+        hopMicros,
         () -> {
-          ended(edge, request, "b" + index, refused, sentMicros);
+          completeAttempt(edge, request, "b" + index, refused, sentMicros);
           load.ifPresent(known -> edge.balancer.observed(loop.nowMillis(), List.of(known)));
         });
   }
 
-  private void ended(Edge edge, Request request, String id, Refused refused, long sentMicros) {
+  private void completeAttempt(
+      Edge edge, Request request, String id, Refused refused, long sentMicros) {
     long now = loop.nowMillis();
     Verdict verdict = SimulatedBackend.verdict(refused);
     edge.balancer.finished(now, id, verdict, loop.nowMicros() - sentMicros);
     if (refused == null) {
-      if (request.counted && !request.answered) {
-        outcome.answered(request.tier, loop.nowMicros() - request.startMicros);
+      if (request.isMeasured && !request.isCompleted) {
+        outcome.recordResponse(request.tier, loop.nowMicros() - request.startMicros);
       }
-      request.answered = true;
+      request.isCompleted = true;
       return;
     }
     if (refused.retryAfterMillis() > 0) {
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/simulation/TrafficSimulationTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/simulation/TrafficSimulationTest.java
@@ -13,14 +13,15 @@
 
   @ParameterizedTest
   @CsvSource({"1", "2", "3"})
-  void threeTimesTheCapacityKeepsGoodputAndTheHighestTier(long seed) {
+  void threefoldOverloadPreservesGoodputAndTheHighestTier(long seed) {
     Scenario scenario = new Scenario(Policy.UMBERPATH, 3, 200, true, 0, 0, SECONDS, seed);
     Outcome outcome = TrafficSimulation.run(scenario);
     assertThat(outcome.goodput()).isGreaterThan(0.9);
-    assertThat(outcome.answeredOf(Tier.PREMIUM)).isGreaterThan(0.99);
-    assertThat(outcome.answeredOf(Tier.BASIC)).isPositive();
+    assertThat(outcome.successRate(Tier.PREMIUM)).isGreaterThan(0.99);
+    assertThat(outcome.successRate(Tier.BASIC)).isPositive();
     assertThat(outcome.attemptsPerRequest()).isLessThan(1.2);
-    assertThat(TrafficSimulation.run(scenario.with(Policy.ROUND_ROBIN)).goodput()).isLessThan(0.5);
+    assertThat(TrafficSimulation.run(scenario.withPolicy(Policy.ROUND_ROBIN)).goodput())
+        .isLessThan(0.5);
   }
 
   @ParameterizedTest
@@ -31,23 +32,27 @@
     "0.7, 2000, false, 0, 1",
     "0.7, 2000, false, 1, 1"
   })
-  void aSlowBackendHurtsLessThanUnderRoundRobin(
-      double load, long lag, boolean onAnswers, int lying, int slow) {
+  void aSlowBackendAffectsLatencyLessThanRoundRobin(
+      double load, long lag, boolean loadInResponses, int misreportingBackends, int slow) {
     Scenario scenario =
-        new Scenario(Policy.UMBERPATH, load, lag, onAnswers, lying, slow, SECONDS, 1);
+        new Scenario(
+            Policy.UMBERPATH, load, lag, loadInResponses, misreportingBackends, slow, SECONDS, 1);
     Outcome balanced = TrafficSimulation.run(scenario);
-    Outcome roundRobin = TrafficSimulation.run(scenario.with(Policy.ROUND_ROBIN_ADMISSION));
-    assertThat(balanced.millis(0.99)).isLessThan(roundRobin.millis(0.99) / 2);
+    Outcome roundRobin = TrafficSimulation.run(scenario.withPolicy(Policy.ROUND_ROBIN_ADMISSION));
+    assertThat(balanced.latencyMillis(0.99)).isLessThan(roundRobin.latencyMillis(0.99) / 2);
     assertThat(balanced.goodput()).isGreaterThan(roundRobin.goodput());
-    assertThat(balanced.answeredOf(Tier.BASIC)).isGreaterThan(0.99);
+    assertThat(balanced.successRate(Tier.BASIC)).isGreaterThan(0.99);
   }
 
   @ParameterizedTest
   @CsvSource({"0, true", "2, true", "7, true", "0, false", "2, false"})
-  void lyingAndLaggingReportsDoNotOverloadAnyone(int lying, boolean onAnswers) {
-    Scenario scenario = new Scenario(Policy.UMBERPATH, 0.7, 2_000, onAnswers, lying, 0, SECONDS, 1);
+  void falseAndDelayedReportsDoNotOverloadABackend(
+      int misreportingBackends, boolean loadInResponses) {
+    Scenario scenario =
+        new Scenario(
+            Policy.UMBERPATH, 0.7, 2_000, loadInResponses, misreportingBackends, 0, SECONDS, 1);
     Outcome outcome = TrafficSimulation.run(scenario);
-    assertThat(outcome.millis(0.99)).isLessThan(35);
-    assertThat(outcome.answeredOf(Tier.BASIC)).isGreaterThan(0.995);
+    assertThat(outcome.latencyMillis(0.99)).isLessThan(35);
+    assertThat(outcome.successRate(Tier.BASIC)).isGreaterThan(0.995);
   }
 }
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/trace/TraceRecorder.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/trace/TraceRecorder.java
@@ -28,7 +28,7 @@
     for (long id = 1; id <= CALLS; id++) {
       now += random.nextInt(4);
       TraceLine line = running.isEmpty() || random.nextInt(4) > 0 ? ask(now, id) : release(now);
-      List<String> decided = replay.carryOut(line);
+      List<String> decided = replay.execute(line);
       decided.stream()
           .filter(text -> text.startsWith("admitted "))
           .forEach(text -> running.add(Long.parseLong(text.substring(9))));
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/trace/TraceReplay.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/trace/TraceReplay.java
@@ -36,18 +36,18 @@
   private long counter;
 
   /** Carries out one line and says what was decided. */
-  List<String> carryOut(TraceLine line) {
+  List<String> execute(TraceLine line) {
     return switch (line.call()) {
       case "ask" ->
-          texts(
+          formatAll(
               admission.ask(
                   line.at(),
                   new AdmissionRequest(line.id(), line.tenant(), line.tier(), line.deadline())));
-      case "release" -> texts(admission.release(line.at(), line.id(), line.micros()));
-      case "cancel" -> texts(admission.cancel(line.at(), line.id()));
-      case "tick" -> texts(admission.tick(line.at()));
-      case "drain" -> texts(admission.drain(line.at()));
-      case "resize" -> texts(admission.resize(line.at(), line.number().intValue()));
+      case "release" -> formatAll(admission.release(line.at(), line.id(), line.micros()));
+      case "cancel" -> formatAll(admission.cancel(line.at(), line.id()));
+      case "tick" -> formatAll(admission.tick(line.at()));
+      case "drain" -> formatAll(admission.drain(line.at()));
+      case "resize" -> formatAll(admission.resize(line.at(), line.number().intValue()));
       case "request" -> {
         retries.requestStarted(line.at(), new ChainBudget(line.number().intValue()));
         yield List.of();
@@ -116,11 +116,11 @@
     };
   }
 
-  static List<String> texts(List<Decision> decisions) {
-    return decisions.stream().map(TraceReplay::text).toList();
+  static List<String> formatAll(List<Decision> decisions) {
+    return decisions.stream().map(TraceReplay::format).toList();
   }
 
-  private static String text(Decision decision) {
+  private static String format(Decision decision) {
     if (decision instanceof Decision.Refused refused) {
       return "refused " + refused.id() + " " + refused.reason() + " " + refused.retryAfterMillis();
     }
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/trace/TraceReplayTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/trace/TraceReplayTest.java
@@ -16,20 +16,20 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"admission", "balancer", "retries", "recorded-overload"})
-  void decidesAsStated(String name) throws IOException {
+  void decidesAsRecorded(String name) throws IOException {
     TraceReplay replay = new TraceReplay();
-    int stated = 0;
-    int number = 0;
+    int checkedLines = 0;
+    int lineNumber = 0;
     for (String text : lines(name)) {
-      number++;
+      lineNumber++;
       TraceLine line = MAPPER.readValue(text, TraceLine.class);
-      List<String> decided = replay.carryOut(line);
+      List<String> decided = replay.execute(line);
       if (line.expect() != null) {
-        stated++;
-        assertThat(decided).as("%s line %d: %s", name, number, text).isEqualTo(line.expect());
+        checkedLines++;
+        assertThat(decided).as("%s line %d: %s", name, lineNumber, text).isEqualTo(line.expect());
       }
     }
-    assertThat(stated).isPositive();
+    assertThat(checkedLines).isPositive();
   }
 
   private static List<String> lines(String name) throws IOException {
