--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/AdmissionControllers.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/AdmissionControllers.java
@@ -4,15 +4,15 @@
 public final class AdmissionControllers {
   private AdmissionControllers() {}
 
-  /** A controller with no request in it, for one back end. */
+  /** Creates the controller of one backend, with a queue in tier order. */
   public static AdmissionController create(AdmissionSettings settings) {
     return new SlotAdmissionController(settings);
   }
 
   /**
-   * Creates the controller of one back end that takes requests in the order they are due.
+   * Creates the controller of one backend that admits requests in due order.
    *
-   * @param coldStartLimiter bounds what the back end gets while it is cold
+   * @param coldStartLimiter limits the request rate while the backend is cold
    */
   public static AdmissionController createInDueOrder(
       AdmissionSettings settings, ColdStartLimiter coldStartLimiter) {
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/AdmissionSettings.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/AdmissionSettings.java
@@ -3,14 +3,14 @@
 import io.umberpath.model.Tier;
 
 /**
- * Limits of one back end's admission.
+ * Limits of the admission control of one backend.
  *
- * @param slots requests that run at a time, at least 1
- * @param queueLimit requests that wait at a time, at least the number of tiers
+ * @param slots requests that run concurrently, at least 1
+ * @param queueLimit requests that wait, at least the number of tiers
  * @param starvationBound admissions of other tiers after which a waiting tier goes next, at least 1
- * @param initialServiceMicros service time assumed before any was measured, microseconds
- * @param minRetryAfterMillis shortest time a refused caller is told to stay away, milliseconds
- * @param maxRetryAfterMillis longest such time, milliseconds
+ * @param initialServiceMicros assumed service time before any was measured, microseconds
+ * @param minRetryAfterMillis shortest retry-after of a refused client, milliseconds
+ * @param maxRetryAfterMillis longest retry-after, milliseconds
  */
 public record AdmissionSettings(
     int slots,
@@ -19,7 +19,7 @@
     long initialServiceMicros,
     long minRetryAfterMillis,
     long maxRetryAfterMillis) {
-  /** Queue places kept for each tier, so that none can be shut out of the queue. */
+  /** Queue places reserved for each tier, so that no tier can be shut out. */
   static final int RESERVED_PLACES_PER_TIER = 1;
 
   private static final int DEFAULT_QUEUE_PER_SLOT = 4;
@@ -28,7 +28,7 @@
   private static final long DEFAULT_MIN_RETRY_AFTER_MILLIS = 20;
   private static final long DEFAULT_MAX_RETRY_AFTER_MILLIS = 5_000;
 
-  /** Checks the limits; the error names field and value. */
+  /** Validates the limits; the error names field and value. */
   public AdmissionSettings {
     Settings.atLeast("slots", slots, 1);
     Settings.atLeast("queueLimit", queueLimit, Tier.values().length);
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/BackendState.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/BackendState.java
@@ -5,12 +5,14 @@
 import io.umberpath.model.Tier;
 import io.umberpath.model.Verdict;
 
-/** What one edge proxy knows of one back end: its own attempts and the last report. */
+/** State that one edge proxy keeps about one backend: its own attempts and the last report. */
 final class BackendState {
-  /** Weight of one sample; small, for the noise of a larger one outweighs the loads compared. */
+  /**
+   * Weight of one sample; small, because with a larger one noise outweighs the load differences.
+   */
   private static final double LATENCY_SAMPLE_WEIGHT = 0.015;
 
-  /** A latency within this factor of the pool's says nothing. */
+  /** A latency within this factor of the pool's mean is ignored. */
   private static final double LATENCY_TOLERANCE = 1.3;
 
   private static final double MIN_LATENCY_FACTOR = 0.5;
@@ -22,8 +24,8 @@
   private static final double SMOOTHING_MILLIS = 500;
 
   /**
-   * Weight of a fresh report. All edge proxies hear the same reports late; a full weight makes them
-   * move together and overshoot.
+   * Weight of a fresh report. All edge proxies receive the same reports with a delay; at full
+   * weight they would shift load in step and overshoot.
    */
   private static final double REPORT_GAIN = 0.25;
 
@@ -98,7 +100,7 @@
       case NOT_READY -> backOff(nowMillis, Tier.PREMIUM, NOT_READY_BACK_OFF_MILLIS);
       case UNREACHABLE -> recordFailure(nowMillis);
       default -> {
-        // The request's own fault or the caller's choice says nothing of the back end.
+        // Errors of the request or choices of the client are no evidence about the backend.
       }
     }
   }
@@ -128,7 +130,7 @@
     latencyAtMillis = nowMillis;
   }
 
-  /** It asked to be left alone by requests of the tier and lower ones for a time. */
+  /** Backs off from the backend for requests of the tier and lower ones. */
   void backOff(long nowMillis, Tier tier, long retryAfterMillis) {
     lastActiveMillis = nowMillis;
     for (int lower = tier.ordinal(); lower < backOffUntilMillis.length; lower++) {
@@ -136,7 +138,7 @@
     }
   }
 
-  /** Takes a statement of the node beside it, unless a newer one is known. */
+  /** Applies a report of the node beside the backend, unless a newer one is known. */
   void updateReport(long nowMillis, ObservedBackend newReport) {
     if (report != null && !newReport.supersedes(report)) {
       return;
@@ -165,14 +167,14 @@
     slowStartMillis = atMillis;
   }
 
-  /** Whether it takes new work, as far as its node and its own answers say. */
+  /** Whether the backend accepts new work according to its node and its own responses. */
   boolean isInService(long nowMillis) {
     boolean isLeaving =
         report != null && (report.phase() == Phase.DRAINING || report.phase() == Phase.DOWN);
     return !isLeaving && nowMillis >= drainingUntilMillis;
   }
 
-  /** Whether it failed too often of late. */
+  /** Whether the backend is ejected because of consecutive failures. */
   boolean isEjected(long nowMillis) {
     return nowMillis < ejectedUntilMillis;
   }
@@ -181,22 +183,22 @@
     return ejectedUntilMillis;
   }
 
-  /** How long requests of the tier still leave it alone, milliseconds. */
+  /** Remaining back-off for requests of the tier, milliseconds. */
   long remainingBackOffMillis(long nowMillis, Tier tier) {
     return Math.max(0, backOffUntilMillis[tier.ordinal()] - nowMillis);
   }
 
-  /** Whether it has no attempt under way and nothing was heard of it since. */
+  /** Whether no attempt is in flight and nothing was recorded since that time. */
   boolean isIdleSince(long millis) {
     return inFlight == 0 && lastActiveMillis < millis;
   }
 
-  /** Mean latency of own attempts, microseconds; 0 if there is none. */
+  /** Mean latency of this proxy's attempts, microseconds; 0 if there are none. */
   double latencyMicros() {
     return latencyMicros;
   }
 
-  /** How far the last report is believed, 0 to 1: less with age and with each contradiction. */
+  /** Weight of the last report, 0 to 1: decreases with age and with each contradiction. */
   double reportWeight(long nowMillis) {
     if (report == null) {
       return 0;
@@ -206,15 +208,15 @@
     return REPORT_GAIN * freshness / (1 + distrust.get(nowMillis));
   }
 
-  /** Slots that the reports say others use, smoothed. */
+  /** Slots used by other proxies according to the reports, smoothed. */
   double slotsUsedByOthers() {
     return othersUtilization * slots;
   }
 
   /**
-   * Expected share of the slots in use if one more request came; slower or refusing back ends count
-   * as fuller. A report that is not believed is replaced by the others' mean, never by nothing:
-   * else an old or false report would draw requests.
+   * Expected utilization of the slots with one more request; slower or refusing backends count as
+   * fuller. A report that is not trusted is replaced by the mean of the others, never by zero:
+   * otherwise an old or false report would attract requests.
    *
    * @param meanUsedByOthers mean of {@link #slotsUsedByOthers} over the pool
    * @param meanLatencyMicros mean latency over the pool, 0 if unknown
@@ -228,7 +230,9 @@
     return used * latencyFactor(nowMillis) / (slots * slowStartFactor(nowMillis));
   }
 
-  /** Own latency against the pool's, between 1/2 and 4; fades to 1 when nothing new is seen. */
+  /**
+   * Own latency relative to the pool's mean, between 1/2 and 4; decays to 1 without new samples.
+   */
   private double latencyFactor(long nowMillis) {
     if (latencyMicros == 0 || poolLatencyMicros == 0) {
       return 1;
@@ -244,7 +248,7 @@
     return 1 + (ratio - 1) * freshness;
   }
 
-  /** Share of full speed that a new back end is trusted with. */
+  /** Share of the full load that a backend gets during slow start. */
   private double slowStartFactor(long nowMillis) {
     boolean isUsedThoughEjected = nowMillis < slowStartMillis;
     if (!isSlowStarting || isUsedThoughEjected) {
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/BalancerSettings.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/BalancerSettings.java
@@ -1,20 +1,20 @@
 package io.umberpath.traffic;
 
 /**
- * How one edge proxy balances.
+ * Load balancing settings of one edge proxy.
  *
- * @param edgeId identity of this edge proxy, different at each; decides its subset
+ * @param edgeId unique id of this edge proxy; determines its subset
  * @param zone zone of this edge proxy
- * @param choices back ends compared for each request, at least 2
- * @param spillOverLoad share of its slots, 0 to 10, from which the best local back end is compared
- *     with those of other zones
- * @param remotePenaltySlots slots by which a back end of another zone must be emptier, 0 to 100
- * @param reportHalfLifeMillis age at which a load report counts half, milliseconds
- * @param slowStartMillis time in which a new back end's share rises to the full one, milliseconds
- * @param ejectionFailures failures in a row that eject a back end, at least 1
- * @param ejectionMillis first ejection, milliseconds; repeated ones last longer
- * @param connectionLimit connections from edge proxies that the node beside a back end should hold
- * @param connectionsPerEdge connections one edge proxy may open to one back end's node
+ * @param choices backends compared for each request, at least 2
+ * @param spillOverLoad utilization, 0 to 10, from which the best local backend is compared with
+ *     those of other zones
+ * @param remotePenaltySlots slots by which a backend of another zone must be emptier, 0 to 100
+ * @param reportHalfLifeMillis half-life of a load report, milliseconds
+ * @param slowStartMillis duration of slow start for a new backend, milliseconds
+ * @param ejectionFailures consecutive failures that eject a backend, at least 1
+ * @param ejectionMillis duration of the first ejection, milliseconds; repeated ones last longer
+ * @param connectionLimit connections from edge proxies that the node beside a backend should hold
+ * @param connectionsPerEdge connections that one edge proxy may open to the node of one backend
  */
 public record BalancerSettings(
     String edgeId,
@@ -40,7 +40,7 @@
   private static final double MAX_SPILL_OVER_LOAD = 10;
   private static final double MAX_REMOTE_PENALTY_SLOTS = 100;
 
-  /** Checks the settings; the error names field and value. */
+  /** Validates the settings; the error names field and value. */
   public BalancerSettings {
     Settings.atLeast("choices", choices, 2);
     Settings.between("spillOverLoad", spillOverLoad, 0, MAX_SPILL_OVER_LOAD);
@@ -54,9 +54,9 @@
   }
 
   /**
-   * Defaults: two choices, spill-over from half of the slots at a penalty of half a slot, reports
-   * count half after 1 s, slow start of 10 s, ejection after 3 failures for 5 s, 130 connections a
-   * back end, 4 an edge proxy.
+   * Returns the defaults: two choices, spill-over from half of the slots at a penalty of half a
+   * slot, a half-life of reports of 1 s, slow start of 10 s, ejection after 3 failures for 5 s, 130
+   * connections per backend, 4 per edge proxy.
    */
   public static BalancerSettings of(String edgeId, String zone) {
     return new BalancerSettings(
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/BudgetedRetryPolicy.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/BudgetedRetryPolicy.java
@@ -2,7 +2,10 @@
 
 import io.umberpath.model.Verdict;
 
-/** Token bucket that requests fill and retries empty; design note 0005. Owner synchronizes. */
+/**
+ * Retry budget as a token bucket that requests fill and retries empty; design note 0005. The owner
+ * synchronizes access.
+ */
 final class BudgetedRetryPolicy implements RetryPolicy {
   private static final double ONE_RETRY = 1;
 
@@ -51,7 +54,7 @@
     return failed.verdict().safeToSendAgain() || failed.repeatable();
   }
 
-  /** Whether another attempt could end otherwise. */
+  /** Whether another attempt could succeed. */
   private static boolean canSucceed(Verdict verdict) {
     if (verdict instanceof Verdict.NotRun notRun) {
       return isTransient(notRun.reason());
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/ChainBudget.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/ChainBudget.java
@@ -3,40 +3,40 @@
 import java.util.Optional;
 
 /**
- * How often one request may still be sent again, shared by all proxies along its chain of calls.
+ * Remaining retries of one request, shared by all proxies along its chain of calls.
  *
- * <p>Carried as the header {@value #HEADER}, one decimal digit, in both directions. In a request it
- * is what the receiver may spend; a back end should copy it to the calls it makes on behalf of the
- * request. In a refusal it is what the sender of the request may still spend: a proxy that gives up
- * answers {@code 0}, so that a failure is retried beside its cause only and never again further up.
- * Immutable.
+ * <p>Carried in the header {@value #HEADER}, one decimal digit, in both directions. In a request it
+ * is the number of retries that the receiver may spend; a backend should copy it to the calls it
+ * makes on behalf of the request. In a refusal it is the number that the sender of the request may
+ * still spend: a proxy that gives up returns {@code 0}, so that a failure is retried only next to
+ * its cause and never again further up. Immutable.
  *
- * @param retriesLeft retries that may still be made, 0 to 9
+ * @param retriesLeft remaining retries, 0 to 9
  */
 public record ChainBudget(int retriesLeft) {
-  /** Header of requests and refusals. */
+  /** Header name in requests and refusals. */
   public static final String HEADER = "Umberpath-Retry";
 
-  /** Largest number of retries a chain may have. */
+  /** Upper bound on the retries of a chain. */
   public static final int MAX_RETRIES = 9;
 
-  /** No retry may be made; also what a proxy answers when it gives up. */
+  /** No retries left; also returned by a proxy that gives up. */
   public static final ChainBudget NONE = new ChainBudget(0);
 
-  /** Checks the number. */
+  /** Validates the number of retries. */
   public ChainBudget {
     Settings.between("retriesLeft", retriesLeft, 0, MAX_RETRIES);
   }
 
-  /** What a request without the header may spend: it enters the mesh here. */
+  /** Budget of a request without the header, which enters the mesh here. */
   public static ChainBudget atEntry(RetrySettings settings) {
     return new ChainBudget(settings.chainRetries());
   }
 
   /**
-   * Reads a request's header.
+   * Reads the header of a request.
    *
-   * @param header its value, if the request has it
+   * @param header its value, if present
    * @return the smaller of the value and this proxy's own limit; {@link #NONE} if the value is
    *     malformed
    */
@@ -46,29 +46,29 @@
   }
 
   /**
-   * Applies a refusal's header.
+   * Applies the header of a refusal.
    *
-   * @param header its value, if the refusal has it
+   * @param header its value, if present
    */
   public ChainBudget afterRefusal(Optional<String> header) {
     return header.map(value -> atMost(parse(value))).orElse(this);
   }
 
-  /** What is left at this proxy when it has made one retry. */
+  /** Budget that is left at this proxy after one retry. */
   public ChainBudget afterRetry() {
     return new ChainBudget(Math.max(0, retriesLeft - 1));
   }
 
   /**
-   * What an attempt carries to the next hop.
+   * Budget that an attempt carries to the next hop.
    *
-   * @param attempt 1 for the first; a retry carries {@link #NONE}, so that it is not multiplied
+   * @param attempt 1 for the first; a retry carries {@link #NONE}, so that retries do not multiply
    */
   public ChainBudget forAttempt(int attempt) {
     return attempt == 1 ? this : NONE;
   }
 
-  /** The header's value. */
+  /** Encodes the header value. */
   public String encode() {
     return Integer.toString(retriesLeft);
   }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/ColdStartLimiter.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/ColdStartLimiter.java
@@ -4,48 +4,54 @@
 import java.util.Deque;
 
 /**
- * Bounds how many requests a back end is given while it is cold: above that it falls over. Counts
- * what was begun in the last second, so that the whole bound can be used, and in a part of it, so
- * that it is used evenly: what came after a burst would wait for most of a second. While the back
- * end is warm nothing is bounded, but what is begun counts as soon as it turns cold. Thread-safe.
+ * Limits the request rate of a backend during its warm-up, above which it would fail. Counts the
+ * requests started in the last second, so that the whole limit can be used, and also those in a
+ * slice of it, so that it is used evenly: otherwise requests after a burst would wait for most of a
+ * second. A warm backend is not limited, but its starts are recorded and count as soon as it turns
+ * cold. Thread-safe.
  */
 public final class ColdStartLimiter {
   /**
-   * What a cold back end may get in any second: {@code perSecond x overage + slack}.
+   * Limit of a cold backend in any second: {@code perSecond x overage + slack}.
    *
-   * @param overage factor of its rate
-   * @param slack requests beyond that
+   * @param overage factor on its rate
+   * @param slack additional requests
    */
   public record Bounds(double overage, double slack) {
-    /** Nothing beyond the rate itself. */
+    /** The plain rate without overage or slack. */
     public static final Bounds RATE_ALONE = new Bounds(1, 0);
 
-    /** Most requests in a second; at least one, or the back end would never turn warm in use. */
+    /**
+     * Largest number of requests in a second; at least one, or a backend that warms up by use would
+     * stay cold.
+     */
     private int limitPerSecond(double perSecond) {
       return (int) Math.max(1, Math.floor(perSecond * overage + slack));
     }
   }
 
-  /** The bound holds for any second. */
+  /** The limit applies to any interval of this length. */
   private static final long BOUND_MILLIS = 1_000;
 
   /**
-   * Longest time between a request's beginning and its bytes' arrival at the back end,
-   * milliseconds: a connection is opened, and the process may stand still for a collection.
-   * Requests begun a second apart then still arrive within one second; so what was begun counts
-   * that much longer.
+   * Longest time between the start of a request and its arrival at the backend, milliseconds: a
+   * connection may have to be opened, and the process may pause for garbage collection. Requests
+   * started a second apart could arrive within one second, so starts are counted for this much
+   * longer.
    */
   private static final long MAX_TRANSIT_MILLIS = 100;
 
   private static final long WINDOW_MILLIS = BOUND_MILLIS + MAX_TRANSIT_MILLIS;
 
-  /** Parts of the window in which as much may begin: a caller bears a wait of one of them. */
+  /**
+   * Slices of the window with an equal limit each; a wait of one slice is acceptable to a client.
+   */
   private static final int SLICES = 4;
 
   private static final long SLICE_MILLIS = WINDOW_MILLIS / SLICES;
   private static final double MICROS_PER_MILLI = 1_000;
 
-  /** Beginnings that are remembered while the back end is warm: more than any bound. */
+  /** Start times kept while the backend is warm: more than any limit. */
   private static final int MAX_START_TIMES = 1_024;
 
   private final Bounds bounds;
@@ -55,9 +61,10 @@
   private int limitPerSecond = 1;
 
   /**
-   * Creates the limiter of a back end that is warm.
+   * Creates the limiter of a warm backend.
    *
-   * @param nowMillis what was begun before is not known: an earlier process may have used the bound
+   * @param nowMillis starts before this time are not known: an earlier process may have used up the
+   *     limit
    */
   public ColdStartLimiter(Bounds bounds, long nowMillis) {
     this.bounds = bounds;
@@ -65,10 +72,10 @@
   }
 
   /**
-   * The back end is cold.
+   * Marks the backend as cold.
    *
-   * @param untilMillis until when at least
-   * @param coldPerSecond requests a second that it bears; 0 for any number
+   * @param untilMillis earliest end of its warm-up
+   * @param coldPerSecond requests a second that it can take; 0 for no limit
    */
   public synchronized void cold(long nowMillis, long untilMillis, double coldPerSecond) {
     if (coldPerSecond <= 0 || untilMillis <= nowMillis) {
@@ -78,17 +85,17 @@
     coldUntilMillis = Math.max(coldUntilMillis, untilMillis);
   }
 
-  /** Whether the back end is cold. */
+  /** Whether the backend is cold. */
   public synchronized boolean isCold(long nowMillis) {
     return nowMillis < coldUntilMillis;
   }
 
-  /** Whether one more request may begin. */
+  /** Whether one more request may start. */
   public synchronized boolean canStart(long nowMillis) {
     return !isCold(nowMillis) || waitMillis(nowMillis, 0) <= 0;
   }
 
-  /** A request begins. */
+  /** Records the start of a request. */
   public synchronized void recordStart(long nowMillis) {
     removeExpired(nowMillis);
     if (startTimesMillis.size() == MAX_START_TIMES) {
@@ -97,7 +104,7 @@
     startTimesMillis.addLast(nowMillis);
   }
 
-  /** Time until a request may begin that so many others are ahead of, milliseconds. */
+  /** Time until a request with that many others ahead of it may start, milliseconds. */
   public synchronized double waitMillis(long nowMillis, int ahead) {
     if (!isCold(nowMillis)) {
       return 0;
@@ -109,7 +116,7 @@
     return Math.min(coldUntilMillis - nowMillis, Math.max(windowWaitMillis, sliceWaitMillis));
   }
 
-  /** Time until so many more are within what may begin in a span of time, milliseconds. */
+  /** Time until that many more requests fit into the limit of a time span, milliseconds. */
   private double millisUntilAllowed(long nowMillis, int more, long spanMillis, double allowed) {
     long[] recent =
         startTimesMillis.stream()
@@ -133,8 +140,8 @@
   }
 
   /**
-   * How many requests at a time the bound makes for, of so many slots: all while that many more may
-   * begin at once, else as many as its rate keeps busy.
+   * Concurrency that the limit allows: all slots while that many more requests may start at once,
+   * otherwise as many as its rate keeps busy.
    *
    * @param serviceMicros mean time that a request holds a slot, microseconds
    */
@@ -146,7 +153,10 @@
     return Math.max(1, Math.min(slots, usable));
   }
 
-  /** What may begin in a window; less while an earlier process may have begun some of it. */
+  /**
+   * Requests that may start in a window; fewer while an earlier process may have started some of
+   * them.
+   */
   private double windowLimit(long nowMillis) {
     double unknownShare =
         Math.max(0, historyStartMillis + WINDOW_MILLIS - nowMillis) / (double) WINDOW_MILLIS;
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/DueOrderAdmissionController.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/DueOrderAdmissionController.java
@@ -10,13 +10,13 @@
 import java.util.TreeSet;
 
 /**
- * Slots with a bounded queue. Nested requests go first: for each of them another request holds a
- * slot. Of the rest, requests that can still be answered within their target latency go first, in
- * the order they are due; those that can not are served from what is left over, and refused once
- * they have waited too long. So an overload makes some requests late or refused, not all of them
- * late. Owner synchronizes.
+ * Admission control with slots and a bounded queue. Nested requests go first, since another request
+ * holds a slot for each of them. Of the rest, requests that can still meet their target latency go
+ * first, in due order; the others are served with the remaining capacity and refused once they have
+ * waited too long. An overload thus makes some requests late or refused instead of all of them
+ * late. The owner synchronizes access.
  *
- * <p>Invariant: a request waits only while every slot is taken or the back end is cold.
+ * <p>Invariant: a request waits only while every slot is taken or the backend is cold.
  */
 final class DueOrderAdmissionController implements AdmissionController {
   private static final double MICROS_PER_MILLI = 1_000.0;
@@ -149,7 +149,7 @@
     }
   }
 
-  /** In the order in which they are served. */
+  /** The queues, in the order in which they are served. */
   private List<TreeSet<AdmissionRequest>> queues() {
     return List.of(nested, onTime, late);
   }
@@ -210,7 +210,7 @@
     return onTime.isEmpty() ? late.pollFirst() : onTime.pollFirst();
   }
 
-  /** Those that can no longer be in time are refused, or go behind the others. */
+  /** Refuses requests that can no longer meet their target, or moves them to the late queue. */
   private void demote(long nowMillis, List<Decision> decisions) {
     for (Iterator<AdmissionRequest> waiting = onTime.iterator(); waiting.hasNext(); ) {
       AdmissionRequest request = waiting.next();
@@ -247,7 +247,10 @@
     return request.expectedMicros() / MICROS_PER_MILLI;
   }
 
-  /** One that has waited too long: coming back makes sense only if its work still fits. */
+  /**
+   * Refuses a request that has waited too long; a retry-after is given only if its work still fits
+   * before the deadline.
+   */
   private Decision refusalOfExpired(long nowMillis, AdmissionRequest request) {
     boolean fits = nowMillis + expectedMillis(request) < request.deadlineMillis();
     return fits
@@ -255,7 +258,7 @@
         : new Decision.Refused(request.id(), Reason.DEADLINE, 0);
   }
 
-  /** Expected wait behind so many, and one running to end. */
+  /** Expected wait behind that many requests plus the end of a running one. */
   private double waitMillis(long nowMillis, int ahead) {
     double slotWaitMillis = (ahead + 1) * serviceTime.meanMicros() / slots / MICROS_PER_MILLI;
     return Math.max(slotWaitMillis, coldStartLimiter.waitMillis(nowMillis, ahead));
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/LeastLoadBalancer.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/LeastLoadBalancer.java
@@ -12,17 +12,20 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Compares a few back ends by expected load; design note 0005. Owner synchronizes. */
+/**
+ * Power-of-choices load balancer: compares a few backends by expected load; design note 0005. The
+ * owner synchronizes access.
+ */
 final class LeastLoadBalancer implements LoadBalancer {
   private static final long EXPIRY_MILLIS = 600_000;
   private static final long EXPIRY_CHECK_MILLIS = 10_000;
   private static final int MAX_ORDERED_POOLS = 1_024;
   private static final long GOLDEN_GAMMA = 0x9e3779b97f4a7c15L;
 
-  /** A back end and what is known of it. */
+  /** A backend and its state. */
   private record Candidate(BackendView view, BackendState state) {}
 
-  /** A pool's back ends in this edge proxy's order of preference. */
+  /** The backends of a pool in this edge proxy's order of preference. */
   private record OrderedPool(PoolView view, List<BackendView> order) {}
 
   private final BalancerSettings settings;
@@ -81,7 +84,9 @@
     return spillOver ? bestRemote.view : bestLocal.view;
   }
 
-  /** The least loaded of a few taken by the spread number; null if there is none. */
+  /**
+   * The least loaded of a few candidates, selected by the spread number; null if there are none.
+   */
   private Candidate leastLoaded(List<Candidate> candidates, Scoring scoring, long spread) {
     Candidate least = null;
     double leastLoad = 0;
@@ -109,7 +114,7 @@
     return least == Long.MAX_VALUE ? 0 : least;
   }
 
-  /** The first of this proxy's order that take work, as many as its subset has. */
+  /** The first backends in this proxy's order that accept work, up to the size of its subset. */
   private List<Candidate> candidatesInService(long nowMillis, PoolView pool) {
     if (firstUseMillis < 0) {
       firstUseMillis = nowMillis;
@@ -146,7 +151,7 @@
     return cached.order;
   }
 
-  /** Leaves out ejected back ends, but keeps at least half of them all. */
+  /** Excludes ejected backends but keeps at least half of all candidates. */
   private static List<Candidate> withoutEjected(long nowMillis, List<Candidate> inService) {
     List<Candidate> kept = new ArrayList<>(inService.size());
     List<Candidate> ejected = new ArrayList<>();
@@ -199,7 +204,10 @@
     edges = newEdges;
   }
 
-  /** A back end that appears after this proxy's own start is new and starts slowly. */
+  /**
+   * Returns the state of a backend; one that appears after this proxy's own start is new and gets a
+   * slow start.
+   */
   private BackendState state(long nowMillis, String id) {
     BackendState known = states.get(id);
     if (known == null) {
@@ -211,7 +219,7 @@
     return known;
   }
 
-  /** Loads under the means of one pool at one time. */
+  /** Loads of candidates relative to the means of their pool at one time. */
   private static final class Scoring {
     private final long nowMillis;
     private final int slots;
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/LoadBalancer.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/LoadBalancer.java
@@ -8,25 +8,25 @@
 import java.util.List;
 import java.util.Set;
 
-/** Chooses the back end of one attempt at an edge proxy. Owner synchronizes. */
+/** Chooses the backend of each attempt at an edge proxy. The owner synchronizes access. */
 public interface LoadBalancer {
   /**
-   * Picks a back end for a request of the pool's own tier.
+   * Picks a backend for a request of the pool's own tier.
    *
-   * @param nowMillis rising clock, milliseconds
-   * @param pool the pool of the request's snapshot
-   * @param spread any number that differs from request to request, for spreading ties
+   * @param nowMillis monotonic clock, milliseconds
+   * @param pool the pool in the request's snapshot
+   * @param spread any number that differs between requests, to break ties
    * @param excluded ids already tried by this request
-   * @return the choice; or {@code NO_BACKEND} if none is in service and untried, {@code OVERLOADED}
-   *     if all such asked to be left alone for a while
+   * @return the choice; or {@code NO_BACKEND} if no untried backend is in service, {@code
+   *     OVERLOADED} if all of them are backing off
    */
   Either<Verdict.Reason, ProxySnapshot.BackendView> pick(
       long nowMillis, ProxySnapshot.PoolView pool, long spread, Set<String> excluded);
 
   /**
-   * Picks a back end for a request of a tier. The default ignores the tier.
+   * Picks a backend for a request of a tier. The default ignores the tier.
    *
-   * @param tier tier of the route; back ends that shed lower tiers only are still open to it
+   * @param tier tier of the route; backends that only shed lower tiers remain available to it
    * @see #pick(long, ProxySnapshot.PoolView, long, Set)
    */
   default Either<Verdict.Reason, ProxySnapshot.BackendView> pick(
@@ -35,34 +35,34 @@
   }
 
   /**
-   * Time until some back end of the pool takes requests of the tier again, milliseconds; 0 if one
+   * Time until a backend of the pool accepts requests of the tier again, milliseconds; 0 if one
    * does now, if none is in service, or by default.
    */
   default long retryAfterMillis(long nowMillis, ProxySnapshot.PoolView pool, Tier tier) {
     return 0;
   }
 
-  /** An attempt was sent to a back end. */
+  /** Records that an attempt was sent to a backend. */
   void started(long nowMillis, String backendId);
 
-  /** An attempt ended; call it once for each {@link #started}. */
+  /** Records the end of an attempt; call it once for each {@link #started}. */
   void finished(long nowMillis, String backendId, Verdict verdict, long latencyMicros);
 
   /**
-   * The refusal of an attempt named a time to stay away; call it besides {@link #finished}.
-   * Requests of this tier and lower ones leave the back end alone for that time. The default
+   * Backs off from a backend whose refusal carried a retry-after; call it in addition to {@link
+   * #finished}. Requests of this tier and lower ones avoid the backend for that time. The default
    * ignores it.
    *
    * @param retryAfterMillis time from now, milliseconds
    */
   default void shed(long nowMillis, String backendId, Tier tier, long retryAfterMillis) {}
 
-  /** Statements of the nodes beside the back ends. */
+  /** Applies reports of the nodes beside the backends. */
   void observed(long nowMillis, List<ObservedBackend> backends);
 
   /**
-   * The number of edge proxies that share the back ends has changed; it decides the size of the
-   * subset of a pool that this one uses. The default ignores it.
+   * Sets the number of edge proxies that share the backends; it determines the size of this proxy's
+   * subset of a pool. The default ignores it.
    *
    * @param edges at least 1
    */
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/LoadBalancers.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/LoadBalancers.java
@@ -4,7 +4,7 @@
 public final class LoadBalancers {
   private LoadBalancers() {}
 
-  /** A balancer that has seen nothing yet, for all pools of one edge proxy. */
+  /** Creates a balancer without state, for all pools of one edge proxy. */
   public static LoadBalancer create(BalancerSettings settings) {
     return new LeastLoadBalancer(settings);
   }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/OverloadBackoff.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/OverloadBackoff.java
@@ -1,17 +1,21 @@
 package io.umberpath.traffic;
 
 /**
- * How much of what comes has to be refused, and how long those refused are to stay away for it: in
- * an overload that lasts, who comes back at once is only refused again. Owner synchronizes.
+ * Retry-after of refused requests, which grows with the share of recent requests that were refused:
+ * in a lasting overload an immediate retry would only be refused again. The owner synchronizes
+ * access.
  */
 final class OverloadBackoff {
-  /** Weight of one request: about thirty forget what was before, a fraction of a second. */
+  /** Weight of one request: the average covers about thirty, a fraction of a second. */
   private static final double SAMPLE_WEIGHT = 0.03;
 
-  /** A few refusals in a hundred are chance; the time rises steeply above. */
+  /**
+   * Exponent on the share of refusals: a few in a hundred are noise, above that the backoff rises
+   * steeply.
+   */
   private static final int STEEPNESS = 3;
 
-  /** Share by which the times of those refused differ, so that they do not come back together. */
+  /** Relative jitter of the backoff, so that refused clients do not retry at the same time. */
   private static final double JITTER = 0.25;
 
   private static final long HASH_FACTOR = 0x9E3779B97F4A7C15L;
@@ -21,23 +25,23 @@
   private double refusalRate;
 
   /**
-   * Creates one without pressure.
+   * Creates a backoff without refusals.
    *
-   * @param maxBackoffMillis time to stay away if everything is refused, milliseconds
+   * @param maxBackoffMillis backoff if all requests are refused, milliseconds
    */
   OverloadBackoff(long maxBackoffMillis) {
     this.maxBackoffMillis = maxBackoffMillis;
   }
 
-  /** A request was refused for want of time, or not. */
+  /** Records whether a request was refused because it could not be in time. */
   void record(boolean refused) {
     refusalRate += SAMPLE_WEIGHT * ((refused ? 1 : 0) - refusalRate);
   }
 
   /**
-   * How long a refused request is to stay away, milliseconds.
+   * Backoff of a refused request, milliseconds.
    *
-   * @param id of the request, which decides its place in the spread
+   * @param id id of the request, which determines its jitter
    */
   long backoffMillis(long id) {
     double position = (id * HASH_FACTOR >>> Long.SIZE - HASH_BITS) / (double) (1 << HASH_BITS);
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/RetryPolicies.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/RetryPolicies.java
@@ -8,14 +8,15 @@
 public final class RetryPolicies {
   private RetryPolicies() {}
 
-  /** A policy with a full budget, for one edge proxy. */
+  /** Creates a policy with a full budget, for one edge proxy. */
   public static RetryPolicy create(RetrySettings settings) {
     return new BudgetedRetryPolicy(settings);
   }
 
   /**
-   * A policy for each tier of one edge proxy. Under overload the refusals of low tiers would empty
-   * a budget shared by all, and the highest tier's rare refusals would go unmended.
+   * Creates a policy for each tier of one edge proxy. With a shared budget, refusals of low tiers
+   * during an overload would use it up, and the few refusals of the highest tier could not be
+   * retried.
    */
   public static Map<Tier, RetryPolicy> createPerTier(RetrySettings settings) {
     Map<Tier, RetryPolicy> policies = new EnumMap<>(Tier.class);
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/RetryPolicy.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/RetryPolicy.java
@@ -2,16 +2,16 @@
 
 import io.umberpath.model.Verdict;
 
-/** Decides at an edge proxy whether a request that failed is sent again. Owner synchronizes. */
+/** Decides at an edge proxy whether a failed request is retried. The owner synchronizes access. */
 public interface RetryPolicy {
   /**
-   * An attempt that ended without an answer.
+   * An attempt that ended without a response.
    *
-   * @param verdict what is known of whether it ran
-   * @param repeatable whether the route lets the request run more than once
-   * @param attempts attempts made so far, at least 1
+   * @param verdict whether it ran, as far as known
+   * @param repeatable whether the route allows the request to run more than once
+   * @param attempts attempts so far, at least 1
    * @param bodyReplayable whether the whole request body can still be sent again
-   * @param deadlineMillis when the caller gives up
+   * @param deadlineMillis deadline of the client
    */
   record FailedAttempt(
       Verdict verdict,
@@ -20,25 +20,23 @@
       boolean bodyReplayable,
       long deadlineMillis) {}
 
-  /** A request that entered the mesh here begins; it earns retry budget. */
+  /** Records a request that enters the mesh here; it adds to the retry budget. */
   void requestStarted(long nowMillis);
 
   /**
-   * A request begins; it earns retry budget unless it is itself a retry.
+   * Records a request; it adds to the retry budget unless it is itself a retry.
    *
-   * @param chain what its {@value ChainBudget#HEADER} header said
+   * @param chain budget from its {@value ChainBudget#HEADER} header
    */
   void requestStarted(long nowMillis, ChainBudget chain);
 
-  /**
-   * Whether to send a request that entered the mesh here again now; takes from the budget if so.
-   */
+  /** Whether to retry a request that entered the mesh here; takes from the budget if so. */
   boolean mayRetry(long nowMillis, FailedAttempt failed);
 
   /**
-   * Whether to send it again now; takes from the budget if so.
+   * Whether to retry a request; takes from the budget if so.
    *
-   * @param chain what is left of its chain's budget after the refusal and earlier retries here
+   * @param chain budget of its chain that is left after the refusal and earlier retries here
    */
   boolean mayRetry(long nowMillis, FailedAttempt failed, ChainBudget chain);
 }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/RetrySettings.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/RetrySettings.java
@@ -1,13 +1,13 @@
 package io.umberpath.traffic;
 
 /**
- * Limits of the retries of one edge proxy.
+ * Retry limits of one edge proxy.
  *
- * @param maxAttempts attempts of one request at this proxy, the first included, at least 1
- * @param budgetRatio retries earned by each first attempt, 0 to 1
- * @param budgetCap retries that can be saved up, at least 1
+ * @param maxAttempts attempts of one request at this proxy including the first, at least 1
+ * @param budgetRatio retries added to the budget by each first attempt, 0 to 1
+ * @param budgetCap upper bound on the budget in retries, at least 1
  * @param minRemainingMillis time that must be left until the deadline for a retry, milliseconds
- * @param chainRetries retries one request may have along its whole chain of calls, 0 to 9
+ * @param chainRetries retries of one request along its whole chain of calls, 0 to 9
  */
 public record RetrySettings(
     int maxAttempts,
@@ -16,12 +16,12 @@
     long minRemainingMillis,
     int chainRetries) {
   /**
-   * 3 attempts; a retry for each 10 requests, at most 10 saved up; 2 ms must be left; 2 retries a
-   * chain.
+   * Defaults: 3 attempts; one retry per 10 requests, at most 10 accumulated; 2 ms must be left; 2
+   * retries per chain.
    */
   public static final RetrySettings DEFAULT = new RetrySettings(3, 0.1, 10, 2, 2);
 
-  /** Checks the limits; the error names field and value. */
+  /** Validates the limits; the error names field and value. */
   public RetrySettings {
     Settings.atLeast("maxAttempts", maxAttempts, 1);
     Settings.between("budgetRatio", budgetRatio, 0, 1);
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/ServiceTimeEstimate.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/ServiceTimeEstimate.java
@@ -1,10 +1,10 @@
 package io.umberpath.traffic;
 
 /**
- * Running estimate of the time a request holds its slot. Owner synchronizes.
+ * Running estimate of the time that a request holds its slot. The owner synchronizes access.
  *
- * <p>Two figures, because requests differ much (a lookup and an upload share the slots): the mean
- * says how fast a queue drains; a low quantile says what even a short request needs.
+ * <p>Keeps two values because durations vary widely (a lookup and an upload share the slots): the
+ * mean tells how fast a queue drains; a low quantile tells what even a short request needs.
  */
 final class ServiceTimeEstimate {
   private static final double MEAN_WEIGHT = 0.05;
@@ -38,7 +38,7 @@
     return meanMicros;
   }
 
-  /** Time that four of five requests exceed, microseconds; 0 before any was measured. */
+  /** Duration that four of five requests exceed, microseconds; 0 before any was measured. */
   double fastMicros() {
     return fastMicros;
   }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/Settings.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/Settings.java
@@ -1,11 +1,11 @@
 package io.umberpath.traffic;
 
-/** Checks of settings; each error names field, value and bound. */
+/** Validation of settings; each error names field, value and bound. */
 public final class Settings {
   private Settings() {}
 
   /**
-   * Refuses a value below its bound.
+   * Rejects a value below its bound.
    *
    * @throws IllegalArgumentException if it is below
    */
@@ -16,7 +16,7 @@
   }
 
   /**
-   * Refuses a value outside its bounds, both of which are accepted; NaN is refused.
+   * Rejects a value outside its inclusive bounds, and NaN.
    *
    * @throws IllegalArgumentException if it is outside
    */
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/SimpleRouteTable.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/SimpleRouteTable.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Routes by host, then by prefix in the order given (longest first). */
+/** Matches by host, then by prefix in the given order (longest first). */
 final class SimpleRouteTable implements RouteTable {
   private final Map<String, List<Route>> byHost = new HashMap<>();
 
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/SlotAdmissionController.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/SlotAdmissionController.java
@@ -10,7 +10,8 @@
 import java.util.Optional;
 
 /**
- * Slots with a bounded queue in tier order; design note 0005. Owner synchronizes.
+ * Admission control with slots and a bounded queue in tier order; design note 0005. The owner
+ * synchronizes access.
  *
  * <p>Invariant: a request waits only while every slot is taken.
  */
@@ -157,7 +158,7 @@
     return decisions;
   }
 
-  /** Free queue places, less those kept for the other tiers. */
+  /** Free queue places, less those reserved for the other tiers. */
   private int freePlaces(Tier tier) {
     int places = settings.queueLimit() - queued;
     for (Tier other : TIERS) {
@@ -169,7 +170,10 @@
     return places;
   }
 
-  /** A lower tier gives way first; within the tier, the tenant furthest beyond its share. */
+  /**
+   * Evicts a queued request: of a lower tier first; within the tier, of the tenant furthest beyond
+   * its share.
+   */
   private Optional<AdmissionRequest> evictFor(AdmissionRequest request) {
     for (int tier = TIERS.length - 1; tier > request.tier().ordinal(); tier--) {
       TierQueue lower = queues.get(TIERS[tier]);
@@ -225,7 +229,10 @@
     return nowMillis < request.deadlineMillis() && nowMillis + needed <= request.deadlineMillis();
   }
 
-  /** Expected wait of a further request: all that go before it, and one running to end. */
+  /**
+   * Expected wait of a further request: all requests that go before it plus the end of a running
+   * one.
+   */
   private double waitMicros(AdmissionRequest request) {
     int ahead = queues.get(request.tier()).countAhead(request.tenant());
     for (Tier tier : TIERS) {
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/SpreadHash.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/SpreadHash.java
@@ -1,6 +1,6 @@
 package io.umberpath.traffic;
 
-/** A 64-bit mixing function, equal on every node; not for security. */
+/** 64-bit hash for spreading, equal on every node; not for security. */
 final class SpreadHash {
   private static final long FNV_OFFSET = 0xcbf29ce484222325L;
   private static final long FNV_PRIME = 0x100000001b3L;
@@ -14,7 +14,7 @@
     return mixed ^ (mixed >>> 31);
   }
 
-  /** Hashes a text. */
+  /** Hashes a string. */
   static long hash(String text) {
     long hash = FNV_OFFSET;
     for (int i = 0; i < text.length(); i++) {
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/Subsetting.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/Subsetting.java
@@ -6,23 +6,23 @@
 import java.util.function.Function;
 
 /**
- * Which back ends of a pool one edge proxy uses, so that connections do not grow with the fleet.
- * Pure functions, equal on every node.
+ * Deterministic subsetting: selects the backends of a pool that one edge proxy uses, so that
+ * connections do not grow with the fleet. Pure functions, equal on every node.
  *
- * <p>Rendezvous hashing: each edge proxy orders the back ends by a hash of both identities and uses
- * the first {@link #size}. A back end that leaves changes only the edge proxies that used it, a
- * smaller size is a prefix of a larger one.
+ * <p>Rendezvous hashing: each edge proxy orders the backends by a hash of both ids and uses the
+ * first {@link #size}. A backend that leaves affects only the edge proxies that used it; a smaller
+ * subset is a prefix of a larger one.
  *
- * <p>Bound: with {@code n} edge proxies, {@code b} back ends and subsets of {@code k}, the number
- * of edge proxies on one back end is binomial with mean {@code m = n k / b}. The size is the
- * largest for which {@code (m + 4 sqrt(m)) * connectionsPerEdge <= limit}; the true number is above
- * {@code m + 4 sqrt(m)} for about one back end in 30,000. The smallest size is {@link #MINIMUM},
- * for without a second back end neither choice nor retry is left; a fleet that is too large even
- * for this needs more back ends, and the node beside the back end, which alone connects to it,
- * keeps the back end's own limit in any case.
+ * <p>Bound: with {@code n} edge proxies, {@code b} backends and subsets of {@code k}, the number of
+ * edge proxies on one backend is binomial with mean {@code m = n k / b}. The size is the largest
+ * for which {@code (m + 4 sqrt(m)) * connectionsPerEdge <= limit}; the true number is above {@code
+ * m + 4 sqrt(m)} for about one backend in 30,000. The smallest size is {@link #MINIMUM}, since
+ * without a second backend neither choice nor retry is possible; a fleet that is too large even for
+ * this needs more backends. The node beside the backend, which alone connects to it, keeps to the
+ * backend's own limit in any case.
  */
 public final class Subsetting {
-  /** Smallest subset, if the pool has as many back ends. */
+  /** Smallest subset, if the pool has that many backends. */
   public static final int MINIMUM = 2;
 
   private static final double STANDARD_DEVIATIONS = 4;
@@ -30,12 +30,12 @@
   private Subsetting() {}
 
   /**
-   * Size of the subset of each edge proxy.
+   * Computes the size of the subset of each edge proxy.
    *
    * @param edges edge proxies that use the pool
-   * @param backends back ends of the pool
-   * @param connectionsPerEdge connections of one edge proxy to one back end's node
-   * @param limit connections that one back end's node should hold
+   * @param backends backends of the pool
+   * @param connectionsPerEdge connections of one edge proxy to the node of one backend
+   * @param limit connections that the node of one backend should hold
    * @return between {@link #MINIMUM} and {@code backends}, or {@code backends} if that is smaller
    */
   public static int size(int edges, int backends, int connectionsPerEdge, int limit) {
@@ -49,16 +49,16 @@
     return Math.min(backends, Math.max(size, MINIMUM));
   }
 
-  /** Edge proxies on the busiest back end, as the bound above states it. */
+  /** Edge proxies on the busiest backend, by the bound above. */
   public static double expectedMaximum(int edges, int backends, int size) {
     double mean = (double) edges * size / backends;
     return Math.min(edges, mean + STANDARD_DEVIATIONS * Math.sqrt(mean));
   }
 
   /**
-   * Orders back ends by preference of one edge proxy.
+   * Orders backends by preference of one edge proxy.
    *
-   * @param id identity of a back end
+   * @param id function that returns the id of a backend
    */
   public static <T> List<T> order(String edgeId, List<T> backends, Function<T, String> id) {
     record Ranked<T>(long rank, T backend) {}
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/TierQueue.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/TierQueue.java
@@ -12,11 +12,11 @@
 import java.util.function.Predicate;
 
 /**
- * Requests of one tier that wait, with equal shares of slot time for the tenants that wait.
+ * Queued requests of one tier, with equal shares of slot time for the waiting tenants.
  *
- * <p>Start-time fair queueing: each tenant has a virtual time that rises with the slot time it
+ * <p>Start-time fair queueing: each tenant has a virtual time that increases with the slot time it
  * used; the tenant with the lowest goes next. A tenant that was idle starts at the level of the
- * others, so idleness earns nothing. Owner synchronizes.
+ * others, so idle time earns no credit. The owner synchronizes access.
  */
 final class TierQueue {
   private static final int MAX_IDLE_TENANTS = 1_024;
@@ -44,7 +44,7 @@
     size++;
   }
 
-  /** Takes the request that goes next; the queue must not be empty. */
+  /** Removes the request that goes next; the queue must not be empty. */
   AdmissionRequest poll() {
     Tenant next = null;
     for (Tenant tenant : tenants.values()) {
@@ -62,22 +62,22 @@
   }
 
   /**
-   * A request of the tenant got a free slot without contention: what its tenant used before is
-   * forgiven, so that a busy past does not count against it when a queue forms.
+   * Records that a request got a free slot without contention. The earlier use of its tenant is
+   * cleared, so that it does not count against the tenant when a queue forms.
    */
   void startedUncontended(String tenantName, double chargedMicros) {
     tenant(tenantName).virtualMicros = virtualTimeMicros;
     started(tenantName, chargedMicros);
   }
 
-  /** A request of the tenant got a slot after waiting; its tenant is charged in advance. */
+  /** Records that a request got a slot after waiting; its tenant is charged in advance. */
   void started(String tenantName, double chargedMicros) {
     Tenant tenant = tenant(tenantName);
     tenant.running++;
     tenant.virtualMicros = Math.max(tenant.virtualMicros, virtualTimeMicros) + chargedMicros;
   }
 
-  /** A request of the tenant gave its slot back; corrects the charge. */
+  /** Records that a request released its slot; corrects the advance charge. */
   void finished(String tenantName, double chargedMicros, double usedMicros) {
     Tenant tenant = tenant(tenantName);
     tenant.running--;
@@ -85,7 +85,7 @@
     removeIdleTenants();
   }
 
-  /** Requests that would be served before a further one of the tenant. */
+  /** Number of requests that would be served before a further one of the tenant. */
   int countAhead(String tenantName) {
     Tenant own = tenants.get(tenantName);
     int ownWaiting = own == null ? 0 : own.waiting.size();
@@ -139,7 +139,7 @@
     return Optional.of(last.waiting.removeLast());
   }
 
-  /** Removes a request; whether it was here. */
+  /** Removes a request; returns whether it was queued. */
   boolean remove(long id) {
     return !removeIf(request -> request.id() == id).isEmpty();
   }
@@ -164,7 +164,7 @@
     return tenants.computeIfAbsent(name, absent -> new Tenant());
   }
 
-  /** Forgets idle tenants that owe nothing, or any idle ones when there are very many. */
+  /** Removes idle tenants whose virtual time is not ahead, or any idle ones above the limit. */
   private void removeIdleTenants() {
     boolean isOverLimit = tenants.size() > MAX_IDLE_TENANTS;
     tenants
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/AdmissionControllerTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/AdmissionControllerTest.java
@@ -142,7 +142,9 @@
     assertThat(controller.release(0, -2, 5)).containsExactly(new Admitted(2));
   }
 
-  /** One slot, all tiers and three tenants always waiting: who gets the slot how often. */
+  /**
+   * One slot, all tiers and three tenants always waiting: checks the shares of tiers and tenants.
+   */
   @Test
   void lowerTiersAndTenantsGetTheirBoundedShare() {
     AdmissionController singleSlotController =
@@ -193,7 +195,7 @@
     decisions.stream().filter(Admitted.class::isInstance).forEach(d -> running.add(d.id()));
   }
 
-  /** Any order of calls: limits hold, and each request gets one final decision. */
+  /** Under random calls the limits hold and each request gets one final decision. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void limitsHoldUnderRandomCalls(long seed) {
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/ColdStartLimiterTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/ColdStartLimiterTest.java
@@ -16,7 +16,7 @@
   private static final long WARMUP_MILLIS = 3_000;
   private static final long LONG_AGO = -10_000;
 
-  /** The users' bound: {@code coldPerS x warmupOverage + warmupSlack} in any second. */
+  /** The specified limit: {@code coldPerS x warmupOverage + warmupSlack} in any second. */
   @ParameterizedTest
   @CsvSource({"13, 1.5, 8", "9.1, 1.5, 8", "10, 1, 0", "2, 1, 1", "40, 2, 0"})
   void noSecondExceedsTheLimitUnderAnyDemand(double perSecond, double overage, double slack) {
@@ -27,7 +27,7 @@
     int total = 0;
 
     for (long now = 0; now < WARMUP_MILLIS; now++) {
-      // A pause, in which the bucket fills, then as many as are let in.
+      // A pause, in which the limit recovers, then as many starts as are allowed.
       while (now >= 1_200 && limiter.canStart(now)) {
         limiter.recordStart(now);
         lastSecond.add(now);
@@ -38,7 +38,7 @@
       }
       assertThat(lastSecond.size()).isLessThanOrEqualTo((int) (perSecond * overage + slack));
     }
-    // In 1.8 s, of which 0.1 s a second is left for the way.
+    // In 1.8 s, with 0.1 s per second reserved for the transit time.
     assertThat(total).isGreaterThanOrEqualTo((int) (1.5 * (int) (perSecond * overage + slack)));
   }
 
@@ -64,8 +64,9 @@
   }
 
   /**
-   * Arrivals bunch up on the way: what is begun at the end of one second and the start of the next
-   * but one may arrive within one, if the first are delayed and the last are not.
+   * Varying transit times compress arrivals: requests started at the end of one second and at the
+   * start of the next but one may arrive within one second, if the first are delayed and the last
+   * are not.
    */
   @ParameterizedTest
   @CsvSource({"10.5, 1.5, 8, 20", "10.5, 1.5, 8, 100", "10, 1, 0, 100"})
@@ -92,7 +93,7 @@
     }
   }
 
-  /** A burst that used the whole bound would leave nothing to what comes in the second after. */
+  /** A burst that used the whole limit would leave nothing for requests in the following second. */
   @Test
   void theLimitIsUsedFullyAndEvenly() {
     ColdStartLimiter limiter = new ColdStartLimiter(new ColdStartLimiter.Bounds(1.5, 8), LONG_AGO);
@@ -108,7 +109,10 @@
     assertThat(startAllAllowed(limiter, 1_100)).isEqualTo(6);
   }
 
-  /** An earlier process may have begun what the bound allows just before this one started. */
+  /**
+   * An earlier process may have started as many requests as the limit allows just before this one
+   * started.
+   */
   @Test
   void aNewProcessAllowsForStartsOfAnEarlierProcess() {
     ColdStartLimiter limiter = new ColdStartLimiter(new ColdStartLimiter.Bounds(1.5, 8), 0);
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/DecisionCosts.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/DecisionCosts.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import java.util.function.LongConsumer;
 
-/** Prints time a decision; for docs/measurements/traffic-decisions.md. */
+/** Microbenchmark: prints the time per decision; for docs/measurements/traffic-decisions.md. */
 final class DecisionCosts {
   private static final int CALLS = 1_000_000;
   private static final int ROUNDS = 5;
@@ -65,7 +65,7 @@
     controller.release(now, id, 5_000);
   }
 
-  /** Prints the best of some rounds after one that is not counted. */
+  /** Prints the best of several rounds after a warm-up round. */
   private static void measure(String label, LongConsumer call) {
     double best = Double.MAX_VALUE;
     long number = 1;
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/DueOrderAdmissionControllerTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/DueOrderAdmissionControllerTest.java
@@ -85,7 +85,7 @@
     assertThat(controller.queued()).isZero();
   }
 
-  /** One that takes 10 ms and is in time if its work is done at a given moment. */
+  /** A request that takes 10 ms and is in time if its work is done by {@code targetMillis}. */
   private static AdmissionRequest withTarget(
       long id, long dueMillis, long targetMillis, long startByMillis) {
     return new AdmissionRequest(
@@ -142,7 +142,7 @@
     assertThat(controller.ask(0, withTarget(5, 90, 200, 20)).get(0)).isInstanceOf(Refused.class);
   }
 
-  /** One that takes 10 ms and for which another request holds a slot. */
+  /** A request that takes 10 ms and for which another request holds a slot. */
   private static AdmissionRequest nested(long id, long dueMillis, long deadlineMillis) {
     return new AdmissionRequest(
         id,
@@ -237,7 +237,7 @@
         nested);
   }
 
-  /** Random asks, ends and cancellations: never more than the slots, each decided once. */
+  /** Random requests and completions: slots are never exceeded and each request is decided once. */
   @Test
   void everyRequestIsDecidedOnceAndSlotsAreNeverExceeded() {
     SplittableRandom random = new SplittableRandom(11);
@@ -277,7 +277,7 @@
     controller.release(10, -1, 10_000);
   }
 
-  /** One request a second is let in; a tenth of a second is left for the way. */
+  /** One request a second is admitted; 100 ms are reserved for the transit time. */
   @Test
   void aColdBackendIsRateLimitedThoughSlotsAreFree() {
     useUpTheColdLimitOfOneSecond();
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/LoadBalancerTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/LoadBalancerTest.java
@@ -28,7 +28,10 @@
   private final LoadBalancer balancer = LoadBalancers.create(BalancerSettings.of("edge", "a"));
   private long counter;
 
-  /** Back ends b0, b1 ... in the zones given by one letter each; an upper case one is drained. */
+  /**
+   * Backends b0, b1 ... in the zones given by one letter each; an upper-case letter marks a drained
+   * one.
+   */
   private static PoolView pool(String zones) {
     List<BackendView> views = new ArrayList<>();
     for (int i = 0; i < zones.length(); i++) {
@@ -45,7 +48,7 @@
     balancer.observed(now, List.of(new ObservedBackend(id, 1, ++counter, phase, load)));
   }
 
-  /** Shares of picks, each of which ends before the next. */
+  /** Counts picks per backend; each request ends before the next. */
   private Map<String, Integer> countPicks(long now, PoolView pool) {
     Map<String, Integer> counts = new HashMap<>();
     for (int i = 0; i < PICKS; i++) {
@@ -154,7 +157,7 @@
 
   @ParameterizedTest
   @CsvSource({
-    // edges, back ends, connections an edge, limit, size
+    // edges, backends, connections an edge, limit, size
     "20, 7, 4, 130, 7",
     "32, 7, 4, 130, 7",
     "60, 12, 4, 130, 3",
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/RetryChainTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/RetryChainTest.java
@@ -14,7 +14,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Attempts that reach each level of a chain of calls when one level refuses a part of them. */
+/**
+ * Counts the attempts that reach each level of a chain of calls when one level refuses a share of
+ * them.
+ */
 class RetryChainTest {
   private static final int REQUESTS = 4_000;
   private static final Verdict REFUSED = new Verdict.NotRun(Reason.OVERLOADED);
@@ -39,7 +42,7 @@
     assertThat(run(29, 28, 0.02, RetrySettings.DEFAULT)).isGreaterThan(REQUESTS * 999 / 1_000);
   }
 
-  /** The baseline this replaces: each level tries three times, without budgets. */
+  /** Baseline without budgets: each level makes three attempts. */
   @Test
   void threeAttemptsPerLevelMultiplyWithoutBudgets() {
     failingLevel = 5;
@@ -81,7 +84,7 @@
     return succeeded;
   }
 
-  /** Empty when answered, else the header of the refusal. */
+  /** Returns empty on success, otherwise the header of the refusal. */
   private Optional<String> call(int level, Optional<String> header, RetrySettings settings) {
     arrivals[level]++;
     if (level == failingLevel && random.nextDouble() < failureRatio) {
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/simulation/EventLoop.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/simulation/EventLoop.java
@@ -3,7 +3,9 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Virtual time: runs actions in the order of their times, then of their registration. */
+/**
+ * Event loop in virtual time: runs actions in the order of their times, then of their registration.
+ */
 final class EventLoop {
   private record Event(long atMicros, long number, Runnable action) {}
 
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/simulation/Outcome.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/simulation/Outcome.java
@@ -6,7 +6,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Counts of one simulated run. */
+/** Metrics of one simulated run. */
 final class Outcome {
   private final Scenario scenario;
   private final Map<Tier, long[]> requestsAndSuccesses = new EnumMap<>(Tier.class);
@@ -28,7 +28,7 @@
     requestsAndSuccesses.get(tier)[0]++;
   }
 
-  /** The caller got its answer; it counts if it came before the deadline. */
+  /** Records a response; only responses before the deadline count as success. */
   void recordResponse(Tier tier, long micros) {
     if (micros > Scenario.DEADLINE_MILLIS * 1_000) {
       return;
@@ -40,12 +40,12 @@
     requestsAndSuccesses.get(tier)[1]++;
   }
 
-  /** Answers in time a second, against the capacity. */
+  /** Responses in time per second, relative to the capacity. */
   double goodput() {
     return succeeded / (double) scenario.seconds() / scenario.capacity();
   }
 
-  /** Share of the tier's requests answered in time. */
+  /** Share of the tier's requests with a response in time. */
   double successRate(Tier tier) {
     long[] counts = requestsAndSuccesses.get(tier);
     return counts[1] / (double) counts[0];
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/simulation/Scenario.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/simulation/Scenario.java
@@ -4,13 +4,14 @@
  * One simulated run: edge proxies of four zones, one pool, Poisson arrivals, exponential service
  * times.
  *
- * @param policy how attempts are placed and limited
- * @param load arrivals against the capacity of all slots
- * @param reportLagMillis time from a back end's load being read until the edge proxies hear it
- * @param loadInResponses whether answers carry the back end's load besides
- * @param misreportingBackends back ends, counted from the first, that always report no load
- * @param slowBackends back ends, counted from the first, that serve at a third of the speed
- * @param seconds measured time, after one second that is not counted
+ * @param policy how attempts are balanced and limited
+ * @param load arrival rate relative to the capacity of all slots
+ * @param reportLagMillis delay between measuring a backend's load and its arrival at the edge
+ *     proxies
+ * @param loadInResponses whether responses carry the backend's load in addition
+ * @param misreportingBackends backends, counted from the first, that always report no load
+ * @param slowBackends backends, counted from the first, that serve at a third of the speed
+ * @param seconds measured time, after a warm-up of one second
  * @param seed seed of arrivals and service times
  */
 record Scenario(
@@ -30,19 +31,22 @@
   static final long REPORT_INTERVAL_MILLIS = 200;
   static final int SLOW_FACTOR = 3;
 
-  /** How attempts are placed and limited. */
+  /** How attempts are balanced and limited. */
   enum Policy {
-    /** Round robin, first come first served, no limit, no retry. */
+    /** Round robin, first come first served, without limits or retries. */
     ROUND_ROBIN,
-    /** Round robin with three attempts at once when an attempt takes longer than a third. */
+    /**
+     * Round robin; sends another attempt, up to three, whenever a third of the deadline has passed
+     * without a response.
+     */
     ROUND_ROBIN_RETRY_THREE,
-    /** Round robin before the admission of this project. */
+    /** Round robin in front of the admission control of this project. */
     ROUND_ROBIN_ADMISSION,
-    /** Balancing, admission and retries of this project. */
+    /** Load balancing, admission control and retries of this project. */
     UMBERPATH
   }
 
-  /** Requests a second that the slots serve. */
+  /** Capacity of all slots, requests per second. */
   double capacity() {
     double speed = BACKENDS - slowBackends + (double) slowBackends / SLOW_FACTOR;
     return speed * SLOTS * 1e6 / SERVICE_MICROS;
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/simulation/SimulatedBackend.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/simulation/SimulatedBackend.java
@@ -14,7 +14,7 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 
-/** A back end with slots, behind the admission of its node or a queue without limit. */
+/** A backend with slots, behind the admission control of its node or an unbounded queue. */
 final class SimulatedBackend {
   private record Waiting(long id, Consumer<Decision.Refused> done) {}
 
@@ -38,7 +38,7 @@
     }
   }
 
-  /** Calls back with null when the request was served, or with its refusal. */
+  /** Calls {@code done} with null once the request was served, or with its refusal. */
   void handle(AdmissionRequest request, Consumer<Decision.Refused> done) {
     if (hasAdmissionControl) {
       pending.put(request.id(), done);
@@ -50,7 +50,7 @@
     }
   }
 
-  /** Running and queued requests over slots, percent. */
+  /** Running and queued requests relative to the slots, percent. */
   int load() {
     int used =
         hasAdmissionControl
@@ -102,7 +102,7 @@
     return Math.round(-serviceMicros * Math.log(1 - random.nextDouble()));
   }
 
-  /** The verdict that a refusal stands for. */
+  /** The verdict for a refusal; completed if there is none. */
   static Verdict verdict(Decision.Refused refused) {
     return refused == null ? new Verdict.Completed() : new Verdict.NotRun(refused.reason());
   }
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/simulation/TrafficSimulation.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/simulation/TrafficSimulation.java
@@ -24,7 +24,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** Runs a {@link Scenario} in virtual time through the pure decisions. */
+/** Runs a {@link Scenario} in virtual time with the real decision code. */
 final class TrafficSimulation {
   private static final long SAME_ZONE_MICROS = 100;
   private static final long CROSS_ZONE_MICROS = 500;
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/simulation/TrafficSimulationTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/simulation/TrafficSimulationTest.java
@@ -7,7 +7,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The decisions together, in virtual time, against the baselines in the same run. */
+/**
+ * Runs all decisions together in virtual time and compares them with the baselines in the same run.
+ */
 class TrafficSimulationTest {
   private static final int SECONDS = 2;
 
@@ -26,7 +28,7 @@
 
   @ParameterizedTest
   @CsvSource({
-    // load, lag, on answers, lying, slow
+    // load, lag, load in responses, misreporting, slow
     "0.7, 200, true, 0, 1",
     "0.7, 200, true, 1, 1",
     "0.7, 2000, false, 0, 1",
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/trace/TraceLine.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/trace/TraceLine.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * One line of a trace: a call of a decision with its inputs, and what it has to decide. Fields that
- * a call does not use are absent.
+ * One line of a trace: a call of a decision with its inputs and the expected result. Unused fields
+ * are absent.
  *
  * @param at time, milliseconds
  * @param call name of the call, see {@link TraceReplay}
@@ -14,12 +14,12 @@
  * @param tenant tenant of the request
  * @param tier tier of the request
  * @param deadline deadline or retry-after, milliseconds
- * @param micros service time or latency
- * @param backend back-end id
+ * @param micros service time or latency, microseconds
+ * @param backend backend id
  * @param verdict verdict as {@code Completed}, {@code NotRun REASON} or {@code MayHaveRun REASON}
  * @param number spread, load, attempts, slots or chain budget
  * @param names excluded ids, phase, or flags
- * @param expect what the call decides, in order
+ * @param expect expected decisions, in order
  */
 @JsonInclude(JsonInclude.Include.NON_NULL)
 record TraceLine(
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/trace/TraceRecorder.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/trace/TraceRecorder.java
@@ -8,8 +8,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Records a trace of admission at three times the capacity: prints JSON lines with what was
- * decided. Made {@code recorded-overload.jsonl}.
+ * Records a trace of admission control at three times the capacity: prints JSON lines with the
+ * decisions. Generated {@code recorded-overload.jsonl}.
  */
 final class TraceRecorder {
   private static final int CALLS = 200;
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/trace/TraceReplay.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/trace/TraceReplay.java
@@ -24,8 +24,8 @@
 import java.util.Set;
 
 /**
- * Runs the lines of one trace through fresh decisions: admission of 2 slots and 6 queue places, a
- * balancer in zone {@code a} over the pool that the line {@code pool} names, a retry policy.
+ * Replays the lines of one trace: admission control with 2 slots and 6 queue places, a balancer in
+ * zone {@code a} over the pool that the line {@code pool} defines, and a retry policy.
  */
 final class TraceReplay {
   private final AdmissionController admission =
@@ -35,7 +35,7 @@
   private PoolView pool;
   private long counter;
 
-  /** Carries out one line and says what was decided. */
+  /** Executes one line and returns the decisions. */
   List<String> execute(TraceLine line) {
     return switch (line.call()) {
       case "ask" ->
@@ -96,7 +96,7 @@
     return new ObservedBackend(line.backend(), 1, ++counter, phase, line.number().intValue());
   }
 
-  /** Back ends named as {@code id@zone}. */
+  /** Creates a pool of backends given as {@code id@zone}. */
   private static PoolView pool(List<String> names) {
     List<BackendView> views = new ArrayList<>();
     for (String name : names) {
