--- a/umberpath-model/src/main/java/io/umberpath/model/ProxySnapshot.java
+++ b/umberpath-model/src/main/java/io/umberpath/model/ProxySnapshot.java
@@ -60,7 +60,8 @@
       if (resource instanceof Route route) {
         routes.add(route);
       } else if (resource instanceof Pool pool) {
-        view(pool, state, document, violations).ifPresent(view -> pools.put(pool.name(), view));
+        composePool(pool, state, document, violations)
+            .ifPresent(poolView -> pools.put(pool.name(), poolView));
       } else if (resource instanceof Secret secret) {
         secrets.put(secret.name(), secret);
       }
@@ -81,7 +82,7 @@
             Map.copyOf(secrets)));
   }
 
-  private static Optional<PoolView> view(
+  private static Optional<PoolView> composePool(
       Pool pool, FleetState state, PlatformDocument document, List<Violation> violations) {
     List<PlatformDocument.BackendAddress> addresses = document.services().get(pool.service());
     if (addresses == null) {
--- a/umberpath-model/src/main/java/io/umberpath/model/ReferenceCheck.java
+++ b/umberpath-model/src/main/java/io/umberpath/model/ReferenceCheck.java
@@ -9,24 +9,25 @@
 
   /** All dangling references; empty when the state is whole. */
   public static List<Violation> violations(FleetState state) {
-    List<Violation> found = new ArrayList<>();
+    List<Violation> violations = new ArrayList<>();
     for (Resource resource : state.resources().values()) {
       if (resource instanceof Route route) {
-        check(state, route, found);
+        checkRoute(state, route, violations);
       }
     }
-    return found;
+    return violations;
   }
 
-  private static void check(FleetState state, Route route, List<Violation> found) {
+  private static void checkRoute(FleetState state, Route route, List<Violation> violations) {
     String path = "routes[" + route.name() + "]";
     if (!state.resources().containsKey(new ResourceKey(ResourceKind.POOL, route.pool()))) {
-      found.add(new Violation(path + ".pool", route.pool(), "no pool of this name"));
+      violations.add(new Violation(path + ".pool", route.pool(), "no pool of this name"));
     }
     route
         .secret()
         .filter(name -> !state.resources().containsKey(new ResourceKey(ResourceKind.SECRET, name)))
         .ifPresent(
-            name -> found.add(new Violation(path + ".secret", name, "no secret of this name")));
+            name ->
+                violations.add(new Violation(path + ".secret", name, "no secret of this name")));
   }
 }
--- a/umberpath-model/src/main/java/io/umberpath/model/ResourceValidator.java
+++ b/umberpath-model/src/main/java/io/umberpath/model/ResourceValidator.java
@@ -25,12 +25,12 @@
   /** All violations of a change set's own fields, in order; empty when well formed. */
   public static List<Violation> violations(ChangeSet change) {
     Collector collector = new Collector();
-    collector.name("request_id", change.requestId());
-    collector.name("tenant", change.tenant());
+    collector.checkName("request_id", change.requestId());
+    collector.checkName("tenant", change.tenant());
     for (int index = 0; index < change.upserts().size(); index++) {
       Resource resource = change.upserts().get(index);
       String path = "upserts[" + index + "]";
-      collector.resource(path, resource);
+      collector.checkResource(path, resource);
       collector.check(
           resource.tenant().equals(change.tenant()),
           path + ".tenant",
@@ -38,50 +38,51 @@
           "must be the tenant of the change");
     }
     for (int index = 0; index < change.deletes().size(); index++) {
-      collector.name("deletes[" + index + "].name", change.deletes().get(index).name());
+      collector.checkName("deletes[" + index + "].name", change.deletes().get(index).name());
     }
     for (int index = 0; index < change.drains().size(); index++) {
-      collector.name("drains[" + index + "].backend_id", change.drains().get(index).backendId());
+      collector.checkName(
+          "drains[" + index + "].backend_id", change.drains().get(index).backendId());
     }
-    boolean empty =
+    boolean isEmpty =
         change.upserts().isEmpty() && change.deletes().isEmpty() && change.drains().isEmpty();
-    collector.check(!empty, "upserts", "", "a change must contain at least one item");
-    return collector.found;
+    collector.check(!isEmpty, "upserts", "", "a change must contain at least one item");
+    return collector.violations;
   }
 
   private static final class Collector {
-    private final List<Violation> found = new ArrayList<>();
+    private final List<Violation> violations = new ArrayList<>();
 
-    private void check(boolean holds, String field, String value, String message) {
-      if (!holds) {
-        found.add(new Violation(field, value, message));
+    private void check(boolean isValid, String field, String value, String message) {
+      if (!isValid) {
+        violations.add(new Violation(field, value, message));
       }
     }
 
-    private void name(String field, String value) {
+    private void checkName(String field, String value) {
       check(NAME.matcher(value).matches(), field, value, "must match " + NAME.pattern());
     }
 
-    private void resource(String path, Resource resource) {
-      name(path + ".name", resource.name());
+    private void checkResource(String path, Resource resource) {
+      checkName(path + ".name", resource.name());
       if (resource instanceof Route route) {
-        route(path, route);
+        checkRoute(path, route);
       } else if (resource instanceof Pool pool) {
-        pool(path, pool);
+        checkPool(path, pool);
       } else if (resource instanceof Secret secret) {
-        secret(path, secret);
+        checkSecret(path, secret);
       }
     }
 
-    private void route(String path, Route route) {
+    private void checkRoute(String path, Route route) {
       check(HOST.matcher(route.host()).matches(), path + ".host", route.host(), "must be a host");
       check(
           PATH.matcher(route.pathPrefix()).matches(),
           path + ".path_prefix",
           route.pathPrefix(),
           "must begin with / and hold visible ASCII");
-      name(path + ".pool", route.pool());
-      route.secret().ifPresent(secret -> name(path + ".secret", secret));
+      checkName(path + ".pool", route.pool());
+      route.secret().ifPresent(secret -> checkName(path + ".secret", secret));
       for (String method : route.repeatableMethods()) {
         check(
             METHODS.contains(method),
@@ -96,13 +97,13 @@
           "must be between 1 and " + MAX_TIMEOUT_MILLIS);
     }
 
-    private void pool(String path, Pool pool) {
-      name(path + ".service", pool.service());
-      range(path + ".slots_per_backend", pool.slotsPerBackend());
-      range(path + ".connections_per_backend", pool.connectionsPerBackend());
+    private void checkPool(String path, Pool pool) {
+      checkName(path + ".service", pool.service());
+      checkRange(path + ".slots_per_backend", pool.slotsPerBackend());
+      checkRange(path + ".connections_per_backend", pool.connectionsPerBackend());
     }
 
-    private void range(String field, int value) {
+    private void checkRange(String field, int value) {
       check(
           value >= 1 && value <= MAX_SLOTS,
           field,
@@ -110,14 +111,19 @@
           "must be between 1 and " + MAX_SLOTS);
     }
 
-    private void secret(String path, Secret secret) {
-      boolean sized = secret.value().length >= 1 && secret.value().length <= MAX_SECRET_BYTES;
-      check(sized, path + ".value", "redacted", "must hold 1 to " + MAX_SECRET_BYTES + " bytes");
-      boolean visible = true;
+    private void checkSecret(String path, Secret secret) {
+      boolean isValidLength =
+          secret.value().length >= 1 && secret.value().length <= MAX_SECRET_BYTES;
+      check(
+          isValidLength,
+          path + ".value",
+          "redacted",
+          "must hold 1 to " + MAX_SECRET_BYTES + " bytes");
+      boolean isVisibleAscii = true;
       for (byte octet : secret.value()) {
-        visible &= octet > ' ' && octet <= '~';
+        isVisibleAscii &= octet > ' ' && octet <= '~';
       }
-      check(visible, path + ".value", "redacted", "must hold visible ASCII only");
+      check(isVisibleAscii, path + ".value", "redacted", "must hold visible ASCII only");
     }
   }
 }
--- a/umberpath-model/src/main/java/io/umberpath/model/StateDeltas.java
+++ b/umberpath-model/src/main/java/io/umberpath/model/StateDeltas.java
@@ -54,7 +54,7 @@
       return Either.left(
           new Violation("base", base.version().toString(), "delta applies to " + delta.base()));
     }
-    FleetState result = withoutHash(delta, base);
+    FleetState result = applyWithoutHash(delta, base);
     long hash = StateHasher.hash(base, delta, result);
     if (hash != delta.targetHash()) {
       return Either.left(
@@ -66,7 +66,7 @@
 
   /** The state a delta produces, its hash filled in; for the leader that builds the delta. */
   public static FleetState produce(StateDelta delta, FleetState base) {
-    FleetState result = withoutHash(delta, base);
+    FleetState result = applyWithoutHash(delta, base);
     return withHash(result, StateHasher.hash(base, delta, result));
   }
 
@@ -82,7 +82,7 @@
         hash);
   }
 
-  private static FleetState withoutHash(StateDelta delta, FleetState base) {
+  private static FleetState applyWithoutHash(StateDelta delta, FleetState base) {
     TreeMap<ResourceKey, Resource> resources = base.resources();
     for (ResourceKey key : delta.deletes()) {
       resources = resources.remove(key);
@@ -102,7 +102,7 @@
     for (StateDelta.Answer answer : delta.answered()) {
       answered = answered.put(answer.key(), answer.change());
     }
-    Roster roster = newRoster(delta, base.roster());
+    Roster roster = applyRoster(delta, base.roster());
     return new FleetState(
         delta.target(),
         resources,
@@ -114,7 +114,7 @@
         0L);
   }
 
-  private static Roster newRoster(StateDelta delta, Roster base) {
+  private static Roster applyRoster(StateDelta delta, Roster base) {
     if (delta.removedSlots().isEmpty() && delta.addedMembers().isEmpty()) {
       return base;
     }
@@ -139,10 +139,10 @@
   }
 
   private static int nextSlot(StateDelta delta, FleetState base) {
-    int next = Math.max(base.nextSlot(), delta.nextSlot());
+    int nextSlot = Math.max(base.nextSlot(), delta.nextSlot());
     for (Member member : delta.addedMembers()) {
-      next = Math.max(next, member.slot() + 1);
+      nextSlot = Math.max(nextSlot, member.slot() + 1);
     }
-    return next;
+    return nextSlot;
   }
 }
--- a/umberpath-model/src/main/java/io/umberpath/model/StateHasher.java
+++ b/umberpath-model/src/main/java/io/umberpath/model/StateHasher.java
@@ -10,7 +10,7 @@
  * proportional to the delta. Detects corruption and divergence, not attackers.
  */
 public final class StateHasher {
-  private static final HashFunction FUNCTION = Hashing.murmur3_128();
+  private static final HashFunction HASH = Hashing.murmur3_128();
 
   private StateHasher() {}
 
@@ -18,54 +18,54 @@
   static long hash(FleetState base, StateDelta delta, FleetState result) {
     long hash = base.contentHash();
     for (ResourceKey key : delta.deletes()) {
-      hash -= base.resources().get(key).map(StateHasher::resource).getOrElse(0L);
+      hash -= base.resources().get(key).map(StateHasher::hashResource).getOrElse(0L);
     }
     for (Resource resource : delta.upserts()) {
       if (!delta.deletes().contains(resource.key())) {
-        hash -= base.resources().get(resource.key()).map(StateHasher::resource).getOrElse(0L);
+        hash -= base.resources().get(resource.key()).map(StateHasher::hashResource).getOrElse(0L);
       }
-      hash += resource(resource);
+      hash += hashResource(resource);
     }
     for (ChangeSet.DrainChange drain : delta.drains()) {
       boolean before = base.drained().contains(drain.backendId());
       boolean after = result.drained().contains(drain.backendId());
-      hash += text("drain", drain.backendId()) * (Boolean.compare(after, before));
+      hash += hashText("drain", drain.backendId()) * (Boolean.compare(after, before));
     }
     for (int slot : delta.removedSlots()) {
-      hash -= base.roster().withSlot(slot).map(StateHasher::member).orElse(0L);
+      hash -= base.roster().withSlot(slot).map(StateHasher::hashMember).orElse(0L);
     }
     for (Member member : delta.addedMembers()) {
-      hash += member(member);
+      hash += hashMember(member);
     }
     return hash;
   }
 
   /** Fingerprint of a change set, for telling a repeat from a reuse of a request id. */
   public static long fingerprint(ChangeSet change) {
-    Hasher hasher = FUNCTION.newHasher();
-    put(hasher, change.tenant());
-    put(hasher, change.tier().name());
-    put(hasher, change.expectedVersion().map(Version::toString).orElse(""));
-    change.upserts().forEach(resource -> hasher.putLong(resource(resource)));
-    change.deletes().forEach(key -> put(hasher, key.toString()));
-    change.drains().forEach(drain -> put(hasher, drain.toString()));
+    Hasher hasher = HASH.newHasher();
+    putText(hasher, change.tenant());
+    putText(hasher, change.tier().name());
+    putText(hasher, change.expectedVersion().map(Version::toString).orElse(""));
+    change.upserts().forEach(resource -> hasher.putLong(hashResource(resource)));
+    change.deletes().forEach(key -> putText(hasher, key.toString()));
+    change.drains().forEach(drain -> putText(hasher, drain.toString()));
     return hasher.hash().asLong();
   }
 
-  private static long resource(Resource resource) {
-    Hasher hasher = FUNCTION.newHasher();
-    put(hasher, resource.key().toString());
-    put(hasher, resource.tenant());
-    put(hasher, resource.tier().name());
+  private static long hashResource(Resource resource) {
+    Hasher hasher = HASH.newHasher();
+    putText(hasher, resource.key().toString());
+    putText(hasher, resource.tenant());
+    putText(hasher, resource.tier().name());
     if (resource instanceof Route route) {
-      put(hasher, route.host());
-      put(hasher, route.pathPrefix());
-      put(hasher, route.pool());
-      put(hasher, route.secret().orElse(""));
-      route.repeatableMethods().forEach(method -> put(hasher, method));
+      putText(hasher, route.host());
+      putText(hasher, route.pathPrefix());
+      putText(hasher, route.pool());
+      putText(hasher, route.secret().orElse(""));
+      route.repeatableMethods().forEach(method -> putText(hasher, method));
       hasher.putLong(route.timeoutMillis());
     } else if (resource instanceof Pool pool) {
-      put(hasher, pool.service());
+      putText(hasher, pool.service());
       hasher.putInt(pool.slotsPerBackend()).putInt(pool.connectionsPerBackend());
     } else if (resource instanceof Secret secret) {
       hasher.putInt(secret.value().length).putBytes(secret.value());
@@ -73,18 +73,18 @@
     return hasher.hash().asLong();
   }
 
-  private static long member(Member member) {
-    return text("member", member.toString());
+  private static long hashMember(Member member) {
+    return hashText("member", member.toString());
   }
 
-  private static long text(String kind, String value) {
-    Hasher hasher = FUNCTION.newHasher();
-    put(hasher, kind);
-    put(hasher, value);
+  private static long hashText(String kind, String value) {
+    Hasher hasher = HASH.newHasher();
+    putText(hasher, kind);
+    putText(hasher, value);
     return hasher.hash().asLong();
   }
 
-  private static void put(Hasher hasher, String text) {
+  private static void putText(Hasher hasher, String text) {
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
     hasher.putInt(bytes.length).putBytes(bytes);
   }
--- a/umberpath-model/src/test/java/io/umberpath/model/CompositionTest.java
+++ b/umberpath-model/src/test/java/io/umberpath/model/CompositionTest.java
@@ -47,7 +47,7 @@
         0);
   }
 
-  static Stream<Arguments> dangling() {
+  static Stream<Arguments> danglingReferences() {
     Pool unknownService = new Pool("p1", "t1", Tier.BASIC, "gone", 6, 130);
     return Stream.of(
         Arguments.of(state(route("p2", Optional.empty()), POOL), "routes[r1].pool"),
@@ -56,15 +56,15 @@
   }
 
   @ParameterizedTest
-  @MethodSource("dangling")
-  void refusesADanglingReferenceWhole(FleetState state, String field) {
+  @MethodSource("danglingReferences")
+  void rejectsADanglingReference(FleetState state, String field) {
     var result = ProxySnapshot.compose(state, DOCUMENT);
     assertThat(result.getLeft().stream().map(Violation::field).collect(Collectors.toList()))
         .containsExactly(field);
   }
 
   @Test
-  void composesAgreedStateWithThePlatformsBackends() {
+  void composesTheStateWithTheBackendsOfThePlatform() {
     FleetState state = state(route("p1", Optional.empty()), POOL);
     ProxySnapshot snapshot = ProxySnapshot.compose(state, DOCUMENT).get();
     assertThat(snapshot.revision()).isEqualTo(4);
@@ -74,7 +74,7 @@
   }
 
   @Test
-  void documentsOfEqualContentAreEqualInAnyOrder() {
+  void documentsAreEqualWhateverTheOrderOfTheirContent() {
     var first = new PlatformDocument.BackendAddress("b1", "127.0.0.1", 1, "z1", "127.0.0.1", 2);
     var second = new PlatformDocument.BackendAddress("b2", "127.0.0.1", 3, "z1", "127.0.0.1", 4);
     assertThat(document(first, second)).isEqualTo(document(second, first));
--- a/umberpath-model/src/test/java/io/umberpath/model/StateDeltaTest.java
+++ b/umberpath-model/src/test/java/io/umberpath/model/StateDeltaTest.java
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void appliesWholeAndTracksThePreviousRoster() {
+  void appliesADeltaAndTracksThePreviousRoster() {
     FleetState state = populated();
     assertThat(state.resources().keySet()).containsExactly(ROUTE.key(), POOL.key(), SECRET.key());
     assertThat(state.drained()).containsExactly("b1", "b2");
@@ -64,7 +64,7 @@
   }
 
   @Test
-  void aStateReceivedWholeDoesNotReuseTheSlotOfAMemberThatLeft() {
+  void aFullStateTransferDoesNotReuseTheSlotOfAFormerMember() {
     FleetState first = populated();
     FleetState second = delta(first, List.of(), List.of(), List.of(member(1))).applyTo(first).get();
     StateDelta removal =
@@ -89,7 +89,7 @@
   }
 
   @Test
-  void refusesAWrongBaseAndAWrongHashAndLeavesTheStateAlone() {
+  void rejectsAWrongBaseOrHashWithoutChangingTheState() {
     FleetState state = populated();
     StateDelta onEmpty = delta(FleetState.EMPTY, List.of(POOL), List.of(), List.of());
     StateDelta next = delta(state, List.of(POOL), List.of(ROUTE.key()), List.of());
@@ -103,16 +103,16 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void wholeStateReproducesAnyHistory(long seed) {
+  void aFullStateDeltaReproducesAnyHistory(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     FleetState state = FleetState.EMPTY;
     for (int step = 0; step < 60; step++) {
       String name = "p" + random.nextInt(12);
       Pool pool = new Pool(name, "t", Tier.STANDARD, "service", 1 + random.nextInt(9), 130);
-      boolean delete = random.nextInt(3) == 0;
+      boolean isDelete = random.nextInt(3) == 0;
       List<Member> added = random.nextInt(4) == 0 ? List.of(member(state.nextSlot())) : List.of();
       StateDelta delta =
-          delete
+          isDelete
               ? delta(state, List.of(), List.of(pool.key()), added)
               : delta(state, List.of(pool), List.of(), added);
       state = delta.applyTo(state).get();
@@ -122,12 +122,13 @@
   }
 
   @Test
-  void aSecretIsNeverPrinted() {
+  void secretValuesAreRedacted() {
     assertThat(SECRET.toString()).doesNotContain("opensesame").contains("redacted");
-    Secret bad =
+    Secret invalid =
         new Secret("s1", "t1", Tier.BASIC, "open sesame".getBytes(StandardCharsets.US_ASCII));
     ChangeSet change =
-        new ChangeSet("c1", "t1", Tier.BASIC, Optional.empty(), List.of(bad), List.of(), List.of());
+        new ChangeSet(
+            "c1", "t1", Tier.BASIC, Optional.empty(), List.of(invalid), List.of(), List.of());
     assertThat(ResourceValidator.violations(change))
         .singleElement()
         .asString()
