--- a/umberpath-model/src/main/java/io/umberpath/model/ChangeResult.java
+++ b/umberpath-model/src/main/java/io/umberpath/model/ChangeResult.java
@@ -13,30 +13,30 @@
 })
 public sealed interface ChangeResult {
   /**
-   * A quorum holds it; it will be in force everywhere and never reverts.
+   * A quorum has accepted the change; it will be in force everywhere and is never reverted.
    *
    * @param version every committed version at or after it contains the change
    */
   record Accepted(Version version) implements ChangeResult {}
 
   /**
-   * It did not run and will not run.
+   * The change was not applied and will not be.
    *
    * @param code kind of refusal
-   * @param violations what was wrong, field by field; empty for unavailability
+   * @param violations what was wrong, field by field; empty if the control plane was unavailable
    */
   record Refused(RefusalCode code, List<Violation> violations) implements ChangeResult {}
 
   /**
-   * It may or may not have been accepted; repeating it with the same request id is safe.
+   * The change may or may not have been accepted; a retry with the same request id is safe.
    *
-   * @param cause what hid the outcome
+   * @param cause why the outcome is unknown
    */
   record Unknown(String cause) implements ChangeResult {}
 
   /** Why a change was refused. */
   enum RefusalCode {
-    /** A field is invalid or a reference dangles. */
+    /** A field is invalid or a reference cannot be resolved. */
     INVALID,
     /** The expected version is not the committed one, or a resource belongs to another tenant. */
     CONFLICT,
--- a/umberpath-model/src/main/java/io/umberpath/model/ChangeSet.java
+++ b/umberpath-model/src/main/java/io/umberpath/model/ChangeSet.java
@@ -4,15 +4,15 @@
 import java.util.Optional;
 
 /**
- * One operator's atomic change: all of it is accepted or none.
+ * An atomic change by an operator: all of it is accepted or none.
  *
- * @param requestId chosen by the operator; a repeat with the same id is answered like the first
+ * @param requestId chosen by the operator; a retry with the same id gets the same result
  * @param tenant the tenant that owns every resource named here
  * @param tier the tier the change is admitted with
- * @param expectedVersion refuse unless the committed version is still this one, if given
+ * @param expectedVersion if given, the change is refused unless this is still the committed version
  * @param upserts resources to create or replace
  * @param deletes resources to remove
- * @param drains back-end ids to start or stop draining
+ * @param drains backend ids to start or stop draining
  */
 public record ChangeSet(
     String requestId,
@@ -30,9 +30,9 @@
   }
 
   /**
-   * Starts or stops the draining of a back end.
+   * Starts or stops the draining of a backend.
    *
-   * @param backendId id in the platform's document
+   * @param backendId id in the platform document
    * @param draining true to drain, false to return it to service
    */
   public record DrainChange(String backendId, boolean draining) {}
--- a/umberpath-model/src/main/java/io/umberpath/model/FleetState.java
+++ b/umberpath-model/src/main/java/io/umberpath/model/FleetState.java
@@ -6,17 +6,17 @@
 import io.vavr.collection.TreeSet;
 
 /**
- * The value of the register: the fleet's whole agreed state. Persistent collections make a new
- * state share everything that did not change.
+ * The value of the replicated register: the whole agreed state of the fleet. Persistent collections
+ * let a new state share everything that did not change.
  *
  * @param version position of this state
  * @param resources routes, pools and secrets by key
- * @param drained back-end ids an operator drains
+ * @param drained ids of backends drained by an operator
  * @param roster acceptors of this state
  * @param previousRoster acceptors of the state before, while a roster change is not known to be
  *     committed; equal to {@code roster} otherwise
- * @param nextSlot the slot the next new member gets
- * @param answered outcomes of recent operator changes by tenant and request id, oldest first
+ * @param nextSlot slot of the next new member
+ * @param answered results of recent operator changes by tenant and request id, oldest first
  * @param contentHash hash over the content, see {@link StateHasher}
  */
 public record FleetState(
@@ -28,7 +28,7 @@
     int nextSlot,
     LinkedHashMap<String, AnsweredChange> answered,
     long contentHash) {
-  /** The state of a fleet that has agreed on nothing. */
+  /** The initial state of a fleet that has not agreed on anything. */
   public static final FleetState EMPTY =
       new FleetState(
           Version.NONE,
@@ -40,17 +40,17 @@
           LinkedHashMap.empty(),
           0L);
 
-  /** Whether the roster of this state differs from the one before it. */
+  /** Whether this state has a roster change that is not known to be committed. */
   @JsonIgnore
   public boolean changesRoster() {
     return !roster.equals(previousRoster);
   }
 
   /**
-   * A change that was accepted, so that a repeat is answered like the first.
+   * An accepted change, kept so that a retry gets the same result.
    *
-   * @param changeHash fingerprint of the change set, to tell a repeat from a reuse of the id
-   * @param version the version that first contained it
+   * @param changeHash fingerprint of the change set, to distinguish a retry from a reuse of the id
+   * @param version the first version that contains it
    */
   public record AnsweredChange(long changeHash, Version version) {}
 }
--- a/umberpath-model/src/main/java/io/umberpath/model/Member.java
+++ b/umberpath-model/src/main/java/io/umberpath/model/Member.java
@@ -1,10 +1,10 @@
 package io.umberpath.model;
 
 /**
- * One acceptor of the register: one incarnation of one node's process.
+ * An acceptor of the replicated register: one incarnation of a node's process.
  *
- * @param slot number that names this incarnation in acknowledgement bitmaps; assigned by a leader,
- *     rising, never reused
+ * @param slot number that identifies this incarnation in acknowledgement bitmaps; assigned by a
+ *     leader, increasing, never reused
  * @param address where the node listens for other nodes
  * @param incarnation distinguishes successive processes at one address; a restarted process is a
  *     new member
@@ -15,12 +15,12 @@
   /** Slot of a process that is not in the roster. */
   public static final int NO_SLOT = -1;
 
-  /** The same process with a slot in the roster. */
+  /** Returns a copy with a slot in the roster. */
   public Member withSlot(int newSlot) {
     return new Member(newSlot, address, incarnation, zone, region);
   }
 
-  /** Whether the other value denotes the same process. */
+  /** Whether the other member is the same process. */
   public boolean isSameProcess(Member other) {
     return address.equals(other.address) && incarnation == other.incarnation;
   }
--- a/umberpath-model/src/main/java/io/umberpath/model/ObservedBackend.java
+++ b/umberpath-model/src/main/java/io/umberpath/model/ObservedBackend.java
@@ -1,29 +1,30 @@
 package io.umberpath.model;
 
 /**
- * What the node beside a back end says of it; last writer wins by incarnation, then counter.
+ * Status of a backend reported by the node beside it; the last writer wins by incarnation, then
+ * counter.
  *
- * @param backendId id in the platform's document
- * @param incarnation incarnation of the node that says so
- * @param counter rises with each statement of that incarnation
- * @param phase whether it takes work
- * @param load requests running or queued over slots, in percent
+ * @param backendId id in the platform document
+ * @param incarnation incarnation of the reporting node
+ * @param counter increases with each report of that incarnation
+ * @param phase whether it accepts work
+ * @param load running or queued requests relative to the slots, percent
  */
 public record ObservedBackend(
     String backendId, long incarnation, long counter, Phase phase, int load) {
-  /** Life of a back end as its node sees it. */
+  /** Lifecycle phase of a backend as seen by its node. */
   public enum Phase {
     /** Started, not yet at full speed. */
     WARMING,
-    /** Takes work. */
+    /** Accepts work. */
     READY,
-    /** Leaving: takes no new work, finishes what it has. */
+    /** Leaving: accepts no new work, finishes what it has. */
     DRAINING,
-    /** Does not answer. */
+    /** Does not respond. */
     DOWN
   }
 
-  /** Whether this statement replaces the other. */
+  /** Whether this report replaces the other. */
   public boolean supersedes(ObservedBackend other) {
     return incarnation != other.incarnation
         ? incarnation > other.incarnation
--- a/umberpath-model/src/main/java/io/umberpath/model/PeerAddress.java
+++ b/umberpath-model/src/main/java/io/umberpath/model/PeerAddress.java
@@ -1,7 +1,7 @@
 package io.umberpath.model;
 
 /**
- * Where a node listens for other nodes; also the stable identity of a machine's node.
+ * Address where a node listens for other nodes; also the stable identity of the node of a machine.
  *
  * @param host IP address
  * @param port TCP port, 1 to 65535
@@ -33,8 +33,8 @@
     return new PeerAddress(text.substring(0, colon), port);
   }
 
-  // Written out here and in other records that are compared while a node starts: the methods that
-  // the compiler leaves to the virtual machine are classes made at each start.
+  // Implemented explicitly, here and in other records that are compared during startup: the
+  // compiler-generated methods make the JVM generate classes at each start.
   @Override
   public boolean equals(Object other) {
     return other instanceof PeerAddress address
--- a/umberpath-model/src/main/java/io/umberpath/model/PlatformDocument.java
+++ b/umberpath-model/src/main/java/io/umberpath/model/PlatformDocument.java
@@ -7,11 +7,13 @@
 import java.util.TreeMap;
 
 /**
- * What the platform's read-only configuration service publishes. The revision is its total order.
+ * Document published by the platform's read-only configuration service. Documents are totally
+ * ordered by revision.
  *
- * @param revision rises with each change at the platform, and with its era in the upper bits also
- *     when that comes back from an older copy; 0 before any was read
- * @param services service name to its back ends
+ * @param revision increases with each change at the platform; the upper bits hold the platform's
+ *     era, so that it also increases when the platform is restored from an older copy; 0 before any
+ *     was read
+ * @param services backends by service name
  * @param machines live and leaving machines; this list lags and is only a hint
  */
 public record PlatformDocument(
@@ -19,12 +21,12 @@
   private static final Comparator<BackendAddress> BY_ID = Comparator.comparing(BackendAddress::id);
   private static final Comparator<Machine> BY_ADDRESS = Comparator.comparing(Machine::control);
 
-  /** Nothing has been read. */
+  /** No document has been read yet. */
   public static final PlatformDocument NONE = new PlatformDocument(0, new TreeMap<>(), List.of());
 
   /**
-   * Copies the collections; back ends are kept by id and machines by address, so that documents of
-   * equal content are equal however they were put together.
+   * Copies the collections; sorts backends by id and machines by address, so that documents with
+   * equal content are equal.
    */
   public PlatformDocument {
     TreeMap<String, List<BackendAddress>> copy = new TreeMap<>();
@@ -38,20 +40,20 @@
   }
 
   /**
-   * One back end and the node beside it.
+   * A backend and the node beside it.
    *
-   * @param id unique back-end id
-   * @param host IP address of the back end
-   * @param port port of the back end
+   * @param id unique backend id
+   * @param host IP address of the backend
+   * @param port port of the backend
    * @param zone its zone
    * @param nodeHost IP address of the node beside it
-   * @param nodeHopPort port where that node takes calls from other nodes
+   * @param nodeHopPort port where that node accepts requests from other nodes
    */
   public record BackendAddress(
       String id, String host, int port, String zone, String nodeHost, int nodeHopPort) {}
 
   /**
-   * One machine as the platform believes it to be.
+   * A machine as reported by the platform.
    *
    * @param control the address of its node
    * @param zone its zone
@@ -60,11 +62,11 @@
    */
   public record Machine(PeerAddress control, String zone, String region, MachineState state) {}
 
-  /** The platform's opinion of a machine. */
+  /** State of a machine as reported by the platform. */
   public enum MachineState {
     /** In service. */
     LIVE,
-    /** About to go away. */
+    /** About to be removed. */
     LEAVING
   }
 }
--- a/umberpath-model/src/main/java/io/umberpath/model/Pool.java
+++ b/umberpath-model/src/main/java/io/umberpath/model/Pool.java
@@ -3,14 +3,14 @@
 import com.fasterxml.jackson.annotation.JsonIgnore;
 
 /**
- * A named group of back ends: all back ends of one service of the platform's document.
+ * A named group of backends: all backends of one service in the platform document.
  *
  * @param name unique pool name
  * @param tenant owner
  * @param tier priority tier
- * @param service the platform service whose back ends the pool uses
- * @param slotsPerBackend requests one back end runs at a time
- * @param connectionsPerBackend connections one back end accepts in all
+ * @param service the platform service whose backends the pool uses
+ * @param slotsPerBackend requests that one backend runs concurrently
+ * @param connectionsPerBackend connections that one backend accepts in total
  */
 public record Pool(
     String name,
--- a/umberpath-model/src/main/java/io/umberpath/model/ProxySnapshot.java
+++ b/umberpath-model/src/main/java/io/umberpath/model/ProxySnapshot.java
@@ -9,13 +9,13 @@
 import java.util.Optional;
 
 /**
- * What one proxy runs: an agreed state and a platform document, composed and checked whole. A
- * request keeps the snapshot it began with.
+ * Configuration of a proxy: an agreed state and a platform document, composed and checked as a
+ * whole. A request keeps the snapshot it started with.
  *
  * @param version version of the agreed state
- * @param revision revision of the platform's document
+ * @param revision revision of the platform document
  * @param routes all routes, longest path prefix first
- * @param pools pools by name with their back ends
+ * @param pools pools by name with their backends
  * @param secrets secrets by name
  */
 public record ProxySnapshot(
@@ -24,30 +24,30 @@
     List<Route> routes,
     Map<String, PoolView> pools,
     Map<String, Secret> secrets) {
-  /** Nothing to run: every request is refused as not run. */
+  /** The empty configuration: every request is refused as not run. */
   public static final ProxySnapshot EMPTY =
       new ProxySnapshot(Version.NONE, 0, List.of(), Map.of(), Map.of());
 
   /**
-   * A pool and the back ends it has in this snapshot.
+   * A pool and its backends in this snapshot.
    *
    * @param pool the operator's pool
-   * @param backends the platform's back ends for its service
+   * @param backends the platform's backends of its service
    */
   public record PoolView(Pool pool, List<BackendView> backends) {}
 
   /**
-   * A back end as this snapshot sees it.
+   * A backend in this snapshot.
    *
-   * @param address where it and its node are
+   * @param address addresses of the backend and its node
    * @param drained whether an operator drains it
    */
   public record BackendView(PlatformDocument.BackendAddress address, boolean drained) {}
 
   /**
-   * Composes the pair.
+   * Composes a state and a document.
    *
-   * @return the snapshot, or every dangling reference: pools without a platform service, routes
+   * @return the snapshot, or every unresolved reference: pools without a platform service, routes
    *     without pool or secret
    */
   public static Either<List<Violation>, ProxySnapshot> compose(
--- a/umberpath-model/src/main/java/io/umberpath/model/ReferenceCheck.java
+++ b/umberpath-model/src/main/java/io/umberpath/model/ReferenceCheck.java
@@ -3,11 +3,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Checks that every route of an agreed state names a pool and a secret that the state holds. */
+/** Checks that every route of an agreed state refers to an existing pool and secret. */
 public final class ReferenceCheck {
   private ReferenceCheck() {}
 
-  /** All dangling references; empty when the state is whole. */
+  /** Returns all unresolved references; empty if the state is consistent. */
   public static List<Violation> violations(FleetState state) {
     List<Violation> violations = new ArrayList<>();
     for (Resource resource : state.resources().values()) {
--- a/umberpath-model/src/main/java/io/umberpath/model/Resource.java
+++ b/umberpath-model/src/main/java/io/umberpath/model/Resource.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.annotation.JsonSubTypes;
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 
-/** Something an operator creates, owned by one tenant and tagged with the tier it pays for. */
+/** A resource created by an operator, owned by one tenant and tagged with the tier it pays for. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "k")
 @JsonSubTypes({
   @JsonSubTypes.Type(value = Route.class, name = "r"),
@@ -21,7 +21,7 @@
   /** The tier it was created with. */
   Tier tier();
 
-  /** Its identity in the fleet. */
+  /** Key that identifies it in the fleet. */
   @JsonIgnore
   ResourceKey key();
 }
--- a/umberpath-model/src/main/java/io/umberpath/model/ResourceKind.java
+++ b/umberpath-model/src/main/java/io/umberpath/model/ResourceKind.java
@@ -1,11 +1,11 @@
 package io.umberpath.model;
 
-/** The kinds of resource operators create. */
+/** Kinds of resources that operators create. */
 public enum ResourceKind {
   /** A rule that sends requests of a host and path prefix to a pool. */
   ROUTE,
-  /** A named group of back ends, backed by a service of the platform. */
+  /** A named group of backends, backed by a service of the platform. */
   POOL,
-  /** A credential a route adds to requests on their way to the back end. */
+  /** A credential that a route adds to requests on their way to the backend. */
   SECRET
 }
--- a/umberpath-model/src/main/java/io/umberpath/model/ResourceValidator.java
+++ b/umberpath-model/src/main/java/io/umberpath/model/ResourceValidator.java
@@ -22,7 +22,7 @@
 
   private ResourceValidator() {}
 
-  /** All violations of a change set's own fields, in order; empty when well formed. */
+  /** Returns all violations of a change set's own fields, in order; empty if it is valid. */
   public static List<Violation> violations(ChangeSet change) {
     Collector collector = new Collector();
     collector.checkName("request_id", change.requestId());
--- a/umberpath-model/src/main/java/io/umberpath/model/Roster.java
+++ b/umberpath-model/src/main/java/io/umberpath/model/Roster.java
@@ -11,7 +11,7 @@
 
 /** The acceptors of one agreed state, in slot order. Immutable. */
 public final class Roster {
-  /** No members: a fleet that has not formed. */
+  /** The empty roster of a fleet that has not formed. */
   public static final Roster EMPTY = new Roster(List.of());
 
   private final List<Member> members;
--- a/umberpath-model/src/main/java/io/umberpath/model/Route.java
+++ b/umberpath-model/src/main/java/io/umberpath/model/Route.java
@@ -14,7 +14,7 @@
  * @param tier priority tier
  * @param host exact host (lower case, no port), or {@code *} for any
  * @param pathPrefix path prefix beginning with {@code /}; the longest matching prefix wins
- * @param pool name of the pool that answers
+ * @param pool name of the pool that serves the requests
  * @param secret name of the secret whose value is sent as {@code Authorization: Bearer}, if any
  * @param repeatableMethods methods whose requests may run more than once; all others run at most
  *     once
--- a/umberpath-model/src/main/java/io/umberpath/model/Secret.java
+++ b/umberpath-model/src/main/java/io/umberpath/model/Secret.java
@@ -7,7 +7,7 @@
 import java.util.Objects;
 
 /**
- * A credential that routes send to their back ends. Its value is never printed, logged or returned
+ * A credential that routes send to their backends. Its value is never printed, logged or returned
  * to operators.
  *
  * @param name unique secret name
@@ -22,7 +22,7 @@
     return new ResourceKey(ResourceKind.SECRET, name);
   }
 
-  /** The value as it is sent in a header. */
+  /** The value as sent in a header. */
   public String headerValue() {
     return new String(value, StandardCharsets.US_ASCII);
   }
--- a/umberpath-model/src/main/java/io/umberpath/model/StateDelta.java
+++ b/umberpath-model/src/main/java/io/umberpath/model/StateDelta.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 
 /**
- * The difference between two consecutive agreed states; a whole state is a delta from {@link
+ * The difference between two consecutive agreed states; a full state is a delta from {@link
  * FleetState#EMPTY}.
  *
  * @param base version the delta applies to
@@ -16,14 +16,14 @@
  * @param upserts resources to create or replace
  * @param deletes resources to remove
  * @param drains drains to start or stop
- * @param removedSlots roster members that leave
+ * @param removedSlots slots of roster members that leave
  * @param addedMembers roster members that join, slots assigned
- * @param rosterBasis how {@link FleetState#previousRoster()} follows
+ * @param rosterBasis how to derive {@link FleetState#previousRoster()}
  * @param explicitPreviousRoster the previous roster, for {@link RosterBasis#EXPLICIT}
- * @param answered operator changes that this delta answers
- * @param forgotten keys of answered changes that are no longer remembered
- * @param nextSlot lower bound of the next free slot in the target state, so that the slot of a
- *     member that has left is not given out again by a node that received the state whole
+ * @param answered results of operator changes that this delta contains
+ * @param forgotten keys of results that are no longer kept
+ * @param nextSlot lower bound of the next free slot in the target state, so that a node that
+ *     received the full state does not reuse the slot of a former member
  */
 public record StateDelta(
     Version base,
@@ -51,13 +51,13 @@
     forgotten = List.copyOf(forgotten);
   }
 
-  /** Whether the delta carries a whole state. */
+  /** Whether the delta carries a full state. */
   @JsonIgnore
   public boolean isWholeState() {
     return base.equals(Version.NONE);
   }
 
-  /** The same delta with another hash that it must produce. */
+  /** Returns a copy with another hash that it must produce. */
   public StateDelta withTargetHash(long hash) {
     return new StateDelta(
         base,
@@ -77,31 +77,34 @@
   }
 
   /**
-   * Applies the delta whole.
+   * Applies the delta completely or not at all.
    *
-   * @return the new state, or the violation that says why nothing was applied
+   * @return the new state, or the violation that explains why nothing was applied
    */
   public Either<Violation, FleetState> applyTo(FleetState state) {
     return StateDeltas.apply(this, state);
   }
 
   /**
-   * One answered operator change.
+   * The result of one operator change.
    *
    * @param key tenant and request id, see {@link StateDeltas#answerKey}
    * @param change its fingerprint and version
    */
   public record Answer(String key, FleetState.AnsweredChange change) {}
 
-  /** How the previous roster of the target state follows from the base. */
+  /** How the previous roster of the target state is derived from the base. */
   public enum RosterBasis {
     /** The base's roster is committed: previous equals current. */
     SETTLED,
     /** This delta changes the roster: previous is the base's roster. */
     FROM_BASE,
-    /** Re-proposal of an unsettled state: previous is the base's previous roster. */
+    /**
+     * Re-proposal of a state whose roster change is uncommitted: previous is the base's previous
+     * roster.
+     */
     KEPT,
-    /** The previous roster is written out. */
+    /** The delta contains the previous roster. */
     EXPLICIT
   }
 }
--- a/umberpath-model/src/main/java/io/umberpath/model/StateDeltas.java
+++ b/umberpath-model/src/main/java/io/umberpath/model/StateDeltas.java
@@ -15,12 +15,12 @@
 public final class StateDeltas {
   private StateDeltas() {}
 
-  /** The key under which an operator's change is remembered. */
+  /** Key under which the result of an operator's change is kept. */
   public static String answerKey(String tenant, String requestId) {
     return tenant + "/" + requestId;
   }
 
-  /** The whole state as one delta from {@link FleetState#EMPTY}. */
+  /** Returns the full state as one delta from {@link FleetState#EMPTY}. */
   public static StateDelta wholeState(FleetState state) {
     return new StateDelta(
         Version.NONE,
@@ -44,7 +44,7 @@
   }
 
   /**
-   * Applies a delta whole and verifies base and target hashes.
+   * Applies a delta completely or not at all, and verifies base and target hashes.
    *
    * @return the new state, or why the delta does not apply; the given state is never changed
    */
@@ -64,7 +64,9 @@
     return Either.right(withHash(result, hash));
   }
 
-  /** The state a delta produces, its hash filled in; for the leader that builds the delta. */
+  /**
+   * Computes the state that a delta produces, with its hash; for the leader that builds the delta.
+   */
   public static FleetState produce(StateDelta delta, FleetState base) {
     FleetState result = applyWithoutHash(delta, base);
     return withHash(result, StateHasher.hash(base, delta, result));
--- a/umberpath-model/src/main/java/io/umberpath/model/StateHasher.java
+++ b/umberpath-model/src/main/java/io/umberpath/model/StateHasher.java
@@ -7,14 +7,14 @@
 
 /**
  * Content hash of a fleet state: the sum of one hash per entry, so that a delta updates it in time
- * proportional to the delta. Detects corruption and divergence, not attackers.
+ * proportional to the delta. Detects corruption and divergence; not secure against attackers.
  */
 public final class StateHasher {
   private static final HashFunction HASH = Hashing.murmur3_128();
 
   private StateHasher() {}
 
-  /** The hash of the state a delta produced from a base. */
+  /** Computes the hash of the state that a delta produced from a base. */
   static long hash(FleetState base, StateDelta delta, FleetState result) {
     long hash = base.contentHash();
     for (ResourceKey key : delta.deletes()) {
@@ -40,7 +40,7 @@
     return hash;
   }
 
-  /** Fingerprint of a change set, for telling a repeat from a reuse of a request id. */
+  /** Fingerprint of a change set, to distinguish a retry from a reuse of a request id. */
   public static long fingerprint(ChangeSet change) {
     Hasher hasher = HASH.newHasher();
     putText(hasher, change.tenant());
--- a/umberpath-model/src/main/java/io/umberpath/model/Tier.java
+++ b/umberpath-model/src/main/java/io/umberpath/model/Tier.java
@@ -1,6 +1,6 @@
 package io.umberpath.model;
 
-/** The priority a tenant pays for; an earlier constant goes first when the fleet is busy. */
+/** Priority that a tenant pays for; under overload an earlier constant takes precedence. */
 public enum Tier {
   /** Highest priority. */
   PREMIUM,
--- a/umberpath-model/src/main/java/io/umberpath/model/Verdict.java
+++ b/umberpath-model/src/main/java/io/umberpath/model/Verdict.java
@@ -1,15 +1,15 @@
 package io.umberpath.model;
 
-/** What is known of whether a request ran. Every layer speaks it; see design note 0003. */
+/** What is known about whether a request was executed. Used by all layers; see design note 0003. */
 public sealed interface Verdict {
-  /** Whether sending the same request elsewhere cannot run it twice. */
+  /** Whether the request can be sent to another backend without the risk of running twice. */
   default boolean safeToSendAgain() {
     return this instanceof NotRun;
   }
 
-  /** The request ran and its whole answer was delivered. */
+  /** The request ran and its complete response was delivered. */
   record Completed() implements Verdict {
-    // Written out: counted by verdict at each request, see PeerAddress.
+    // Implemented explicitly, as requests are counted by verdict; see PeerAddress.
     @Override
     public boolean equals(Object other) {
       return other instanceof Completed;
@@ -31,7 +31,7 @@
   /**
    * The request may have run; it must not be sent again unless it is repeatable.
    *
-   * @param reason what hid the outcome
+   * @param reason why the outcome is unknown
    */
   record MayHaveRun(Reason reason) implements Verdict {}
 
@@ -39,33 +39,33 @@
   enum Reason {
     /** No route matches host and path. */
     NO_ROUTE(404),
-    /** The request is malformed or its framing is doubtful. */
+    /** The request is malformed or its framing is ambiguous. */
     BAD_REQUEST(400),
     /** A header or body limit was exceeded. */
     TOO_LARGE(413),
-    /** This node has no configuration it may run yet. */
+    /** This node has no valid configuration yet. */
     NOT_READY(503),
-    /** The pool has no back end that takes work. */
+    /** The pool has no backend that accepts work. */
     NO_BACKEND(503),
-    /** Every permitted slot and queue place is taken. */
+    /** All slots and queue places are taken. */
     OVERLOADED(503),
-    /** Back ends end under this very request, which is sent to none any more. */
+    /** Backends crash while running this request, so it is sent to none any more. */
     QUARANTINED(503),
-    /** The back end itself said that it did not run the request. */
+    /** The backend itself reported that it did not run the request. */
     REJECTED(503),
-    /** The back end or node is leaving. */
+    /** The backend or node is draining. */
     DRAINING(503),
-    /** The node or back end could not be reached before the request was handed over. */
+    /** The node or backend could not be reached before the request was handed over. */
     UNREACHABLE(503),
-    /** Another node could not read the request as this one sent it. */
+    /** Another node could not parse the request as sent by this one. */
     UNREADABLE(503),
     /** The deadline could not be met or has passed. */
     DEADLINE(504),
-    /** The caller went away. */
+    /** The client cancelled the request. */
     CANCELLED(499),
-    /** The connection broke after bytes may have reached the back end. */
+    /** The connection was lost after bytes may have reached the backend. */
     CONNECTION_LOST(502),
-    /** The back end's answer was not valid HTTP. */
+    /** The backend's response was not valid HTTP. */
     BAD_ANSWER(502),
     /** The same request id was sent before and its outcome is unknown. */
     DUPLICATE(409),
@@ -78,7 +78,7 @@
       this.status = status;
     }
 
-    /** HTTP status the edge answers with. */
+    /** HTTP status of the edge's response. */
     public int status() {
       return status;
     }
--- a/umberpath-model/src/main/java/io/umberpath/model/Version.java
+++ b/umberpath-model/src/main/java/io/umberpath/model/Version.java
@@ -3,14 +3,14 @@
 import java.util.Comparator;
 
 /**
- * The position of one agreed fleet state, ordered by epoch and then sequence.
+ * Position of an agreed fleet state, ordered by epoch and then sequence.
  *
- * @param epoch the leadership term that ordered the state; 0 before the first leader
- * @param sequence position in the whole history; rises by one with each proposal, also across
+ * @param epoch leadership term in which the state was proposed; 0 before the first leader
+ * @param sequence position in the whole history; increases by one with each proposal, also across
  *     epochs
  */
 public record Version(long epoch, long sequence) implements Comparable<Version> {
-  /** The version of a fleet that has agreed on nothing yet. */
+  /** Version of a fleet that has not agreed on anything. */
   public static final Version NONE = new Version(0, 0);
 
   private static final Comparator<Version> ORDER =
@@ -26,7 +26,7 @@
     return compareTo(other) > 0;
   }
 
-  /** The version a leader of the given epoch proposes next after this one. */
+  /** The next version that a leader of the given epoch proposes after this one. */
   public Version next(long leaderEpoch) {
     return new Version(leaderEpoch, sequence + 1);
   }
--- a/umberpath-model/src/main/java/io/umberpath/model/Violation.java
+++ b/umberpath-model/src/main/java/io/umberpath/model/Violation.java
@@ -1,7 +1,7 @@
 package io.umberpath.model;
 
 /**
- * One reason an input was refused.
+ * One reason why an input was refused.
  *
  * @param field path of the field, for example {@code routes[0].pool}
  * @param value the offending value as text; never a secret's value
--- a/umberpath-model/src/main/java/io/umberpath/model/package-info.java
+++ b/umberpath-model/src/main/java/io/umberpath/model/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The vocabulary shared by every module: resources, versions, snapshots, deltas, the platform's
- * document, the reference check and verdicts. Everything here is immutable and free of I/O.
+ * Types shared by all modules: resources, versions, snapshots, deltas, the platform document, the
+ * reference check and verdicts. Everything here is immutable and free of I/O.
  */
 package io.umberpath.model;
--- a/umberpath-model/src/main/java/io/umberpath/model/routing/BackendEntry.java
+++ b/umberpath-model/src/main/java/io/umberpath/model/routing/BackendEntry.java
@@ -3,17 +3,17 @@
 import io.umberpath.model.PeerAddress;
 
 /**
- * What a back end's own entry in the store says.
+ * A backend's own entry in the store.
  *
- * @param id names the back end; one that starts again may keep it, see {@link #start}
+ * @param id id of the backend; may be reused after a restart, see {@link #start}
  * @param service its service
  * @param address where it listens
- * @param zone where it stands
- * @param slots requests it works on at once, at least 1
- * @param state whether it takes new work
- * @param warmupMillis how much longer it was slow when it wrote the entry, milliseconds
- * @param bornMillis when it started, Unix time in milliseconds; {@link
- *     BackendStart#UNKNOWN_BORN_MILLIS} if it does not say
+ * @param zone its zone
+ * @param slots requests that it processes concurrently, at least 1
+ * @param state whether it accepts new work
+ * @param warmupMillis remaining warm-up when it wrote the entry, milliseconds
+ * @param bornMillis start time, Unix time in milliseconds; {@link BackendStart#UNKNOWN_BORN_MILLIS}
+ *     if not stated
  */
 public record BackendEntry(
     String id,
@@ -24,7 +24,7 @@
     State state,
     long warmupMillis,
     long bornMillis) {
-  /** An entry that does not say when its back end started. */
+  /** Creates an entry without a start time. */
   public BackendEntry(
       String id,
       String service,
@@ -36,22 +36,22 @@
     this(id, service, address, zone, slots, state, warmupMillis, BackendStart.UNKNOWN_BORN_MILLIS);
   }
 
-  /** The start of the back end that wrote the entry. */
+  /** Start of the backend that wrote the entry. */
   public BackendStart start() {
     return new BackendStart(id, bornMillis);
   }
 
-  /** The same of a back end that leaves. */
+  /** Returns a copy that is draining. */
   public BackendEntry leaving() {
     return new BackendEntry(
         id, service, address, zone, slots, State.DRAINING, warmupMillis, bornMillis);
   }
 
-  /** Whether a back end takes new work. */
+  /** Whether a backend accepts new work. */
   public enum State {
-    /** Takes new work. */
+    /** Accepts new work. */
     READY,
-    /** Finishes what it has and leaves. */
+    /** Finishes what it has and stops. */
     DRAINING
   }
 }
--- a/umberpath-model/src/main/java/io/umberpath/model/routing/BackendStart.java
+++ b/umberpath-model/src/main/java/io/umberpath/model/routing/BackendStart.java
@@ -3,18 +3,17 @@
 import java.util.Objects;
 
 /**
- * One start of a back end. What was learned of an earlier start under the same id says nothing of
- * this one.
+ * One start of a backend. Statistics of an earlier start with the same id do not apply to it.
  *
- * @param id names the back end
- * @param bornMillis when it started, Unix time in milliseconds on its own clock; 0 if it does not
- *     say
+ * @param id id of the backend
+ * @param bornMillis start time, Unix time in milliseconds on its own clock; 0 if not stated
  */
 public record BackendStart(String id, long bornMillis) {
-  /** A start that is not told from others under the id. */
+  /** Start time of a backend that does not state one; such starts are not distinguished. */
   public static final long UNKNOWN_BORN_MILLIS = 0;
 
-  // Written out: a key at each request and from the start on, see PeerAddress.
+  // Implemented explicitly, as it is a map key for each request and during startup; see
+  // PeerAddress.
   @Override
   public boolean equals(Object other) {
     return other instanceof BackendStart start
--- a/umberpath-model/src/main/java/io/umberpath/model/routing/RequestKind.java
+++ b/umberpath-model/src/main/java/io/umberpath/model/routing/RequestKind.java
@@ -1,6 +1,6 @@
 package io.umberpath.model.routing;
 
-/** What the requests of a route permit. */
+/** Execution semantics of the requests of a route. */
 public enum RequestKind {
   /** May run more than once. */
   SAFE(true),
--- a/umberpath-model/src/main/java/io/umberpath/model/routing/RequestLimits.java
+++ b/umberpath-model/src/main/java/io/umberpath/model/routing/RequestLimits.java
@@ -1,12 +1,12 @@
 package io.umberpath.model.routing;
 
 /**
- * What a caller may send.
+ * Limits on what a client may send.
  *
- * @param maxHeaderBytes largest request head
+ * @param maxHeaderBytes largest request header
  * @param maxBodyBytes largest request body
- * @param headerTimeoutMillis longest time a request head may take, milliseconds
- * @param idleTimeoutMillis how long a connection may rest between requests, milliseconds
+ * @param headerTimeoutMillis longest time to receive a request header, milliseconds
+ * @param idleTimeoutMillis longest idle time of a connection between requests, milliseconds
  */
 public record RequestLimits(
     int maxHeaderBytes, long maxBodyBytes, long headerTimeoutMillis, long idleTimeoutMillis) {}
--- a/umberpath-model/src/main/java/io/umberpath/model/routing/RoutingConfiguration.java
+++ b/umberpath-model/src/main/java/io/umberpath/model/routing/RoutingConfiguration.java
@@ -4,10 +4,10 @@
 import java.util.Map;
 
 /**
- * One whole configuration of an external store. Routes only lead to services it holds.
+ * One complete configuration of an external store. Routes only refer to services that it contains.
  *
- * @param version rises with each configuration
- * @param limits what callers may send
+ * @param version increases with each configuration
+ * @param limits limits on what clients may send
  * @param rules the routes
  * @param services the services by name
  */
--- a/umberpath-model/src/main/java/io/umberpath/model/routing/RoutingRule.java
+++ b/umberpath-model/src/main/java/io/umberpath/model/routing/RoutingRule.java
@@ -7,12 +7,12 @@
  *
  * @param name unique name
  * @param host exact host, lower case, without port
- * @param pathPrefix begins and ends with {@code /}; the longest that begins the path wins
- * @param kind what its requests permit
- * @param targets where they go, at least one with a weight above 0
+ * @param pathPrefix begins and ends with {@code /}; the longest match wins
+ * @param kind execution semantics of its requests
+ * @param targets the services, at least one with a weight above 0
  * @param timeoutMillis longest time a request is held, milliseconds
- * @param maxAttempts largest number of back ends one request is sent to, at least 1
- * @param targetLatencyMillis time within which an answer has its full worth, milliseconds
+ * @param maxAttempts largest number of backends that one request is sent to, at least 1
+ * @param targetLatencyMillis time within which a response has its full value, milliseconds
  * @param priority rank under overload; 0 is highest
  */
 public record RoutingRule(
@@ -30,7 +30,7 @@
     targets = List.copyOf(targets);
   }
 
-  /** The services that its requests go to. */
+  /** Names of the services that its requests go to. */
   public List<String> services() {
     return targets.stream().map(WeightedService::service).toList();
   }
--- a/umberpath-model/src/main/java/io/umberpath/model/routing/ServiceDefinition.java
+++ b/umberpath-model/src/main/java/io/umberpath/model/routing/ServiceDefinition.java
@@ -1,13 +1,13 @@
 package io.umberpath.model.routing;
 
 /**
- * What holds for all back ends of a service.
+ * Settings of all backends of a service.
  *
  * @param name unique name
  * @param healthPath path of the health check, begins with {@code /}
- * @param maxConnections connections a back end takes from all callers together, at least 1
- * @param warmupMillis how long a back end is cold after its start, milliseconds; 0 if it is not
- * @param coldPerSecond requests a second that a cold back end bears; 0 for any number
+ * @param maxConnections connections that a backend accepts from all clients together, at least 1
+ * @param warmupMillis duration of the warm-up after a start, milliseconds; 0 for none
+ * @param coldPerSecond requests a second that a cold backend can take; 0 for no limit
  */
 public record ServiceDefinition(
     String name, String healthPath, int maxConnections, long warmupMillis, double coldPerSecond) {}
--- a/umberpath-model/src/main/java/io/umberpath/model/routing/WeightedService.java
+++ b/umberpath-model/src/main/java/io/umberpath/model/routing/WeightedService.java
@@ -1,9 +1,9 @@
 package io.umberpath.model.routing;
 
 /**
- * One part of where a route's requests go.
+ * One weighted target of a route.
  *
  * @param service name of the service
- * @param weight its share in relation to the other parts, at least 0
+ * @param weight its share relative to the other targets, at least 0
  */
 public record WeightedService(String service, int weight) {}
--- a/umberpath-model/src/main/java/io/umberpath/model/routing/package-info.java
+++ b/umberpath-model/src/main/java/io/umberpath/model/routing/package-info.java
@@ -1,2 +1,2 @@
-/** Routes, services and back ends as an external ordered store states them. */
+/** Routes, services and backends as defined by an external ordered store. */
 package io.umberpath.model.routing;
