--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/ColdStartLimiter.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/ColdStartLimiter.java
@@ -31,7 +31,7 @@
   }
 
   /** The limit applies to any interval of this length. */
-  private static final long BOUND_MILLIS = 1_000;
+  private static final long LIMIT_INTERVAL_MILLIS = 1_000;
 
   /**
    * Longest time between the start of a request and its arrival at the backend, milliseconds: a
@@ -41,7 +41,7 @@
    */
   private static final long MAX_TRANSIT_MILLIS = 100;
 
-  private static final long WINDOW_MILLIS = BOUND_MILLIS + MAX_TRANSIT_MILLIS;
+  private static final long WINDOW_MILLIS = LIMIT_INTERVAL_MILLIS + MAX_TRANSIT_MILLIS;
 
   /**
    * Slices of the window with an equal limit each; a wait of one slice is acceptable to a client.
@@ -105,14 +105,15 @@
   }
 
   /** Time until a request with that many others ahead of it may start, milliseconds. */
-  public synchronized double waitMillis(long nowMillis, int ahead) {
+  public synchronized double waitMillis(long nowMillis, int requestsAhead) {
     if (!isCold(nowMillis)) {
       return 0;
     }
     removeExpired(nowMillis);
     double windowWaitMillis =
-        millisUntilAllowed(nowMillis, ahead + 1, WINDOW_MILLIS, windowLimit(nowMillis));
-    double sliceWaitMillis = millisUntilAllowed(nowMillis, ahead + 1, SLICE_MILLIS, sliceLimit());
+        millisUntilAllowed(nowMillis, requestsAhead + 1, WINDOW_MILLIS, windowLimit(nowMillis));
+    double sliceWaitMillis =
+        millisUntilAllowed(nowMillis, requestsAhead + 1, SLICE_MILLIS, sliceLimit());
     return Math.min(coldUntilMillis - nowMillis, Math.max(windowWaitMillis, sliceWaitMillis));
   }
 
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/LeastLoadBalancer.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/LeastLoadBalancer.java
@@ -31,7 +31,7 @@
   private final BalancerSettings settings;
   private final Map<String, BackendState> states = new HashMap<>();
   private final Map<String, OrderedPool> pools = new HashMap<>();
-  private int edges = 1;
+  private int edgeCount = 1;
   private long firstUseMillis = -1;
   private long nextExpiryCheckMillis;
 
@@ -122,7 +122,7 @@
     List<BackendView> order = order(pool);
     int size =
         Subsetting.size(
-            edges, order.size(), settings.connectionsPerEdge(), settings.connectionLimit());
+            edgeCount, order.size(), settings.connectionsPerEdge(), settings.connectionLimit());
     List<Candidate> candidates = new ArrayList<>(size);
     for (BackendView backend : order) {
       if (candidates.size() == size) {
@@ -199,9 +199,9 @@
   }
 
   @Override
-  public void edgeCount(int newEdges) {
-    Settings.atLeast("edges", newEdges, 1);
-    edges = newEdges;
+  public void edgeCount(int newEdgeCount) {
+    Settings.atLeast("edges", newEdgeCount, 1);
+    edgeCount = newEdgeCount;
   }
 
   /**
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/SlotAdmissionController.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/SlotAdmissionController.java
@@ -243,16 +243,16 @@
         ahead += Math.min(waiting, ahead / settings.starvationBound());
       }
     }
-    return drainMicros(ahead + 1);
+    return processingMicros(ahead + 1);
   }
 
-  private double drainMicros(int requests) {
+  private double processingMicros(int requests) {
     return requests * serviceTime.meanMicros() / slots;
   }
 
   private Decision refusalOfOverload(AdmissionRequest request) {
-    long drainMillis = Math.round(drainMicros(queued + 1) / MICROS_PER_MILLI);
-    long retryAfter = Math.max(settings.minRetryAfterMillis(), drainMillis);
+    long processingMillis = Math.round(processingMicros(queued + 1) / MICROS_PER_MILLI);
+    long retryAfter = Math.max(settings.minRetryAfterMillis(), processingMillis);
     return new Decision.Refused(
         request.id(), Reason.OVERLOADED, Math.min(settings.maxRetryAfterMillis(), retryAfter));
   }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/load/BackendSpeed.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/load/BackendSpeed.java
@@ -42,7 +42,7 @@
   private final Deque<StatedFactor> recentStatements = new ArrayDeque<>();
   private final DecayingSlowdown deviation = new DecayingSlowdown();
   private final RouteMeans plainTimes = new RouteMeans(1);
-  private final RouteMeans usualTimes = new RouteMeans(1);
+  private final RouteMeans normalizedTimes = new RouteMeans(1);
   private long statementCount;
   private double usualFactor = 1;
   private double plainError;
@@ -75,18 +75,19 @@
    * @return how long it would have run at the usual speed, microseconds
    */
   public long answered(long nowMillis, String route, long micros) {
-    long usualMicros =
+    long normalizedMicros =
         Math.max(1, Math.round(normalizedMillis(nowMillis, micros) * MICROS_PER_MILLI));
-    if (plainTimes.expected(route) > 0 && usualTimes.expected(route) > 0) {
+    if (plainTimes.expected(route) > 0 && normalizedTimes.expected(route) > 0) {
       comparisons++;
       double weight = Math.max(ERROR_WEIGHT, 1.0 / comparisons);
       plainError += weight * (logError(micros, plainTimes.expected(route)) - plainError);
-      statedError += weight * (logError(usualMicros, usualTimes.expected(route)) - statedError);
+      statedError +=
+          weight * (logError(normalizedMicros, normalizedTimes.expected(route)) - statedError);
       updateTrust();
     }
     plainTimes.add(route, micros);
-    usualTimes.add(route, usualMicros);
-    return trusted ? usualMicros : micros;
+    normalizedTimes.add(route, normalizedMicros);
+    return trusted ? normalizedMicros : micros;
   }
 
   private void updateTrust() {
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/GateLoad.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/GateLoad.java
@@ -119,7 +119,7 @@
   }
 
   /** Clamps a received percentage to 0 to 100. */
-  public static int percent(long stated) {
-    return (int) Math.max(0, Math.min(USUAL_PERCENT, stated));
+  public static int percent(long value) {
+    return (int) Math.max(0, Math.min(USUAL_PERCENT, value));
   }
 }
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/DecisionCosts.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/DecisionCosts.java
@@ -33,7 +33,7 @@
           });
     }
     AdmissionController free = AdmissionControllers.create(AdmissionSettings.forSlots(6));
-    measure("ask and release, free slots", i -> askAndRelease(free, i, i));
+    measure("ask and release, free slots", i -> submitAndRelease(free, i, i));
     AdmissionController full = AdmissionControllers.create(AdmissionSettings.forSlots(6));
     for (int i = 1; i <= 26; i++) {
       full.ask(
@@ -59,7 +59,7 @@
         });
   }
 
-  private static void askAndRelease(AdmissionController controller, long now, long id) {
+  private static void submitAndRelease(AdmissionController controller, long now, long id) {
     controller.ask(
         now, new AdmissionController.AdmissionRequest(id, "t", Tier.STANDARD, Long.MAX_VALUE));
     controller.release(now, id, 5_000);
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/load/BackendSpeedTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/load/BackendSpeedTest.java
@@ -23,20 +23,20 @@
   private final BackendSpeed speed = new BackendSpeed();
   private long now = 1_000_000;
 
-  private void state(int percent) {
+  private void sendStatement(int percent) {
     speed.stated(now, new BackendStatement(3, 0, 6, percent));
   }
 
-  private void stateFor(long millis, int percent) {
+  private void sendStatementsFor(long millis, int percent) {
     for (long end = now + millis; now < end; now += 50) {
-      state(percent);
+      sendStatement(percent);
     }
   }
 
   @Test
   void aShortSlowdownShowsAtOnceAndDecays() {
-    stateFor(10_000, 100);
-    state(250);
+    sendStatementsFor(10_000, 100);
+    sendStatement(250);
 
     assertThat(speed.slowness(now, NO_AGE_SIGNAL)).isEqualTo(2.5, TOLERANCE);
     assertThat(speed.slowness(now + 300, NO_AGE_SIGNAL)).isEqualTo(1.75, TOLERANCE);
@@ -45,17 +45,17 @@
   /** Some backends of a service always take 1.7 times as long as is usual there. */
   @Test
   void aConstantlySlowBackendIsAtItsUsualSpeed() {
-    stateFor(10_000, 170);
+    sendStatementsFor(10_000, 170);
     assertThat(speed.slowness(now, NO_AGE_SIGNAL)).isEqualTo(1, TOLERANCE);
 
-    state(100);
+    sendStatement(100);
     assertThat(speed.slowness(now, NO_AGE_SIGNAL)).isEqualTo(0.59, TOLERANCE);
   }
 
   @Test
   void timesDuringASlowdownAreNormalizedToTheUsualSpeed() {
-    stateFor(20_000, 100);
-    stateFor(500, 200);
+    sendStatementsFor(20_000, 100);
+    sendStatementsFor(500, 200);
 
     long usual = speed.answered(now, ROUTE, 300_000);
 
@@ -73,15 +73,15 @@
 
   @Test
   void requestAgesOverrideAStatementOfNormalSpeed() {
-    stateFor(5_000, 100);
+    sendStatementsFor(5_000, 100);
 
     assertThat(speed.slowness(now, 4)).isEqualTo(4);
   }
 
   @Test
   void statementsAreClamped() {
-    stateFor(10_000, 100);
-    state(999_999_999);
+    sendStatementsFor(10_000, 100);
+    sendStatement(999_999_999);
 
     assertThat(speed.slowness(now, NO_AGE_SIGNAL)).isLessThanOrEqualTo(10);
   }
@@ -90,17 +90,17 @@
   void falseStatementsLoseTrustAndRegainItOnceAccurate() {
     Random random = new Random(3);
     for (int responses = 0; responses < 60; responses++) {
-      state(random.nextBoolean() ? 1_000 : 100);
+      sendStatement(random.nextBoolean() ? 1_000 : 100);
       speed.answered(now, ROUTE, 60_000);
       now += 70;
     }
-    state(1_000);
+    sendStatement(1_000);
     assertThat(speed.isBelieved()).isFalse();
     assertThat(speed.slowness(now, NO_AGE_SIGNAL)).isEqualTo(1);
 
     for (int responses = 0; responses < 400; responses++) {
       int percent = random.nextInt(4) == 0 ? 250 : 100;
-      stateFor(100, percent);
+      sendStatementsFor(100, percent);
       speed.answered(now, ROUTE, 600L * percent);
     }
     assertThat(speed.isBelieved()).isTrue();
@@ -129,7 +129,7 @@
           statedError += Math.abs(Math.log(micros / expected));
           plainError += Math.abs(Math.log(micros / (double) plain.expected(ROUTE)));
         }
-        state((int) (factor * 100));
+        sendStatement((int) (factor * 100));
         usual.add(ROUTE, speed.answered(now, ROUTE, micros));
         plain.add(ROUTE, micros);
       }
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/trace/TraceReplay.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/trace/TraceReplay.java
@@ -53,7 +53,7 @@
         yield List.of();
       }
       case "failed" -> List.of(mayRetry(line) ? "retry" : "give up");
-      default -> balance(line);
+      default -> executeBalancerCall(line);
     };
   }
 
@@ -68,7 +68,7 @@
     return retries.mayRetry(line.at(), failed, new ChainBudget(line.number().intValue()));
   }
 
-  private List<String> balance(TraceLine line) {
+  private List<String> executeBalancerCall(TraceLine line) {
     switch (line.call()) {
       case "pool" -> pool = pool(line.names());
       case "pick" -> {
@@ -78,7 +78,7 @@
       case "finished" ->
           balancer.finished(line.at(), line.backend(), verdict(line.verdict()), line.micros());
       case "shed" -> balancer.shed(line.at(), line.backend(), line.tier(), line.deadline());
-      case "observed" -> balancer.observed(line.at(), List.of(statement(line)));
+      case "observed" -> balancer.observed(line.at(), List.of(createReport(line)));
       default -> throw new IllegalArgumentException("call '" + line.call() + "' is not known");
     }
     return List.of();
@@ -91,7 +91,7 @@
         .fold(Enum::name, view -> view.address().id());
   }
 
-  private ObservedBackend statement(TraceLine line) {
+  private ObservedBackend createReport(TraceLine line) {
     ObservedBackend.Phase phase = ObservedBackend.Phase.valueOf(line.names().get(0));
     return new ObservedBackend(line.backend(), 1, ++counter, phase, line.number().intValue());
   }
