--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/quarantine/SuspectLedger.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/quarantine/SuspectLedger.java
@@ -18,8 +18,8 @@
  * merged with that of other nodes. Merging is commutative and idempotent, so the order, number and
  * path of reports do not matter.
  *
- * <p>Every request that a crashed backend was running is a suspect, since the cause cannot be told
- * apart from the others. A request is quarantined, which keeps it from all backends, once three
+ * <p>Every request that a crashed backend was running is a suspect, since the cause cannot be
+ * identified among them. A request is quarantined, which keeps it from all backends, once three
  * backends have crashed while running it and it has succeeded nowhere: the cause is present at all
  * three crashes, while requests that merely ran at the same time rarely are, and these are cleared
  * when they succeed. The owner synchronizes access.
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/quarantine/SuspectRequest.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/quarantine/SuspectRequest.java
@@ -17,12 +17,10 @@
    */
   private static final long PROPAGATION_MILLIS = 5_000;
 
-  /**
-   * How long a single crash is remembered, and several crashes of a request that is not
-   * quarantined, milliseconds.
-   */
+  /** How long a single crash is remembered, milliseconds. */
   private static final long SINGLE_CRASH_EXPIRY_MILLIS = 600_000;
 
+  /** The same for several crashes of a request that is not quarantined. */
   private static final long SUSPECT_EXPIRY_MILLIS = 3_600_000;
 
   /** How long a quarantined request is remembered after its last crash, milliseconds: a day. */
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/BackendStats.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/BackendStats.java
@@ -67,7 +67,7 @@
     slots = Math.max(slots, entry.slots());
   }
 
-  /** Notes that the backend was used or reported on. */
+  /** Records that the backend was used or reported on. */
   void recordActivity(long nowMillis) {
     lastActiveMillis = Math.max(lastActiveMillis, nowMillis);
   }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/NestedRoutes.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/NestedRoutes.java
@@ -63,7 +63,7 @@
 
   /**
    * Whether the requests of a route are nested. Always false while the requests of all routes
-   * originate beside one service, since the origin then tells nothing.
+   * originate beside one service, as the origin is then no evidence.
    */
   public boolean isNested(String route) {
     OriginCounts origins = byRoute.get(route);
