--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/AttestedBackends.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/AttestedBackends.java
@@ -18,25 +18,26 @@
    */
   private static final long VALID_MILLIS = 2_500;
 
-  private record Attested(BackendEntry entry, long sinceMillis, long untilMillis) {}
+  private record Attestation(BackendEntry entry, long startedAtMillis, long expiresAtMillis) {}
 
-  private final Map<String, Attested> byHost = new ConcurrentHashMap<>();
+  private final Map<String, Attestation> byHost = new ConcurrentHashMap<>();
 
   /** Takes what the node of a machine attests now. */
-  void heard(long nowMillis, String host, Optional<BackendEntry> entry) {
+  void recordAttestation(long nowMillis, String host, Optional<BackendEntry> entry) {
     if (entry.isPresent()) {
-      Attested before = byHost.get(host);
-      boolean continues = before != null && before.entry().start().equals(entry.get().start());
-      long since = continues ? before.sinceMillis() : nowMillis;
-      byHost.put(host, new Attested(entry.get(), since, nowMillis + VALID_MILLIS));
+      Attestation previous = byHost.get(host);
+      boolean isSameStart =
+          previous != null && previous.entry().start().equals(entry.get().start());
+      long startedAtMillis = isSameStart ? previous.startedAtMillis() : nowMillis;
+      byHost.put(host, new Attestation(entry.get(), startedAtMillis, nowMillis + VALID_MILLIS));
     } else {
       byHost.remove(host);
     }
   }
 
   /** Drops attestations that hold no more, so that requests need not look at them. */
-  void forget(long nowMillis) {
-    byHost.values().removeIf(attested -> nowMillis >= attested.untilMillis());
+  void removeExpired(long nowMillis) {
+    byHost.values().removeIf(attestation -> nowMillis >= attestation.expiresAtMillis());
   }
 
   /**
@@ -45,23 +46,25 @@
    * @param contact of this node with the store; asked for only if a back end is attested, as this
    *     is called for each request
    */
-  List<BackendEntry> ready(
+  List<BackendEntry> readyBackends(
       long nowMillis, BackendDirectory listed, Supplier<StoreContact> contact, String service) {
-    List<BackendEntry> ready = listed.ready(service);
+    List<BackendEntry> listedBackends = listed.ready(service);
     if (byHost.isEmpty()) {
-      return ready;
+      return listedBackends;
     }
     StoreContact current = contact.get();
-    List<BackendEntry> all = new ArrayList<>(ready);
-    for (Attested attested : byHost.values()) {
-      BackendEntry entry = attested.entry();
-      boolean holds =
-          nowMillis < attested.untilMillis() && !current.settles(attested.sinceMillis(), nowMillis);
-      boolean replaces = listed.at(entry.address()).isEmpty() && !listed.isEvacuated(entry.zone());
-      if (holds && replaces && entry.service().equals(service)) {
-        all.add(entry);
+    List<BackendEntry> backends = new ArrayList<>(listedBackends);
+    for (Attestation attestation : byHost.values()) {
+      BackendEntry entry = attestation.entry();
+      boolean isValid =
+          nowMillis < attestation.expiresAtMillis()
+              && !current.confirmsRemoval(attestation.startedAtMillis(), nowMillis);
+      boolean isUnlisted =
+          listed.at(entry.address()).isEmpty() && !listed.isEvacuated(entry.zone());
+      if (isValid && isUnlisted && entry.service().equals(service)) {
+        backends.add(entry);
       }
     }
-    return all;
+    return backends;
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/BackendDirectory.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/BackendDirectory.java
@@ -16,7 +16,7 @@
   static final BackendDirectory EMPTY = new BackendDirectory(List.of(), Set.of());
 
   private final Map<String, BackendEntry> byId = new HashMap<>();
-  private final Map<String, List<BackendEntry>> ready = new HashMap<>();
+  private final Map<String, List<BackendEntry>> readyByService = new HashMap<>();
   private final Map<String, List<BackendEntry>> byHost = new HashMap<>();
   private final Set<String> evacuatedZones;
 
@@ -31,14 +31,14 @@
       byId.put(entry.id(), entry);
       byHost.computeIfAbsent(entry.address().host(), host -> new ArrayList<>()).add(entry);
       if (entry.state() == BackendEntry.State.READY && !isEvacuated(entry.zone())) {
-        ready.computeIfAbsent(entry.service(), service -> new ArrayList<>()).add(entry);
+        readyByService.computeIfAbsent(entry.service(), service -> new ArrayList<>()).add(entry);
       }
     }
-    ready.values().forEach(list -> list.sort(Comparator.comparing(BackendEntry::id)));
+    readyByService.values().forEach(list -> list.sort(Comparator.comparing(BackendEntry::id)));
   }
 
   /** Whether it is of these very entries and zones, read once and not read again since. */
-  boolean holds(Collection<BackendEntry> entries, Set<String> evacuated) {
+  boolean isBuiltFrom(Collection<BackendEntry> entries, Set<String> evacuated) {
     if (entries.size() != byId.size() || !evacuated.equals(evacuatedZones)) {
       return false;
     }
@@ -52,7 +52,7 @@
 
   /** Those of a service that take new work. */
   List<BackendEntry> ready(String service) {
-    return ready.getOrDefault(service, List.of());
+    return readyByService.getOrDefault(service, List.of());
   }
 
   /** Whether the back ends of a zone are to get no new work. */
@@ -71,14 +71,14 @@
 
   /** The entries at an address; several while a new start has not replaced the old one. */
   List<BackendEntry> at(PeerAddress address) {
-    List<BackendEntry> there = atHost(address.host());
-    for (BackendEntry entry : there) {
+    List<BackendEntry> atHost = atHost(address.host());
+    for (BackendEntry entry : atHost) {
       if (!entry.address().equals(address)) {
-        return there.stream().filter(each -> each.address().equals(address)).toList();
+        return atHost.stream().filter(candidate -> candidate.address().equals(address)).toList();
       }
     }
     // As a rule: a machine has one back end.
-    return there;
+    return atHost;
   }
 
   /** The entries at an IP address. */
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/ChangeBudget.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/ChangeBudget.java
@@ -11,10 +11,10 @@
  */
 final class ChangeBudget {
   /** Share of a bound that a way may take; the rest is for a machine that is busy or just slow. */
-  static final double SHARE_OF_BOUND = 0.75;
+  static final double MAX_SHARE_OF_BOUND = 0.75;
 
   /** A call that the store answers at once; 30 ms from a write to the reader's log line. */
-  private static final long CALL_MILLIS = 30;
+  private static final long STORE_CALL_MILLIS = 30;
 
   /** A datagram to another node, and its reading, on a share of 0.3 of a core. */
   private static final long DATAGRAM_MILLIS = 20;
@@ -38,17 +38,17 @@
     }
   }
 
-  private static final Step PAUSE =
-      new Step("pause after changes", WatchTimes.PROMPT.pauseMillis());
+  private static final Step PROMPT_PAUSE =
+      new Step("pause after changes", StoreWatchTimings.PROMPT.pauseMillis());
   private static final Step STANDBY_PAUSE =
-      new Step("pause of a standby reader", WatchTimes.STANDBY.pauseMillis());
-  private static final Step CALL = new Step("answer of the store", CALL_MILLIS);
+      new Step("pause of a standby reader", StoreWatchTimings.STANDBY.pauseMillis());
+  private static final Step CALL = new Step("answer of the store", STORE_CALL_MILLIS);
   private static final Step WATCH =
-      new Step("watch that hears nothing", WatchTimes.PROMPT.longestWaitMillis());
+      new Step("watch that hears nothing", StoreWatchTimings.PROMPT.longestWaitMillis());
   private static final Step BACKOFF =
-      new Step("pause after a failed call", WatchTimes.PROMPT.minBackoffMillis());
+      new Step("pause after a failed call", StoreWatchTimings.PROMPT.minBackoffMillis());
   private static final Step ANNOUNCE =
-      new Step("wait until it is announced", MeshNode.ANNOUNCE_MILLIS);
+      new Step("wait until it is announced", MeshNode.ANNOUNCE_DELAY_MILLIS);
   private static final Step DATAGRAM = new Step("report to the zone", DATAGRAM_MILLIS);
   private static final Step RELAY = new Step("report to another zone", 2 * DATAGRAM_MILLIS);
   private static final Step READER_WAIT =
@@ -56,11 +56,12 @@
   private static final Step OTHER_ZONE_WAIT =
       new Step("a node waits for its own zone", TransferSchedule.OTHER_ZONE_WAIT_MILLIS);
   private static final Step TRANSFER_PAUSE =
-      new Step("pause after a transfer", TransferSchedule.PAUSE_MILLIS);
-  private static final Step CHECK = new Step("until a transfer begins", StatePuller.CHECK_MILLIS);
+      new Step("pause after a transfer", TransferSchedule.TRANSFER_PAUSE_MILLIS);
+  private static final Step PULL_CHECK =
+      new Step("until a transfer begins", StatePuller.CHECK_INTERVAL_MILLIS);
   private static final Step TRANSFER = new Step("transfer", TRANSFER_MILLIS);
-  private static final Step PATIENCE =
-      new Step("until another source is asked", TransferSchedule.PATIENCE_MILLIS);
+  private static final Step NEXT_SOURCE =
+      new Step("until another source is asked", TransferSchedule.SLOW_TRANSFER_MILLIS);
 
   /** From a prompt reader to the reader of another zone, and on to a node of that zone. */
   private static final List<Step> TO_OTHER_ZONE =
@@ -68,12 +69,12 @@
           ANNOUNCE,
           RELAY,
           READER_WAIT,
-          CHECK,
+          PULL_CHECK,
           TRANSFER,
           ANNOUNCE,
           DATAGRAM,
           TRANSFER_PAUSE,
-          CHECK,
+          PULL_CHECK,
           TRANSFER);
 
   private static Path path(String name, List<Step> first, List<Step> rest) {
@@ -83,19 +84,19 @@
   /** The ways, one for each single fault that lengthens it. */
   static List<Path> paths() {
     return List.of(
-        path("none", List.of(PAUSE, CALL), TO_OTHER_ZONE),
-        path("a watch hears nothing", List.of(PAUSE, WATCH, CALL), TO_OTHER_ZONE),
-        path("a watch is cut", List.of(PAUSE, CALL, BACKOFF, CALL), TO_OTHER_ZONE),
-        path("history is gone", List.of(PAUSE, CALL, CALL, CALL), TO_OTHER_ZONE),
+        path("none", List.of(PROMPT_PAUSE, CALL), TO_OTHER_ZONE),
+        path("a watch hears nothing", List.of(PROMPT_PAUSE, WATCH, CALL), TO_OTHER_ZONE),
+        path("a watch is cut", List.of(PROMPT_PAUSE, CALL, BACKOFF, CALL), TO_OTHER_ZONE),
+        path("history is gone", List.of(PROMPT_PAUSE, CALL, CALL, CALL), TO_OTHER_ZONE),
         path(
             "both prompt readers are lost",
             List.of(STANDBY_PAUSE, CALL),
-            List.of(ANNOUNCE, DATAGRAM, TRANSFER_PAUSE, CHECK, TRANSFER)),
+            List.of(ANNOUNCE, DATAGRAM, TRANSFER_PAUSE, PULL_CHECK, TRANSFER)),
         path(
             "a zone's reader is lost, refused or throttled",
-            List.of(PAUSE, CALL),
-            List.of(ANNOUNCE, RELAY, OTHER_ZONE_WAIT, CHECK, TRANSFER)),
-        path("a source does not answer", List.of(PAUSE, CALL, PATIENCE), TO_OTHER_ZONE));
+            List.of(PROMPT_PAUSE, CALL),
+            List.of(ANNOUNCE, RELAY, OTHER_ZONE_WAIT, PULL_CHECK, TRANSFER)),
+        path("a source does not answer", List.of(PROMPT_PAUSE, CALL, NEXT_SOURCE), TO_OTHER_ZONE));
   }
 
   /** The longest of the ways. */
@@ -105,7 +106,7 @@
 
   /** Whether a way leaves enough of a bound. */
   static boolean isWithin(Path path, long boundMillis) {
-    return path.millis() < SHARE_OF_BOUND * boundMillis;
+    return path.millis() < MAX_SHARE_OF_BOUND * boundMillis;
   }
 
   private ChangeBudget() {}
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/ConfigurationReader.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/ConfigurationReader.java
@@ -9,8 +9,8 @@
 final class ConfigurationReader {
   private final StoreDocuments documents;
   private StoreItem lastItem;
-  private Either<String, RoutingConfiguration> lastRead;
-  private RoutingTable lastTable;
+  private Either<String, RoutingConfiguration> lastResult;
+  private RoutingTable lastRoutingTable;
 
   ConfigurationReader(StoreDocuments documents) {
     this.documents = documents;
@@ -19,16 +19,16 @@
   /** The configuration of an item, or what is wrong with it. */
   synchronized Either<String, RoutingConfiguration> read(StoreItem item) {
     if (!item.equals(lastItem)) {
-      lastRead = documents.configuration(item);
-      lastTable = lastRead.map(RoutingTable::of).getOrNull();
+      lastResult = documents.configuration(item);
+      lastRoutingTable = lastResult.map(RoutingTable::of).getOrNull();
       lastItem = item;
     }
-    return lastRead;
+    return lastResult;
   }
 
   /** The routes of a configuration. */
-  synchronized RoutingTable tableOf(RoutingConfiguration configuration) {
-    boolean isLast = lastRead != null && lastRead.getOrNull() == configuration;
-    return isLast ? lastTable : RoutingTable.of(configuration);
+  synchronized RoutingTable routingTable(RoutingConfiguration configuration) {
+    boolean isCached = lastResult != null && lastResult.getOrNull() == configuration;
+    return isCached ? lastRoutingTable : RoutingTable.of(configuration);
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/ConfigurationWarmUp.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/ConfigurationWarmUp.java
@@ -9,7 +9,7 @@
  */
 final class ConfigurationWarmUp {
   /** Rules of the example, by which the code is compiled. */
-  static final int RULES = 300;
+  static final int EXAMPLE_RULES = 300;
 
   private final StoreDocuments documents;
   private final Supplier<MeshView> view;
@@ -30,18 +30,19 @@
 
   private void run() {
     try {
-      readExample();
+      parseExample();
     } catch (RuntimeException fault) {
       events.fault("warm-up", fault);
     }
   }
 
   /** Reads the example unless a large configuration has been read. */
-  void readExample() {
+  void parseExample() {
     MeshView current = view.get();
-    boolean hasReadLarge = current.isComplete() && current.configuration().rules().size() >= RULES;
-    if (!hasReadLarge) {
-      RoutingTable.of(documents.readExample(RULES));
+    boolean hasParsedLarge =
+        current.isComplete() && current.configuration().rules().size() >= EXAMPLE_RULES;
+    if (!hasParsedLarge) {
+      RoutingTable.of(documents.readExample(EXAMPLE_RULES));
     }
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/EncodedChanges.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/EncodedTransferCache.java
@@ -10,34 +10,37 @@
  * Encodes transfers once for all the nodes that ask for the same ones, as those of a zone do after
  * each change. Thread-safe.
  */
-final class EncodedChanges {
+final class EncodedTransferCache {
   /** Spans of changes kept; nodes of a zone differ by a change or two. */
-  private static final int MAX_KEPT = 4;
+  private static final int MAX_ENTRIES = 4;
 
   /**
    * What an encoding holds.
    *
    * @param firstPatched revision of the item that the first patch applies to; -1 without patches
    */
-  private record Span(StorePosition after, StorePosition at, long firstPatched, StoreFacts facts) {}
+  private record CacheKey(
+      StorePosition after, StorePosition at, long firstPatchedRevision, StoreFacts facts) {}
 
-  private final Map<Span, byte[]> bySpan =
+  private final Map<CacheKey, byte[]> encodedByKey =
       new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<Span, byte[]> eldest) {
-          return size() > MAX_KEPT;
+        protected boolean removeEldestEntry(Map.Entry<CacheKey, byte[]> eldest) {
+          return size() > MAX_ENTRIES;
         }
       };
 
-  synchronized byte[] of(StateTransfer transfer) {
+  synchronized byte[] encode(StateTransfer transfer) {
     StoreChanges changes = transfer.changes();
-    Span span = new Span(changes.after(), changes.at(), firstPatched(changes), transfer.facts());
-    return bySpan.computeIfAbsent(span, absent -> StateChangesCodec.encode(transfer));
+    CacheKey key =
+        new CacheKey(
+            changes.after(), changes.at(), firstPatchedRevision(changes), transfer.facts());
+    return encodedByKey.computeIfAbsent(key, absent -> StateChangesCodec.encode(transfer));
   }
 
-  private static long firstPatched(StoreChanges changes) {
+  private static long firstPatchedRevision(StoreChanges changes) {
     return changes.patches().isEmpty() ? -1 : changes.patches().get(0).fromRevision();
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/LivenessAttester.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/LivenessAttester.java
@@ -17,11 +17,11 @@
  * Thread-safe.
  */
 final class LivenessAttester {
-  private static final long PROBE_MILLIS = 400;
+  private static final long PROBE_INTERVAL_MILLIS = 400;
   private static final long PROBE_TIMEOUT_MILLIS = 1_000;
 
   /** How long a good probe is believed, from when it was sent. */
-  private static final long VALID_MILLIS = 1_500;
+  private static final long PROBE_VALID_MILLIS = 1_500;
 
   private static final int OK = 200;
 
@@ -34,8 +34,8 @@
   private BackendEntry lastListed;
   private HealthProbe probe;
   private long probeSentMillis;
-  private long goodUntilMillis = Long.MIN_VALUE;
-  private BackendEntry noted;
+  private long healthyUntilMillis = Long.MIN_VALUE;
+  private BackendEntry lastLogged;
 
   LivenessAttester(
       MeshSettings settings,
@@ -53,14 +53,14 @@
   }
 
   /** The entry of the back end that lives though the store lists it no more; empty if none. */
-  synchronized Optional<BackendEntry> attested() {
-    boolean attests = isLapsed() && clockMillis.getAsLong() < goodUntilMillis;
-    return attests ? Optional.of(lastListed) : Optional.empty();
+  synchronized Optional<BackendEntry> attestedEntry() {
+    boolean isAttested = isEntryMissing() && clockMillis.getAsLong() < healthyUntilMillis;
+    return isAttested ? Optional.of(lastListed) : Optional.empty();
   }
 
   /** Whether that start of the back end is attested. */
-  boolean attests(String instance) {
-    return attested().filter(entry -> entry.id().equals(instance)).isPresent();
+  boolean isAttested(String instance) {
+    return attestedEntry().filter(entry -> entry.id().equals(instance)).isPresent();
   }
 
   /** Looks at the entry, and probes the back end while it is missing for want of contact. */
@@ -69,29 +69,29 @@
     List<BackendEntry> listed = view.get().backends().at(settings.backend());
     if (!listed.isEmpty()) {
       lastListed = listed.get(0).state() == BackendEntry.State.READY ? listed.get(0) : null;
-      goodUntilMillis = Long.MIN_VALUE;
-    } else if (isLapsed() && contact.get().mayMissEntries(now)) {
+      healthyUntilMillis = Long.MIN_VALUE;
+    } else if (isEntryMissing() && contact.get().mayMissEntries(now)) {
       probe(now);
     }
-    note(attested());
+    logChange(attestedEntry());
   }
 
   /** Whether the entry of a back end that did not leave is missing. */
-  synchronized boolean isLapsed() {
+  synchronized boolean isEntryMissing() {
     return lastListed != null && view.get().backends().at(settings.backend()).isEmpty();
   }
 
-  private void note(Optional<BackendEntry> attested) {
-    if (attested.isPresent() && noted == null) {
+  private void logChange(Optional<BackendEntry> attested) {
+    if (attested.isPresent() && lastLogged == null) {
       events.attestation(attested.get(), true);
-    } else if (attested.isEmpty() && noted != null) {
-      events.attestation(noted, false);
+    } else if (attested.isEmpty() && lastLogged != null) {
+      events.attestation(lastLogged, false);
     }
-    noted = attested.orElse(null);
+    lastLogged = attested.orElse(null);
   }
 
   private void probe(long nowMillis) {
-    if (nowMillis < probeSentMillis + PROBE_MILLIS) {
+    if (nowMillis < probeSentMillis + PROBE_INTERVAL_MILLIS) {
       return;
     }
     if (probe != null && probe.isUnderWay()) {
@@ -110,31 +110,32 @@
         new HealthProbe(
             pool,
             service.healthPath(),
-            (head, body) -> answered(id, nowMillis, head),
-            () -> failed(id));
+            (head, body) -> onProbeResponse(id, nowMillis, head),
+            () -> withdraw(id));
     probe.start();
   }
 
-  private synchronized void answered(String id, long sentMillis, AnswerHead head) {
-    boolean isSameStart = head.field(settings.headers().instance()).filter(id::equals).isPresent();
-    boolean isGood = head.status() == OK && isSameStart;
-    if (!isGood) {
-      failed(id);
+  private synchronized void onProbeResponse(String id, long sentMillis, AnswerHead head) {
+    boolean isSameInstance =
+        head.field(settings.headers().instance()).filter(id::equals).isPresent();
+    boolean isHealthy = head.status() == OK && isSameInstance;
+    if (!isHealthy) {
+      withdraw(id);
     } else if (lastListed != null && lastListed.id().equals(id)) {
-      goodUntilMillis = sentMillis + VALID_MILLIS;
+      healthyUntilMillis = sentMillis + PROBE_VALID_MILLIS;
     }
   }
 
   /** That back end ended: one that starts again under its id would pass the same probe. */
-  void ended(String id) {
-    failed(id);
+  void onBackendEnded(String id) {
+    withdraw(id);
   }
 
   /** What has left, ended or been replaced is not attested again before it is listed again. */
-  private synchronized void failed(String id) {
+  private synchronized void withdraw(String id) {
     if (lastListed != null && lastListed.id().equals(id)) {
       lastListed = null;
-      note(Optional.empty());
+      logChange(Optional.empty());
     }
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshNode.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshNode.java
@@ -35,13 +35,13 @@
   private static final long LATE_TICK_MILLIS = 2 * TICK_MILLIS;
 
   /** Gap between two ticks from which on this process stood still, milliseconds. */
-  private static final long PAUSE_MILLIS = 1_000;
+  private static final long PROCESS_PAUSE_MILLIS = 1_000;
 
   private static final int TICKS_PER_SWEEP = 2;
-  private static final int TICKS_PER_ROUND = (int) (SilenceTimes.ROUND_MILLIS / TICK_MILLIS);
+  private static final int TICKS_PER_REPORT_ROUND = (int) (SilenceTimes.ROUND_MILLIS / TICK_MILLIS);
 
   /** Least time between two announcements of what this node took from the store, milliseconds. */
-  static final long ANNOUNCE_MILLIS = 50;
+  static final long ANNOUNCE_DELAY_MILLIS = 50;
 
   /** Ends of back ends under a request from which on it is held: the fewest that single it out. */
   static final int MARKS_TO_HOLD = 3;
@@ -73,20 +73,20 @@
   private final List<StateServer> stateServers = new ArrayList<>();
   private final ScheduledExecutorService timer =
       Executors.newSingleThreadScheduledExecutor(MeshNode::timerThread);
-  private final AtomicBoolean announced = new AtomicBoolean();
-  private final EncodedChanges encodedChanges = new EncodedChanges();
+  private final AtomicBoolean isAnnouncementScheduled = new AtomicBoolean();
+  private final EncodedTransferCache encodedChanges = new EncodedTransferCache();
   // What the timer runs, made once: 120 objects a second else, and slowly before they are compiled.
-  private final Runnable noticePause = this::noticePause;
-  private final Runnable keepDeadlines = this::keepDeadlines;
+  private final Runnable detectPause = this::detectPause;
+  private final Runnable enforceDeadlines = this::enforceDeadlines;
   private final Runnable shareSuspects = this::shareSuspects;
   private final Runnable sweep = this::sweep;
-  private final Runnable tellPeers = this::tellPeers;
-  private final Runnable second = this::second;
+  private final Runnable reportToPeers = this::reportToPeers;
+  private final Runnable runEverySecond = this::runEverySecond;
   private long ticks;
   private long lastTickMillis;
   private boolean isTickLate;
-  private volatile boolean leaving;
-  private volatile boolean backendLeaving;
+  private volatile boolean isStopping;
+  private volatile boolean isBackendDraining;
 
   /**
    * Creates a node that is not listening yet.
@@ -108,7 +108,9 @@
     this.readyPath = readyPath;
     StoreWatcher watcher =
         new StoreWatcher(
-            documents.prefix(), WatchTimes.PROMPT, () -> ThreadLocalRandom.current().nextDouble());
+            documents.prefix(),
+            StoreWatchTimings.PROMPT,
+            () -> ThreadLocalRandom.current().nextDouble());
     this.state = new MeshState(documents, watcher, events, clockMillis);
     this.warmUp = new ConfigurationWarmUp(documents, state::view, events);
     this.follower = new StoreFollower(state, client, events, clockMillis);
@@ -117,33 +119,33 @@
         new GateBalancer(settings.zone(), () -> ThreadLocalRandom.current().nextDouble());
     this.quarantine =
         new RequestQuarantine(
-            new SuspectLedger(MARKS_TO_HOLD), this::triesAgain, events, clockMillis);
+            new SuspectLedger(MARKS_TO_HOLD), this::isElectedToRetry, events, clockMillis);
     this.peers =
         new PeerExchange(
-            settings, state::view, this::contact, balancer, quarantine, events, clockMillis);
+            settings, state::view, this::storeContact, balancer, quarantine, events, clockMillis);
     LocalBackendSpeed speed = new LocalBackendSpeed(documents::statement, events, clockMillis);
-    this.backend = new LocalBackend(settings, state::view, this::attests, speed, clockMillis);
+    this.backend = new LocalBackend(settings, state::view, this::isAttested, speed, clockMillis);
     this.proxy =
         new MeshProxy(
             settings, state::view, balancer, peers, backend, events, metrics, clockMillis);
     this.attester =
         new LivenessAttester(
-            settings, state::view, this::contact, proxy.backendPool(), events, clockMillis);
+            settings, state::view, this::storeContact, proxy.backendPool(), events, clockMillis);
   }
 
   /** Contact with the store: this node's own, or where it makes no calls, that of its zone. */
-  private StoreContact contact() {
-    StoreContact own = follower.contact();
-    return follower.isReading() ? own : peers.zoneContact().orElse(own);
+  private StoreContact storeContact() {
+    StoreContact ownContact = follower.contact();
+    return follower.isReading() ? ownContact : peers.zoneStoreContact().orElse(ownContact);
   }
 
-  private boolean attests(String instance) {
-    return attester.attests(instance);
+  private boolean isAttested(String instance) {
+    return attester.isAttested(instance);
   }
 
   /** Of the nodes in reach, one may try a request that is held. */
-  private boolean triesAgain(RequestFingerprint request) {
-    return peers.isFirstFor(request.text());
+  private boolean isElectedToRetry(RequestFingerprint request) {
+    return peers.isResponsibleFor(request.text());
   }
 
   private static Thread timerThread(Runnable task) {
@@ -161,11 +163,11 @@
     lastTickMillis = clockMillis.getAsLong();
     StoreReadPolicy policy =
         new StoreReadPolicy(settings, state, follower, puller, peers, attester, clockMillis);
-    follower.onlyIf(policy::decide);
-    follower.onChange(this::announce);
+    follower.setReadPolicy(policy::decide);
+    follower.onChange(this::scheduleAnnouncement);
     follower.start();
     proxy.start();
-    proxy.listen(settings.ready(), new StatusFilter(this::status));
+    proxy.listen(settings.ready(), new StatusFilter(this::readinessPage));
     stateServers.add(StateServer.open(settings.exchange(), this::transferFor));
     if (settings.control().isPresent()) {
       stateServers.add(StateServer.open(settings.control().get(), this::transferFor));
@@ -174,29 +176,29 @@
       PeerAddress address = new PeerAddress(settings.ready().host(), settings.metricsPort());
       proxy.listen(address, new StatusFilter(this::metricsPage));
     }
-    peers.onAhead(puller::ahead);
-    puller.avoid(peers::isSilent);
-    state.onAdopted(this::announceAsReader);
+    peers.onNewerState(puller::onNewerState);
+    puller.excludeSources(peers::isSilent);
+    state.onAdopted(this::announceIfReading);
     peers.start();
     puller.start();
     timer.scheduleWithFixedDelay(this::tick, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
     // After the first ticks: a start serves nobody until it listens and holds a state.
-    timer.schedule(() -> guarded(this::tellBudget), SECOND_MILLIS, TimeUnit.MILLISECONDS);
+    timer.schedule(() -> runGuarded(this::logChangeBudget), SECOND_MILLIS, TimeUnit.MILLISECONDS);
     timer.schedule(warmUp::start, SECOND_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  private void tellBudget() {
+  private void logChangeBudget() {
     events.changeBudget(ChangeBudget.longest(), settings.changeBoundMillis());
   }
 
   private void tick() {
     ticks++;
-    guarded(noticePause);
-    guarded(keepDeadlines);
-    guarded(shareSuspects);
-    everyFew(TICKS_PER_SWEEP, sweep);
-    everyFew(TICKS_PER_ROUND, tellPeers);
-    everyFew(TICKS_PER_SECOND, second);
+    runGuarded(detectPause);
+    runGuarded(enforceDeadlines);
+    runGuarded(shareSuspects);
+    runEveryTicks(TICKS_PER_SWEEP, sweep);
+    runEveryTicks(TICKS_PER_REPORT_ROUND, reportToPeers);
+    runEveryTicks(TICKS_PER_SECOND, runEverySecond);
   }
 
   /**
@@ -204,29 +206,29 @@
    * forgotten them: what is sent on one may be lost, and must not be sent again if it cannot
    * repeat.
    */
-  private void noticePause() {
+  private void detectPause() {
     long now = clockMillis.getAsLong();
-    long gap = now - lastTickMillis;
+    long gapMillis = now - lastTickMillis;
     lastTickMillis = now;
-    isTickLate = gap >= LATE_TICK_MILLIS;
-    if (gap >= PAUSE_MILLIS) {
-      events.paused(gap);
+    isTickLate = gapMillis >= LATE_TICK_MILLIS;
+    if (gapMillis >= PROCESS_PAUSE_MILLIS) {
+      events.paused(gapMillis);
       proxy.closeIdleOrigins();
     }
   }
 
-  private void keepDeadlines() {
+  private void enforceDeadlines() {
     proxy.keepDeadlines(isTickLate);
   }
 
-  private void everyFew(int count, Runnable task) {
-    if (ticks % count == 0) {
-      guarded(task);
+  private void runEveryTicks(int tickCount, Runnable task) {
+    if (ticks % tickCount == 0) {
+      runGuarded(task);
     }
   }
 
   /** A task that throws would not be run again. */
-  private void guarded(Runnable task) {
+  private void runGuarded(Runnable task) {
     try {
       task.run();
     } catch (RuntimeException fault) {
@@ -235,7 +237,7 @@
   }
 
   private void sweep() {
-    state.settle();
+    state.applyIfDue();
     proxy.sweep(isTickLate);
     if (backend.refresh()) {
       proxy.gate().gate().resize(backend.slots());
@@ -247,11 +249,11 @@
 
   /** What the back end beside this node ended under is news for all. */
   private void shareSuspects() {
-    proxy.gate().lookForCrash().ifPresent(attester::ended);
-    peers.tellSuspects();
+    proxy.gate().lookForCrash().ifPresent(attester::onBackendEnded);
+    peers.sendSuspects();
   }
 
-  private void second() {
+  private void runEverySecond() {
     events.reportDropped();
     quarantine.forget();
     proxy.closeIdle();
@@ -260,27 +262,28 @@
     }
   }
 
-  private void tellPeers() {
+  private void reportToPeers() {
     attester.tick();
     peers.tick(report());
   }
 
   /** The store has changed: the zone hears of it at once, whose nodes take it from here. */
-  private void announce() {
-    if (announced.compareAndSet(false, true)) {
-      timer.schedule(() -> guarded(this::tellZone), ANNOUNCE_MILLIS, TimeUnit.MILLISECONDS);
+  private void scheduleAnnouncement() {
+    if (isAnnouncementScheduled.compareAndSet(false, true)) {
+      timer.schedule(
+          () -> runGuarded(this::announceNow), ANNOUNCE_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
   /** Its zone hears from a reader: also of what that one was told of by another zone. */
-  private void announceAsReader() {
+  private void announceIfReading() {
     if (follower.isReading()) {
-      announce();
+      scheduleAnnouncement();
     }
   }
 
-  private void tellZone() {
-    announced.set(false);
+  private void announceNow() {
+    isAnnouncementScheduled.set(false);
     peers.announce(report());
   }
 
@@ -288,37 +291,37 @@
     MeshView view = state.view();
     return new PeerReport(
         proxy.gate().load(),
-        backendLeaving,
+        isBackendDraining,
         view.version(),
-        view.held(),
-        follower.reported(),
+        view.heldPosition(),
+        follower.reportedContact(),
         quarantine.digest(),
-        isListed(view) ? Optional.empty() : Optional.of(settings.zone()),
-        backendLeaving ? Optional.empty() : attester.attested());
+        isListedInStore(view) ? Optional.empty() : Optional.of(settings.zone()),
+        isBackendDraining ? Optional.empty() : attester.attestedEntry());
   }
 
-  private boolean isListed(MeshView view) {
+  private boolean isListedInStore(MeshView view) {
     return !view.backends().atHost(settings.exchange().host()).isEmpty();
   }
 
   private byte[] transferFor(TransferRequest request) {
-    return encodedChanges.of(state.transferFor(request));
+    return encodedChanges.encode(state.transferFor(request));
   }
 
   private StatusFilter.Answer metricsPage(String path) {
     return switch (path) {
       case METRICS_PATH ->
           new StatusFilter.Answer(
-              OK, metrics.page(() -> timer.execute(() -> guarded(this::beginMetrics))));
+              OK, metrics.page(() -> timer.execute(() -> runGuarded(this::startMetrics))));
       case QUARANTINE_PATH -> new StatusFilter.Answer(OK, quarantine.page());
       default -> new StatusFilter.Answer(NOT_FOUND, "");
     };
   }
 
-  private void beginMetrics() {
-    Map<String, Supplier<Number>> all = new HashMap<>(gauges());
-    all.putAll(MemoryGauges.all());
-    metrics.begin(all);
+  private void startMetrics() {
+    Map<String, Supplier<Number>> allGauges = new HashMap<>(gauges());
+    allGauges.putAll(MemoryGauges.all());
+    metrics.begin(allGauges);
   }
 
   private Map<String, Supplier<Number>> gauges() {
@@ -327,11 +330,11 @@
         Map.entry("quarantine.held", quarantine::held),
         Map.entry("configuration.version", () -> state.view().version()),
         Map.entry("store.revision", () -> state.view().position().revision()),
-        Map.entry("configuration.shown.version", () -> state.shownVersion()),
+        Map.entry("configuration.shown.version", () -> state.storeVersion()),
         Map.entry("store.era", () -> state.view().position().era()),
         Map.entry("store.heard.age.seconds", this::storeAgeSeconds),
         Map.entry("peers.known", peers::nodes),
-        Map.entry("peers.silent", peers::silentNodes),
+        Map.entry("peers.silent", peers::silentNodeCount),
         Map.entry("gate.running", () -> proxy.gate().load().running()),
         Map.entry("gate.queued", () -> proxy.gate().load().queued()),
         Map.entry("gate.slots", () -> proxy.gate().load().slots()),
@@ -348,12 +351,12 @@
     return heardAt < 0 ? -1 : (clockMillis.getAsLong() - heardAt) / (double) SECOND_MILLIS;
   }
 
-  private StatusFilter.Answer status(String path) {
+  private StatusFilter.Answer readinessPage(String path) {
     if (!path.equals(readyPath)) {
       return new StatusFilter.Answer(NOT_FOUND, "");
     }
-    boolean ready = state.view().isComplete() && !leaving;
-    return new StatusFilter.Answer(ready ? OK : UNAVAILABLE, ready ? "ready" : "not ready");
+    boolean isReady = state.view().isComplete() && !isStopping;
+    return new StatusFilter.Answer(isReady ? OK : UNAVAILABLE, isReady ? "ready" : "not ready");
   }
 
   /**
@@ -363,13 +366,13 @@
   public void stop() throws InterruptedException {
     // Whoever sees that this node is not ready gets no connection that it may keep from it.
     proxy.leave();
-    leaving = true;
-    new PlannedStop(proxy, backend, this::tellPeersThatBackendLeaves, events, clockMillis)
+    isStopping = true;
+    new PlannedStop(proxy, backend, this::reportBackendDraining, events, clockMillis)
         .run(settings.graceMillis());
   }
 
-  private void tellPeersThatBackendLeaves() {
-    backendLeaving = true;
+  private void reportBackendDraining() {
+    isBackendDraining = true;
     peers.tick(report());
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshState.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshState.java
@@ -36,15 +36,15 @@
   private final MeshEvents events;
 
   /** The items that are back ends' entries; empty where one names none. */
-  private final Map<StoreItem, Optional<BackendEntry>> parsed = new HashMap<>();
+  private final Map<StoreItem, Optional<BackendEntry>> parsedEntries = new HashMap<>();
 
   private final BackendListing listing = new BackendListing();
   private final LongSupplier clockMillis;
 
   /** The configuration's item that the store shows; null before the first. */
-  private StoreItem shownConfiguration;
+  private StoreItem storeConfigurationItem;
 
-  private volatile long shownVersion = -1;
+  private volatile long storeVersion = -1;
 
   /** The newest configuration that was accepted, which holds whatever the store shows; or null. */
   private RoutingConfiguration accepted;
@@ -52,7 +52,7 @@
   /** The item that it was read from; null before the first. */
   private StoreItem acceptedItem;
 
-  private volatile MeshView view = MeshView.NOTHING;
+  private volatile MeshView view = MeshView.EMPTY;
   private volatile Runnable adoptedListener = () -> {};
 
   /**
@@ -82,11 +82,11 @@
   /** What became of a transfer. */
   enum Adoption {
     /** This node holds something newer now. */
-    TAKEN,
+    ADOPTED,
     /** It led no further than this node was. */
     NOT_NEWER,
     /** A patch did not fit what this node holds: of the store's items nothing was taken. */
-    UNFIT
+    PATCH_MISMATCH
   }
 
   /** Is told when items of another node are held, before they are in force. */
@@ -97,32 +97,32 @@
   /** Takes what of another node's state leads further than this node is. */
   Adoption adopt(StateTransfer transfer, String peer) {
     final MeshView before = view;
-    boolean learned;
+    boolean factsChanged;
     StoreWatcher.Adoption adoption;
     synchronized (this) {
-      settleBefore(transfer.changes().at().era());
-      learned = learn(transfer.facts(), peer);
+      applyBeforeNewEra(transfer.changes().at().era());
+      factsChanged = mergeFacts(transfer.facts(), peer);
       adoption = watcher.adopt(transfer.changes());
-      hold(adoption == StoreWatcher.Adoption.CHANGED);
+      updateHeldPosition(adoption == StoreWatcher.Adoption.CHANGED);
     }
     if (adoption == StoreWatcher.Adoption.CHANGED) {
       adoptedListener.run();
     }
-    if (learned || adoption == StoreWatcher.Adoption.CHANGED) {
+    if (factsChanged || adoption == StoreWatcher.Adoption.CHANGED) {
       refresh(peer);
     }
     if (adoption == StoreWatcher.Adoption.UNFIT) {
-      return Adoption.UNFIT;
+      return Adoption.PATCH_MISMATCH;
     }
     MeshView now = view;
     boolean isNewer = now.version() > before.version() || now.position().isAfter(before.position());
-    return isNewer ? Adoption.TAKEN : Adoption.NOT_NEWER;
+    return isNewer ? Adoption.ADOPTED : Adoption.NOT_NEWER;
   }
 
   /** What an older copy of the store does not show has to be known before it is taken. */
-  private void settleBefore(long newEra) {
-    if (!view.isSettled() && newEra != watcher.at().era()) {
-      putInForce("a new era");
+  private void applyBeforeNewEra(long newEra) {
+    if (!view.isFullyApplied() && newEra != watcher.at().era()) {
+      applyItems("a new era");
     }
   }
 
@@ -131,9 +131,9 @@
    *
    * @param isChanged whether its items have changed, which are put in force next
    */
-  private void hold(boolean isChanged) {
-    boolean isInForce = !isChanged && view.isSettled();
-    view = isInForce ? view.at(watcher.at()) : view.holding(watcher.at());
+  private void updateHeldPosition(boolean isChanged) {
+    boolean isApplied = !isChanged && view.isFullyApplied();
+    view = isApplied ? view.withPosition(watcher.at()) : view.withHeldPosition(watcher.at());
   }
 
   /**
@@ -141,26 +141,26 @@
    *
    * @return whether it led further; {@link #refresh} is to follow then
    */
-  synchronized boolean answered(long nowMillis, StoreAnswer answer) {
-    answer.era().ifPresent(this::settleBefore);
+  synchronized boolean handleResponse(long nowMillis, StoreAnswer answer) {
+    answer.era().ifPresent(this::applyBeforeNewEra);
     StorePosition before = watcher.at();
     boolean isChanged = watcher.answered(nowMillis, answer);
-    boolean isFurther = isChanged || !watcher.at().equals(before);
-    if (isFurther) {
-      hold(true);
+    boolean hasAdvanced = isChanged || !watcher.at().equals(before);
+    if (hasAdvanced) {
+      updateHeldPosition(true);
     }
-    return isFurther;
+    return hasAdvanced;
   }
 
-  private boolean learn(StoreFacts facts, String peer) {
-    boolean learned = listing.learn(clockMillis.getAsLong(), facts.departed());
+  private boolean mergeFacts(StoreFacts facts, String peer) {
+    boolean departuresChanged = listing.learn(clockMillis.getAsLong(), facts.departed());
     RoutingConfiguration before = accepted;
-    facts.configuration().ifPresent(item -> take(item, peer));
-    return learned || accepted != before;
+    facts.configuration().ifPresent(item -> acceptIfNewer(item, peer));
+    return departuresChanged || accepted != before;
   }
 
   /** What this node holds, for another one to carry on from. */
-  synchronized StateRequest request() {
+  synchronized StateRequest stateRequest() {
     return watcher.request();
   }
 
@@ -168,10 +168,10 @@
   synchronized StateTransfer transferFor(TransferRequest request) {
     StoreChanges changes = watcher.changesSince(request.state());
     // Items that are not in force yet may be an older copy's.
-    boolean isOfShownEra = watcher.at().era() == view.position().era();
-    boolean isGiven = isShown(acceptedItem) && isOfShownEra;
+    boolean isOfAppliedEra = watcher.at().era() == view.position().era();
+    boolean isIncluded = isInStore(acceptedItem) && isOfAppliedEra;
     boolean needsConfiguration =
-        accepted != null && !isGiven && request.version() < accepted.version();
+        accepted != null && !isIncluded && request.version() < accepted.version();
     StoreFacts facts =
         new StoreFacts(
             needsConfiguration ? Optional.of(acceptedItem) : Optional.empty(),
@@ -180,88 +180,88 @@
   }
 
   /** Version of the configuration that the store shows; -1 before the first. */
-  long shownVersion() {
-    return shownVersion;
+  long storeVersion() {
+    return storeVersion;
   }
 
-  private boolean isShown(StoreItem item) {
-    return item == shownConfiguration;
+  private boolean isInStore(StoreItem item) {
+    return item == storeConfigurationItem;
   }
 
   /** Time alone may change what is believed of an older copy of the store. */
-  synchronized void settle() {
+  synchronized void applyIfDue() {
     if (listing.isDue(clockMillis.getAsLong())) {
-      putInForce("time");
+      applyItems("time");
     }
   }
 
   /** The watcher's items have changed. */
   void refresh(String source) {
     // Read before the lock is taken, which the timer and other nodes' requests for state wait for.
-    shownItem().ifPresent(configurations::read);
-    putInForce(source);
+    configurationItem().ifPresent(configurations::read);
+    applyItems(source);
   }
 
-  private synchronized Optional<StoreItem> shownItem() {
+  private synchronized Optional<StoreItem> configurationItem() {
     return watcher.items().stream()
         .filter(item -> documents.isConfiguration(item.key()))
         .findFirst();
   }
 
-  private synchronized void putInForce(String source) {
+  private synchronized void applyItems(String source) {
     List<StoreItem> items = watcher.items();
     RoutingTable table = view.table();
     List<Listed> entries = new ArrayList<>();
     Set<String> evacuated = new HashSet<>();
     for (StoreItem item : items) {
       if (documents.isConfiguration(item.key())) {
-        show(item, source);
+        handleStoreConfiguration(item, source);
       } else if (documents.isBackend(item.key())) {
-        entry(item).ifPresent(entry -> entries.add(new Listed(entry, item.revision())));
+        backendEntry(item).ifPresent(entry -> entries.add(new Listed(entry, item.revision())));
       } else {
         documents.evacuatedZone(item.key()).ifPresent(evacuated::add);
       }
     }
-    parsed.keySet().retainAll(new HashSet<>(items));
+    parsedEntries.keySet().retainAll(new HashSet<>(items));
     if (accepted != view.configuration()) {
-      table = configurations.tableOf(accepted);
+      table = configurations.routingTable(accepted);
     }
     BackendDirectory backends = view.backends();
-    Believed believed = believe(new Shown(watcher.at(), entries, evacuated), source);
-    if (!backends.holds(believed.entries(), believed.evacuatedZones())) {
+    Believed resolved = resolveBackends(new Shown(watcher.at(), entries, evacuated), source);
+    if (!backends.isBuiltFrom(resolved.entries(), resolved.evacuatedZones())) {
       // Else what others made of the directory, such as who reports to whom, stays as it is.
-      backends = new BackendDirectory(believed.entries(), believed.evacuatedZones());
+      backends = new BackendDirectory(resolved.entries(), resolved.evacuatedZones());
       events.backendsChanged(view.backends(), backends, watcher.at(), source);
     }
     view = new MeshView(accepted, table, backends, watcher.at(), watcher.at());
   }
 
-  private Believed believe(Shown shown, String source) {
+  private Believed resolveBackends(Shown storeContent, String source) {
     int keptBefore = listing.keptEntries();
-    Believed believed = listing.update(clockMillis.getAsLong(), shown, this::isService);
+    Believed resolved = listing.update(clockMillis.getAsLong(), storeContent, this::isKnownService);
     StorePosition before = view.position();
-    if (before.isKnown() && before.era() != shown.at().era()) {
-      events.storeEraBegan(before, shown.at(), source, listing.keptEntries());
+    if (before.isKnown() && before.era() != storeContent.at().era()) {
+      events.storeEraBegan(before, storeContent.at(), source, listing.keptEntries());
     } else if (keptBefore > 0 && listing.keptEntries() == 0) {
-      events.storeEraSettled(shown.at(), keptBefore);
+      events.storeEraSettled(storeContent.at(), keptBefore);
     }
-    return believed;
+    return resolved;
   }
 
-  private boolean isService(String name) {
+  private boolean isKnownService(String name) {
     return accepted == null || accepted.services().containsKey(name);
   }
 
   /** The store shows a configuration: it is in force unless a newer one was accepted before. */
-  private void show(StoreItem item, String source) {
-    if (item.equals(shownConfiguration)) {
+  private void handleStoreConfiguration(StoreItem item, String source) {
+    if (item.equals(storeConfigurationItem)) {
       return;
     }
-    shownConfiguration = item;
-    OptionalLong version = take(item, source);
-    shownVersion = version.orElse(shownVersion);
+    storeConfigurationItem = item;
+    OptionalLong version = acceptIfNewer(item, source);
+    storeVersion = version.orElse(storeVersion);
     if (version.isPresent() && version.getAsLong() < accepted.version()) {
-      events.configurationOlder(accepted.version(), shownVersion, item.revision(), source);
+      events.configurationOlder(accepted.version(), storeVersion, item.revision(), source);
     }
   }
 
@@ -270,13 +270,13 @@
    *
    * @return its version; empty if it cannot be read
    */
-  private OptionalLong take(StoreItem item, String source) {
-    Either<String, RoutingConfiguration> read = configurations.read(item);
-    if (read.isLeft()) {
-      events.configurationRefused(item.revision(), read.getLeft(), source);
+  private OptionalLong acceptIfNewer(StoreItem item, String source) {
+    Either<String, RoutingConfiguration> parsed = configurations.read(item);
+    if (parsed.isLeft()) {
+      events.configurationRefused(item.revision(), parsed.getLeft(), source);
       return OptionalLong.empty();
     }
-    RoutingConfiguration configuration = read.get();
+    RoutingConfiguration configuration = parsed.get();
     if (accepted == null || configuration.version() > accepted.version()) {
       accepted = configuration;
       acceptedItem = item;
@@ -285,15 +285,15 @@
     return OptionalLong.of(configuration.version());
   }
 
-  private Optional<BackendEntry> entry(StoreItem item) {
-    return parsed.computeIfAbsent(item, this::read);
+  private Optional<BackendEntry> backendEntry(StoreItem item) {
+    return parsedEntries.computeIfAbsent(item, this::parseBackend);
   }
 
-  private Optional<BackendEntry> read(StoreItem item) {
-    Either<String, BackendEntry> read = documents.backend(item);
-    if (read.isLeft()) {
-      events.backendRefused(item.key(), item.revision(), read.getLeft());
+  private Optional<BackendEntry> parseBackend(StoreItem item) {
+    Either<String, BackendEntry> parsed = documents.backend(item);
+    if (parsed.isLeft()) {
+      events.backendRefused(item.key(), item.revision(), parsed.getLeft());
     }
-    return read.toJavaOptional();
+    return parsed.toJavaOptional();
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshView.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshView.java
@@ -11,15 +11,15 @@
  * @param table its routes, or null before the first
  * @param backends the back ends
  * @param position the store's position of the back ends
- * @param held the newest position whose items this node holds; they may not be in force yet
+ * @param heldPosition the newest position whose items this node holds; they may not be in force yet
  */
 record MeshView(
     RoutingConfiguration configuration,
     RoutingTable table,
     BackendDirectory backends,
     StorePosition position,
-    StorePosition held) {
-  static final MeshView NOTHING =
+    StorePosition heldPosition) {
+  static final MeshView EMPTY =
       new MeshView(
           null, null, BackendDirectory.EMPTY, StorePosition.NOTHING, StorePosition.NOTHING);
 
@@ -29,24 +29,25 @@
   }
 
   /** The same at a newer position. */
-  MeshView at(StorePosition newPosition) {
+  MeshView withPosition(StorePosition newPosition) {
     return new MeshView(configuration, table, backends, newPosition, newPosition);
   }
 
   /** The same with newer items at hand. */
-  MeshView holding(StorePosition newHeld) {
-    return new MeshView(configuration, table, backends, position, newHeld);
+  MeshView withHeldPosition(StorePosition newHeldPosition) {
+    return new MeshView(configuration, table, backends, position, newHeldPosition);
   }
 
   /** Whether all that is held is in force. */
-  boolean isSettled() {
-    return held.equals(position);
+  boolean isFullyApplied() {
+    return heldPosition.equals(position);
   }
 
   /** Whether a node that states a version and a position holds something that this one lacks. */
-  boolean isBehind(long statedVersion, StorePosition stated) {
+  boolean isBehind(long advertisedVersion, StorePosition advertisedPosition) {
     // Until it is in force, the version of what is held is not known.
-    return stated.isAfter(held) || isSettled() && statedVersion > version();
+    return advertisedPosition.isAfter(heldPosition)
+        || isFullyApplied() && advertisedVersion > version();
   }
 
   /** Version of the configuration; -1 before the first. */
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerDatagram.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerDatagram.java
@@ -36,15 +36,16 @@
    * @param write encodes some of the entries
    * @param into takes the datagrams in the order of the entries
    */
-  static <T> void split(List<T> entries, Function<List<T>, byte[]> write, List<byte[]> into) {
-    byte[] bytes = write.apply(entries);
+  static <T> void split(
+      List<T> entries, Function<List<T>, byte[]> encoder, List<byte[]> datagrams) {
+    byte[] bytes = encoder.apply(entries);
     int count = entries.size();
     if (count == 1 || bytes.length <= MAX_BYTES) {
-      into.add(bytes);
+      datagrams.add(bytes);
       return;
     }
-    split(entries.subList(0, count / 2), write, into);
-    split(entries.subList(count / 2, count), write, into);
+    split(entries.subList(0, count / 2), encoder, datagrams);
+    split(entries.subList(count / 2, count), encoder, datagrams);
   }
 
   /**
@@ -52,8 +53,8 @@
    *
    * @throws IOException that names the problem
    */
-  static void require(boolean wellFormed, String problem) throws IOException {
-    if (!wellFormed) {
+  static void require(boolean isWellFormed, String problem) throws IOException {
+    if (!isWellFormed) {
       throw new IOException("message between nodes " + problem);
     }
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerExchange.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerExchange.java
@@ -25,12 +25,12 @@
  */
 final class PeerExchange implements AutoCloseable {
   /** Rounds in which a leaving node tells all others itself, so that nobody waits for digests. */
-  private static final int LEAVING_ROUNDS = 2;
+  private static final int DRAINING_ROUNDS = 2;
 
   /** Hears of a node that holds something newer. */
-  interface AheadListener {
+  interface NewerStateListener {
     /** A node, of the own zone or not, states a version and a position. */
-    void ahead(String host, boolean near, long version, StorePosition position);
+    void onNewerState(String host, boolean isNear, long version, StorePosition position);
   }
 
   private final Supplier<MeshView> view;
@@ -38,23 +38,23 @@
   private final GateBalancer balancer;
   private final LongSupplier clockMillis;
   private final String self;
-  private final PeerWatch watch;
+  private final PeerFailureDetector failureDetector;
   private final ZoneReaders readers;
   private final ReportSchedule schedule;
   private final PeerReports reports = new PeerReports();
   private final AttestedBackends attested = new AttestedBackends();
-  private final Set<String> leaving = ConcurrentHashMap.newKeySet();
+  private final Set<String> drainingHosts = ConcurrentHashMap.newKeySet();
 
   private final RequestQuarantine quarantine;
   private final SuspectExchange suspects;
   private final ReportSocket socket;
-  private volatile AheadListener aheadListener = (host, near, version, position) -> {};
-  private int leavingRounds;
+  private volatile NewerStateListener newerStateListener = (host, near, version, position) -> {};
+  private int drainingRounds;
 
   /** Tells the reports of this process from those of the one before it. */
-  private final int run = ThreadLocalRandom.current().nextInt();
+  private final int incarnation = ThreadLocalRandom.current().nextInt();
 
-  private final AtomicInteger reportCount = new AtomicInteger();
+  private final AtomicInteger reportSequence = new AtomicInteger();
 
   PeerExchange(
       MeshSettings settings,
@@ -70,23 +70,24 @@
     this.quarantine = quarantine;
     this.clockMillis = clockMillis;
     this.self = settings.exchange().host();
-    this.watch = new PeerWatch(settings, view, events);
+    this.failureDetector = new PeerFailureDetector(settings, view, events);
     this.readers =
         new ZoneReaders(
             self,
-            watch::peers,
-            () -> watch.silenceTimes().nearMillis(),
+            failureDetector::peers,
+            () -> failureDetector.silenceTimes().nearMillis(),
             reports,
-            leaving,
+            drainingHosts,
             SilenceTimes.ROUND_MILLIS);
     this.schedule = new ReportSchedule(self);
-    this.socket = new ReportSocket(settings.exchange(), this::take, events);
+    this.socket = new ReportSocket(settings.exchange(), this::handle, events);
     this.suspects =
-        new SuspectExchange(quarantine, () -> watch.peers().others(), socket::send, clockMillis);
+        new SuspectExchange(
+            quarantine, () -> failureDetector.peers().others(), socket::send, clockMillis);
   }
 
-  void onAhead(AheadListener listener) {
-    aheadListener = listener;
+  void onNewerState(NewerStateListener listener) {
+    newerStateListener = listener;
   }
 
   /** Listens for reports. */
@@ -100,99 +101,102 @@
   }
 
   /** Tells the other nodes at once under which requests back ends ended. */
-  void tellSuspects() {
+  void sendSuspects() {
     suspects.tick();
   }
 
   /** One round: looks who has been silent, and sends reports. */
   void tick(PeerReport report) {
     long now = clockMillis.getAsLong();
-    watch.tick(now);
-    PeerView current = watch.peers();
-    reports.forget(now);
-    attested.forget(now);
-    attested.heard(now, self, report.attested());
+    failureDetector.tick(now);
+    PeerView current = failureDetector.peers();
+    reports.removeExpired(now);
+    attested.removeExpired(now);
+    attested.recordAttestation(now, self, report.attested());
     ReportSchedule.Round round;
     synchronized (schedule) {
-      Set<String> quiet = watch.quiet(now);
-      round = schedule.next(current.near(), current.farByZone(), current.ineligible(), quiet);
+      Set<String> quietPeers = failureDetector.quietPeers(now);
+      round = schedule.next(current.near(), current.farByZone(), current.ineligible(), quietPeers);
     }
-    boolean toAll = report.leaving() && leavingRounds++ < LEAVING_ROUNDS;
-    PeerMessage.Entry own = stamped(report);
+    boolean sendsToAll = report.isDraining() && drainingRounds++ < DRAINING_ROUNDS;
+    PeerMessage.Entry ownEntry = ownEntry(report);
     socket.send(
-        PeerMessage.Kind.REPORTS, List.of(own), toAll ? current.others() : round.reportTo());
+        PeerMessage.Kind.REPORTS,
+        List.of(ownEntry),
+        sendsToAll ? current.others() : round.reportTo());
     if (!round.gossipTo().isEmpty() || !round.digestTo().isEmpty()) {
-      List<PeerMessage.Entry> zone = reportsOfZone(now, own);
-      socket.send(PeerMessage.Kind.REPORTS, zone, round.gossipTo());
-      socket.send(PeerMessage.Kind.DIGEST, zone, round.digestTo());
+      List<PeerMessage.Entry> zoneEntries = zoneEntries(now, ownEntry);
+      socket.send(PeerMessage.Kind.REPORTS, zoneEntries, round.gossipTo());
+      socket.send(PeerMessage.Kind.DIGEST, zoneEntries, round.digestTo());
     }
   }
 
   /** Tells the own zone at once what this node holds now, and by a relay each other zone. */
   void announce(PeerReport report) {
-    PeerView current = watch.peers();
+    PeerView current = failureDetector.peers();
     List<String> relays;
     synchronized (schedule) {
       relays = schedule.relays(current.farByZone(), current.silent());
     }
-    List<PeerMessage.Entry> own = List.of(stamped(report));
-    socket.send(PeerMessage.Kind.REPORTS, own, current.near());
-    socket.send(PeerMessage.Kind.DIGEST, own, relays);
+    List<PeerMessage.Entry> ownEntry = List.of(ownEntry(report));
+    socket.send(PeerMessage.Kind.REPORTS, ownEntry, current.near());
+    socket.send(PeerMessage.Kind.DIGEST, ownEntry, relays);
   }
 
-  private PeerMessage.Entry stamped(PeerReport report) {
-    PeerMessage.Stamp stamp = new PeerMessage.Stamp(run, reportCount.incrementAndGet());
+  private PeerMessage.Entry ownEntry(PeerReport report) {
+    PeerMessage.Stamp stamp = new PeerMessage.Stamp(incarnation, reportSequence.incrementAndGet());
     return new PeerMessage.Entry(self, 0, stamp, EncodedReport.of(report));
   }
 
   /** This node's report and the latest that it holds of the others of its zone in reach. */
-  private List<PeerMessage.Entry> reportsOfZone(long nowMillis, PeerMessage.Entry own) {
+  private List<PeerMessage.Entry> zoneEntries(long nowMillis, PeerMessage.Entry own) {
     List<PeerMessage.Entry> entries = new ArrayList<>();
     entries.add(own);
     reports
-        .of(watch.peers().reachableNear())
-        .forEach((host, heard) -> entries.add(entry(host, heard, nowMillis)));
+        .ofHosts(failureDetector.peers().reachableNear())
+        .forEach((host, received) -> entries.add(entry(host, received, nowMillis)));
     return entries;
   }
 
-  private static PeerMessage.Entry entry(String host, PeerReports.Heard heard, long nowMillis) {
-    long ageMillis = nowMillis - heard.atMillis();
-    return new PeerMessage.Entry(host, ageMillis, heard.stamp(), heard.encoded());
+  private static PeerMessage.Entry entry(
+      String host, PeerReports.ReceivedReport received, long nowMillis) {
+    long ageMillis = nowMillis - received.madeAtMillis();
+    return new PeerMessage.Entry(host, ageMillis, received.stamp(), received.encoded());
   }
 
-  private void take(PeerDatagram message) throws IOException {
-    if (message instanceof SuspectMessage suspected) {
-      quarantine.take(suspected);
-    } else if (message instanceof PeerMessage reported) {
-      take(reported);
+  private void handle(PeerDatagram message) throws IOException {
+    if (message instanceof SuspectMessage suspectMessage) {
+      quarantine.take(suspectMessage);
+    } else if (message instanceof PeerMessage peerMessage) {
+      handle(peerMessage);
     }
   }
 
-  private void take(PeerMessage message) throws IOException {
+  private void handle(PeerMessage message) throws IOException {
     if (message.kind() == PeerMessage.Kind.DIGEST) {
-      socket.send(PeerMessage.Kind.REPORTS, message.entries(), watch.peers().near());
+      socket.send(PeerMessage.Kind.REPORTS, message.entries(), failureDetector.peers().near());
     }
     long now = clockMillis.getAsLong();
     for (PeerMessage.Entry entry : message.entries()) {
       if (!entry.host().equals(self)) {
         long atMillis = now - entry.ageMillis();
-        Optional<PeerReport> news = reports.take(entry, atMillis);
-        if (news.isPresent()) {
-          take(entry.host(), news.get(), atMillis);
+        Optional<PeerReport> newReport = reports.accept(entry, atMillis);
+        if (newReport.isPresent()) {
+          handle(entry.host(), newReport.get(), atMillis);
         }
       }
     }
   }
 
-  private void take(String host, PeerReport report, long atMillis) {
-    watch.heard(atMillis, host, report.statedZone());
-    if (report.leaving()) {
-      leaving.add(host);
+  private void handle(String host, PeerReport report, long atMillis) {
+    failureDetector.recordReport(atMillis, host, report.statedZone());
+    if (report.isDraining()) {
+      drainingHosts.add(host);
     } else {
-      leaving.remove(host);
+      drainingHosts.remove(host);
     }
-    attested.heard(atMillis, host, report.attested());
-    suspects.heard(host, report.suspects());
+    attested.recordAttestation(atMillis, host, report.attested());
+    suspects.heard(host, report.suspectsDigest());
     MeshView current = view.get();
     synchronized (balancer) {
       if (report.attested().isPresent()) {
@@ -203,7 +207,8 @@
       }
     }
     if (current.isBehind(report.version(), report.position())) {
-      aheadListener.ahead(host, watch.isNear(host), report.version(), report.position());
+      newerStateListener.onNewerState(
+          host, failureDetector.isNear(host), report.version(), report.position());
     }
   }
 
@@ -212,8 +217,8 @@
    *
    * @param refused whether the store did not answer this node lately
    */
-  ReaderElection.Decision electReader(boolean refused) {
-    return readers.decide(clockMillis.getAsLong(), refused);
+  ReaderElection.Decision electReader(boolean isRefused) {
+    return readers.decide(clockMillis.getAsLong(), isRefused);
   }
 
   /** Whether enough others call the store promptly, see {@link ZoneReaders#isStandby}. */
@@ -222,25 +227,25 @@
   }
 
   /** The contact with the store that nodes of the own zone state; empty if none calls it. */
-  Optional<StoreContact> zoneContact() {
-    return readers.contact();
+  Optional<StoreContact> zoneStoreContact() {
+    return readers.storeContact();
   }
 
   /** The back ends of a service that take new work. */
   List<BackendEntry> readyBackends(String service) {
-    return attested.ready(clockMillis.getAsLong(), view.get().backends(), contact, service);
+    return attested.readyBackends(clockMillis.getAsLong(), view.get().backends(), contact, service);
   }
 
   /** Those of the back ends whose node is out of reach or takes no new work. */
   Set<String> silentBackends(List<BackendEntry> candidates) {
-    Set<String> hosts = watch.peers().silent();
-    if (hosts.isEmpty() && leaving.isEmpty()) {
+    Set<String> silentHosts = failureDetector.peers().silent();
+    if (silentHosts.isEmpty() && drainingHosts.isEmpty()) {
       return Set.of();
     }
     Set<String> ids = new HashSet<>();
     for (BackendEntry candidate : candidates) {
       String host = candidate.address().host();
-      if (hosts.contains(host) || leaving.contains(host)) {
+      if (silentHosts.contains(host) || drainingHosts.contains(host)) {
         ids.add(candidate.id());
       }
     }
@@ -249,22 +254,22 @@
 
   /** Whether a node has been silent for too long. */
   boolean isSilent(String host) {
-    return watch.peers().silent().contains(host);
+    return failureDetector.peers().silent().contains(host);
   }
 
   /** Nodes that have been silent for too long. */
-  int silentNodes() {
-    return watch.peers().silent().size();
+  int silentNodeCount() {
+    return failureDetector.peers().silent().size();
   }
 
   /** Whether, of the nodes in reach, this one comes first for a task that one of them does. */
-  boolean isFirstFor(String task) {
-    return watch.isFirstFor(task);
+  boolean isResponsibleFor(String task) {
+    return failureDetector.isResponsibleFor(task);
   }
 
   /** Nodes known, this one included. */
   int nodes() {
-    return watch.peers().others().size() + 1;
+    return failureDetector.peers().others().size() + 1;
   }
 
   @Override
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerWatch.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerFailureDetector.java
@@ -11,31 +11,31 @@
 import java.util.function.Supplier;
 
 /** Which other nodes there are, and which of them have been silent for too long. Thread-safe. */
-final class PeerWatch {
+final class PeerFailureDetector {
   /** How long a node that is not listed counts after its last report, milliseconds. */
-  private static final long UNLISTED_MILLIS = 10_000;
+  private static final long UNLISTED_RETENTION_MILLIS = 10_000;
 
   /** Gap between two rounds from which on this node itself stood still, milliseconds. */
-  private static final long OWN_PAUSE_MILLIS = 600;
+  private static final long PROCESS_PAUSE_MILLIS = 600;
 
   private final String self;
   private final String zone;
   private final Supplier<MeshView> view;
   private final MeshEvents events;
-  private final KnownPeers known;
+  private final KnownPeers knownPeers;
 
   /** Back ends that {@link #known} was made of; guarded by it. */
-  private BackendDirectory listed;
+  private BackendDirectory listedBackends;
 
-  private volatile PeerView peers = PeerView.NOBODY;
+  private volatile PeerView peers = PeerView.EMPTY;
   private volatile SilenceTimes silenceTimes = SilenceTimes.of(1);
 
-  PeerWatch(MeshSettings settings, Supplier<MeshView> view, MeshEvents events) {
+  PeerFailureDetector(MeshSettings settings, Supplier<MeshView> view, MeshEvents events) {
     this.self = settings.exchange().host();
     this.zone = settings.zone();
     this.view = view;
     this.events = events;
-    this.known = new KnownPeers(self, UNLISTED_MILLIS, OWN_PAUSE_MILLIS);
+    this.knownPeers = new KnownPeers(self, UNLISTED_RETENTION_MILLIS, PROCESS_PAUSE_MILLIS);
   }
 
   /** The other nodes, as the last round saw them. */
@@ -51,24 +51,24 @@
   /** One round: looks who has been silent. */
   void tick(long nowMillis) {
     PeerView before = peers;
-    peers = look(nowMillis);
-    note(before.silent(), peers.silent());
+    peers = computeView(nowMillis);
+    logChanges(before.silent(), peers.silent());
   }
 
-  private PeerView look(long nowMillis) {
-    synchronized (known) {
-      known.tick(nowMillis);
+  private PeerView computeView(long nowMillis) {
+    synchronized (knownPeers) {
+      knownPeers.tick(nowMillis);
       BackendDirectory current = view.get().backends();
-      boolean sameBackends = current == listed;
-      if (!sameBackends) {
-        known.replace(nowMillis, listedPeers(current));
-        listed = current;
+      boolean isSameBackends = current == listedBackends;
+      if (!isSameBackends) {
+        knownPeers.replace(nowMillis, listedPeers(current));
+        listedBackends = current;
       }
-      Set<String> others = known.others();
-      Set<String> silent = known.silent(nowMillis);
-      boolean unchanged =
-          sameBackends && others.equals(peers.others()) && silent.equals(peers.silent());
-      return unchanged ? peers : PeerView.of(others, silent, zone, known::zoneOf);
+      Set<String> others = knownPeers.others();
+      Set<String> silent = knownPeers.silent(nowMillis);
+      boolean isUnchanged =
+          isSameBackends && others.equals(peers.others()) && silent.equals(peers.silent());
+      return isUnchanged ? peers : PeerView.of(others, silent, zone, knownPeers::zoneOf);
     }
   }
 
@@ -81,16 +81,16 @@
         SilenceTimes.of((int) zones.values().stream().filter(zone::equals).count());
     silenceTimes = times;
     Map<String, KnownPeers.ListedPeer> listedPeers = new HashMap<>();
-    zones.forEach((host, hostZone) -> listedPeers.put(host, peerIn(hostZone, times)));
+    zones.forEach((host, hostZone) -> listedPeers.put(host, listedPeer(hostZone, times)));
     return listedPeers;
   }
 
-  private KnownPeers.ListedPeer peerIn(String hostZone, SilenceTimes times) {
+  private KnownPeers.ListedPeer listedPeer(String hostZone, SilenceTimes times) {
     boolean isNear = hostZone.equals(zone);
     return new KnownPeers.ListedPeer(hostZone, isNear ? times.nearMillis() : times.farMillis());
   }
 
-  private void note(Set<String> before, Set<String> after) {
+  private void logChanges(Set<String> before, Set<String> after) {
     for (String host : after) {
       if (!before.contains(host)) {
         events.peerSilent(host);
@@ -104,29 +104,29 @@
   }
 
   /** A node was there at a time; where the store does not list it, it may state its zone. */
-  void heard(long atMillis, String host, Optional<String> statedZone) {
-    synchronized (known) {
-      known.heard(atMillis, host);
-      statedZone.ifPresent(stated -> known.place(host, peerIn(stated, silenceTimes)));
+  void recordReport(long atMillis, String host, Optional<String> statedZone) {
+    synchronized (knownPeers) {
+      knownPeers.heard(atMillis, host);
+      statedZone.ifPresent(stated -> knownPeers.place(host, listedPeer(stated, silenceTimes)));
     }
   }
 
   /** Nodes of the own zone through which no report travels any more. */
-  Set<String> quiet(long nowMillis) {
-    synchronized (known) {
-      return known.unheard(peers.near(), nowMillis, silenceTimes.quietMillis());
+  Set<String> quietPeers(long nowMillis) {
+    synchronized (knownPeers) {
+      return knownPeers.unheard(peers.near(), nowMillis, silenceTimes.quietMillis());
     }
   }
 
   /** Whether a node is in the own zone; one whose zone is not known may be. */
   boolean isNear(String host) {
-    synchronized (known) {
-      return known.zoneOf(host).map(zone::equals).orElse(true);
+    synchronized (knownPeers) {
+      return knownPeers.zoneOf(host).map(zone::equals).orElse(true);
     }
   }
 
   /** Whether, of the nodes in reach, this one comes first for a task that one of them does. */
-  boolean isFirstFor(String task) {
+  boolean isResponsibleFor(String task) {
     PeerView current = peers;
     Set<String> reachable = new HashSet<>(current.others());
     reachable.removeAll(current.silent());
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerMessage.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerMessage.java
@@ -36,15 +36,15 @@
   /**
    * Which report of a node it is.
    *
-   * @param run drawn at each start of the node
-   * @param count rises with each report of that run
+   * @param incarnation drawn at each start of the node
+   * @param sequence rises with each report of that run
    */
-  record Stamp(int run, int count) {}
+  record Stamp(int incarnation, int sequence) {}
 
   /** Reports in one datagram; one without an attested back end takes 45 to 50 bytes. */
   static final int MAX_ENTRIES = 28;
 
-  private static final int INITIAL_BYTES = 96;
+  private static final int INITIAL_BYTES_PER_ENTRY = 96;
   private static final Kind[] KINDS = Kind.values();
 
   /** Datagrams that hold all entries, each short enough to pass whole. */
@@ -53,21 +53,22 @@
     for (int from = 0; from < entries.size(); from += MAX_ENTRIES) {
       int to = Math.min(entries.size(), from + MAX_ENTRIES);
       PeerDatagram.split(
-          entries.subList(from, to), some -> new PeerMessage(kind, some).encode(), datagrams);
+          entries.subList(from, to), part -> new PeerMessage(kind, part).encode(), datagrams);
     }
     return datagrams;
   }
 
   byte[] encode() {
-    ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_BYTES * entries.size());
+    ByteArrayOutputStream bytes =
+        new ByteArrayOutputStream(INITIAL_BYTES_PER_ENTRY * entries.size());
     try (JsonGenerator out = CBOR.createGenerator(bytes)) {
       out.writeStartArray();
       out.writeNumber(kind.ordinal());
       for (Entry entry : entries) {
         out.writeString(entry.host());
         out.writeNumber(entry.ageMillis());
-        out.writeNumber(entry.stamp().run());
-        out.writeNumber(entry.stamp().count());
+        out.writeNumber(entry.stamp().incarnation());
+        out.writeNumber(entry.stamp().sequence());
         entry.report().write(out);
       }
       out.writeEndArray();
@@ -86,26 +87,26 @@
     PeerDatagram.require(kind >= 0 && kind < KINDS.length, "is of an unknown kind");
     List<Entry> entries = new ArrayList<>();
     for (JsonToken token = in.nextToken(); token != JsonToken.END_ARRAY; token = in.nextToken()) {
-      entries.add(entry(token, in));
+      entries.add(readEntry(token, in));
     }
     PeerDatagram.require(!entries.isEmpty(), "is empty");
     return new PeerMessage(KINDS[kind], entries);
   }
 
-  private static Entry entry(JsonToken token, JsonParser in) throws IOException {
+  private static Entry readEntry(JsonToken token, JsonParser in) throws IOException {
     PeerDatagram.require(token == JsonToken.VALUE_STRING, "has no address where one is due");
     String host = in.getText();
     PeerDatagram.require(
         in.nextToken() == JsonToken.VALUE_NUMBER_INT, "has no age where one is due");
-    long age = Math.max(0, in.getLongValue());
+    long ageMillis = Math.max(0, in.getLongValue());
     PeerDatagram.require(
         in.nextToken() == JsonToken.VALUE_NUMBER_INT, "has no run where one is due");
-    int run = in.getIntValue();
+    int incarnation = in.getIntValue();
     PeerDatagram.require(
         in.nextToken() == JsonToken.VALUE_NUMBER_INT, "has no count where one is due");
-    Stamp stamp = new Stamp(run, in.getIntValue());
+    Stamp stamp = new Stamp(incarnation, in.getIntValue());
     PeerDatagram.require(
         in.nextToken() == JsonToken.VALUE_EMBEDDED_OBJECT, "has no report where one is due");
-    return new Entry(host, age, stamp, EncodedReport.read(in));
+    return new Entry(host, ageMillis, stamp, EncodedReport.read(in));
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerReport.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerReport.java
@@ -14,22 +14,22 @@
  * What a node regularly tells the others.
  *
  * @param load load of the back end beside it
- * @param leaving whether it takes no new work for that back end
+ * @param isDraining whether it takes no new work for that back end
  * @param version its configuration's version; -1 before the first
  * @param position the store's position of its back ends
- * @param contact how its calls to the store go
+ * @param storeContact how its calls to the store go
  * @param unlistedZone its zone, where the store does not list it as far as it knows; empty else, as
  *     that would be told in each report between zones
- * @param suspects digest of what it knows of requests under which back ends end, 0 if nothing
+ * @param suspectsDigest digest of what it knows of requests under which back ends end, 0 if nothing
  * @param attested entry of the back end beside it, which lives though the store lists it no more
  */
 record PeerReport(
     GateLoad load,
-    boolean leaving,
+    boolean isDraining,
     long version,
     StorePosition position,
-    ReportedContact contact,
-    long suspects,
+    ReportedContact storeContact,
+    long suspectsDigest,
     Optional<String> unlistedZone,
     Optional<BackendEntry> attested) {
   private static final ReportedContact.State[] CONTACT_STATES = ReportedContact.State.values();
@@ -48,13 +48,13 @@
     out.writeNumber(load.serviceMicros());
     out.writeNumber(load.slownessPercent());
     out.writeNumber(load.failurePercent());
-    out.writeBoolean(leaving);
+    out.writeBoolean(isDraining);
     out.writeNumber(version);
     out.writeNumber(position.era());
     out.writeNumber(position.revision());
-    out.writeNumber(contact.state().ordinal());
-    out.writeNumber(contact.forMillis());
-    out.writeNumber(suspects);
+    out.writeNumber(storeContact.state().ordinal());
+    out.writeNumber(storeContact.durationMillis());
+    out.writeNumber(suspectsDigest);
     if (attested.isPresent()) {
       write(out, attested.get());
     } else if (unlistedZone.isPresent()) {
@@ -69,38 +69,39 @@
    * @throws IOException if it is none
    */
   static PeerReport read(JsonParser in) throws IOException {
-    int running = (int) number(in);
-    int queued = (int) number(in);
-    int slots = Math.max(1, (int) number(in));
-    long serviceMicros = number(in);
-    int slowness = GateLoad.boundedSlowness((int) number(in));
-    int failures = GateLoad.percent(number(in));
+    int running = (int) readNumber(in);
+    int queued = (int) readNumber(in);
+    int slots = Math.max(1, (int) readNumber(in));
+    long serviceMicros = readNumber(in);
+    int slownessPercent = GateLoad.boundedSlowness((int) readNumber(in));
+    int failurePercent = GateLoad.percent(readNumber(in));
     GateLoad load =
-        new GateLoad(running, queued, slots, serviceMicros, slowness, 0).withFailures(failures);
-    boolean leaving = Boolean.TRUE.equals(in.nextBooleanValue());
-    long version = number(in);
-    long era = number(in);
-    StorePosition position = new StorePosition(era, number(in));
-    ReportedContact contact = contact(in);
-    long suspects = number(in);
+        new GateLoad(running, queued, slots, serviceMicros, slownessPercent, 0)
+            .withFailures(failurePercent);
+    boolean isDraining = Boolean.TRUE.equals(in.nextBooleanValue());
+    long version = readNumber(in);
+    long era = readNumber(in);
+    StorePosition position = new StorePosition(era, readNumber(in));
+    ReportedContact storeContact = readContact(in);
+    long suspectsDigest = readNumber(in);
     Optional<String> unlistedZone = Optional.empty();
     Optional<BackendEntry> attested = Optional.empty();
     if (in.nextToken() != JsonToken.END_ARRAY) {
       String first = currentText(in);
       boolean isZone = in.nextToken() == JsonToken.END_ARRAY;
       unlistedZone = isZone ? Optional.of(first) : Optional.empty();
-      attested = isZone ? Optional.empty() : Optional.of(attested(first, in));
+      attested = isZone ? Optional.empty() : Optional.of(readAttested(first, in));
     }
     return new PeerReport(
-        load, leaving, version, position, contact, suspects, unlistedZone, attested);
+        load, isDraining, version, position, storeContact, suspectsDigest, unlistedZone, attested);
   }
 
-  private static ReportedContact contact(JsonParser in) throws IOException {
-    long state = number(in);
+  private static ReportedContact readContact(JsonParser in) throws IOException {
+    long state = readNumber(in);
     if (state < 0 || state >= CONTACT_STATES.length) {
       throw new IOException("report has an unknown state of contact: " + state);
     }
-    return new ReportedContact(CONTACT_STATES[(int) state], number(in));
+    return new ReportedContact(CONTACT_STATES[(int) state], readNumber(in));
   }
 
   private static void write(JsonGenerator out, BackendEntry entry) throws IOException {
@@ -114,19 +115,19 @@
   }
 
   /** Reads an entry whose identity has been read, and which stands on its service. */
-  private static BackendEntry attested(String id, JsonParser in) throws IOException {
+  private static BackendEntry readAttested(String id, JsonParser in) throws IOException {
     String service = currentText(in);
-    PeerAddress address = new PeerAddress(text(in), (int) number(in));
-    String zone = text(in);
-    int slots = Math.max(1, (int) number(in));
-    long born = number(in);
+    PeerAddress address = new PeerAddress(readText(in), (int) readNumber(in));
+    String zone = readText(in);
+    int slots = Math.max(1, (int) readNumber(in));
+    long born = readNumber(in);
     if (in.nextToken() != JsonToken.END_ARRAY) {
       throw new IOException("report does not end where it is due");
     }
     return new BackendEntry(id, service, address, zone, slots, BackendEntry.State.READY, 0, born);
   }
 
-  private static String text(JsonParser in) throws IOException {
+  private static String readText(JsonParser in) throws IOException {
     in.nextToken();
     return currentText(in);
   }
@@ -138,7 +139,7 @@
     return in.getText();
   }
 
-  private static long number(JsonParser in) throws IOException {
+  private static long readNumber(JsonParser in) throws IOException {
     if (in.nextToken() != JsonToken.VALUE_NUMBER_INT) {
       throw new IOException("report has no number where one is due");
     }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerReports.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerReports.java
@@ -17,64 +17,66 @@
    *
    * @param encoded the same, to be passed on
    * @param stamp which report of the node it is
-   * @param atMillis when it was made, as far as known
+   * @param madeAtMillis when it was made, as far as known
    */
-  record Heard(PeerReport report, EncodedReport encoded, PeerMessage.Stamp stamp, long atMillis) {
+  record ReceivedReport(
+      PeerReport report, EncodedReport encoded, PeerMessage.Stamp stamp, long madeAtMillis) {
     /**
      * Whether another report of the node is later. The same one may come several ways, each with a
      * delay of its own, so that within a run of the node only its own count tells.
      */
-    private boolean isBefore(PeerMessage.Stamp otherStamp, long otherAtMillis) {
-      return stamp.run() == otherStamp.run()
-          ? otherStamp.count() > stamp.count()
-          : otherAtMillis > atMillis;
+    private boolean isOlderThan(PeerMessage.Stamp otherStamp, long otherMadeAtMillis) {
+      return stamp.incarnation() == otherStamp.incarnation()
+          ? otherStamp.sequence() > stamp.sequence()
+          : otherMadeAtMillis > madeAtMillis;
     }
   }
 
-  private final Map<String, Heard> byHost = new HashMap<>();
+  private final Map<String, ReceivedReport> byHost = new HashMap<>();
 
   /**
    * Takes a report, unless it or a later one is known.
    *
-   * @param atMillis when it was made, as far as known
+   * @param madeAtMillis when it was made, as far as known
    * @return the report if it is news
    * @throws IOException if it cannot be read
    */
-  synchronized Optional<PeerReport> take(PeerMessage.Entry entry, long atMillis)
+  synchronized Optional<PeerReport> accept(PeerMessage.Entry entry, long madeAtMillis)
       throws IOException {
-    Heard before = byHost.get(entry.host());
-    if (before != null && !before.isBefore(entry.stamp(), atMillis)) {
+    ReceivedReport previous = byHost.get(entry.host());
+    if (previous != null && !previous.isOlderThan(entry.stamp(), madeAtMillis)) {
       return Optional.empty();
     }
     PeerReport report = entry.report().decode();
-    byHost.put(entry.host(), new Heard(report, entry.report(), entry.stamp(), atMillis));
+    byHost.put(
+        entry.host(), new ReceivedReport(report, entry.report(), entry.stamp(), madeAtMillis));
     return Optional.of(report);
   }
 
   /** Drops what is too old. */
-  synchronized void forget(long nowMillis) {
-    byHost.values().removeIf(heard -> heard.atMillis() + MAX_AGE_MILLIS < nowMillis);
+  synchronized void removeExpired(long nowMillis) {
+    byHost.values().removeIf(received -> received.madeAtMillis() + MAX_AGE_MILLIS < nowMillis);
   }
 
-  synchronized Map<String, Heard> of(Collection<String> hosts) {
-    Map<String, Heard> chosen = new HashMap<>();
+  synchronized Map<String, ReceivedReport> ofHosts(Collection<String> hosts) {
+    Map<String, ReceivedReport> chosen = new HashMap<>();
     for (String host : hosts) {
-      Heard heard = byHost.get(host);
-      if (heard != null) {
-        chosen.put(host, heard);
+      ReceivedReport received = byHost.get(host);
+      if (received != null) {
+        chosen.put(host, received);
       }
     }
     return chosen;
   }
 
   /** The contact with the store that nodes state: none, unless one of them calls it. */
-  synchronized Optional<StoreContact> contact(Predicate<String> host) {
+  synchronized Optional<StoreContact> storeContact(Predicate<String> includesHost) {
     StoreContact best = null;
-    for (Map.Entry<String, Heard> entry : byHost.entrySet()) {
-      ReportedContact stated = entry.getValue().report().contact();
-      if (stated.state() != ReportedContact.State.NONE && host.test(entry.getKey())) {
-        StoreContact contact = stated.asOf(entry.getValue().atMillis());
-        best = best == null ? contact : better(best, contact);
+    for (Map.Entry<String, ReceivedReport> entry : byHost.entrySet()) {
+      ReportedContact reported = entry.getValue().report().storeContact();
+      if (reported.state() != ReportedContact.State.NONE && includesHost.test(entry.getKey())) {
+        StoreContact contact = reported.toStoreContact(entry.getValue().madeAtMillis());
+        best = best == null ? contact : preferred(best, contact);
       }
     }
     return Optional.ofNullable(best);
@@ -84,10 +86,10 @@
    * One that reaches the store before one that does not; of two alike the later, so that entries
    * may be missing for as long as either of them says.
    */
-  private static StoreContact better(StoreContact one, StoreContact other) {
-    if (one.reachable() != other.reachable()) {
-      return one.reachable() ? one : other;
+  private static StoreContact preferred(StoreContact first, StoreContact second) {
+    if (first.reachable() != second.reachable()) {
+      return first.reachable() ? first : second;
     }
-    return one.sinceMillis() >= other.sinceMillis() ? one : other;
+    return first.sinceMillis() >= second.sinceMillis() ? first : second;
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerView.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerView.java
@@ -25,7 +25,7 @@
     Map<String, List<String>> farByZone,
     Set<String> silent,
     Set<String> ineligible) {
-  static final PeerView NOBODY = new PeerView(Set.of(), Set.of(), Map.of(), Set.of(), Set.of());
+  static final PeerView EMPTY = new PeerView(Set.of(), Set.of(), Map.of(), Set.of(), Set.of());
 
   /** Sorts nodes by zone. */
   static PeerView of(
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/ReadDecision.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/ReadDecision.java
@@ -5,8 +5,8 @@
 /**
  * Whether this node calls the store itself.
  *
- * @param reads whether it does
+ * @param shouldRead whether it does
  * @param isStandby whether enough others call it promptly, so that this one may call more rarely
  * @param inputs what that was decided from, for a log line
  */
-record ReadDecision(boolean reads, boolean isStandby, Supplier<String> inputs) {}
+record ReadDecision(boolean shouldRead, boolean isStandby, Supplier<String> inputs) {}
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/ReportSocket.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/ReportSocket.java
@@ -19,10 +19,10 @@
      *
      * @throws IOException if what it holds cannot be read
      */
-    void take(PeerDatagram message) throws IOException;
+    void handle(PeerDatagram message) throws IOException;
   }
 
-  private final PeerAddress own;
+  private final PeerAddress listenAddress;
   private final Receiver receiver;
   private final MeshEvents events;
 
@@ -37,8 +37,8 @@
    *
    * @param own where to listen; other nodes listen at the same port
    */
-  ReportSocket(PeerAddress own, Receiver receiver, MeshEvents events) {
-    this.own = own;
+  ReportSocket(PeerAddress listenAddress, Receiver receiver, MeshEvents events) {
+    this.listenAddress = listenAddress;
     this.receiver = receiver;
     this.events = events;
   }
@@ -49,7 +49,7 @@
    * @throws IOException if the address cannot be bound
    */
   void open() throws IOException {
-    socket = new DatagramSocket(new InetSocketAddress(own.host(), own.port()));
+    socket = new DatagramSocket(new InetSocketAddress(listenAddress.host(), listenAddress.port()));
     thread.setDaemon(true);
     thread.start();
   }
@@ -80,10 +80,11 @@
   }
 
   private InetSocketAddress addressOf(String host) {
-    InetSocketAddress known = addresses.get(host);
-    return known != null
-        ? known
-        : addresses.computeIfAbsent(host, each -> new InetSocketAddress(each, own.port()));
+    InetSocketAddress cached = addresses.get(host);
+    return cached != null
+        ? cached
+        : addresses.computeIfAbsent(
+            host, absent -> new InetSocketAddress(absent, listenAddress.port()));
   }
 
   private void receive() {
@@ -93,7 +94,7 @@
       try {
         packet.setLength(size);
         socket.receive(packet);
-        take(packet);
+        handle(packet);
       } catch (IOException ended) {
         if (socket.isClosed()) {
           return;
@@ -105,9 +106,9 @@
     }
   }
 
-  private void take(DatagramPacket packet) {
+  private void handle(DatagramPacket packet) {
     try {
-      receiver.take(PeerDatagram.decode(packet.getData(), packet.getLength()));
+      receiver.handle(PeerDatagram.decode(packet.getData(), packet.getLength()));
     } catch (IOException malformed) {
       events.reportRefused(packet.getAddress().getHostAddress(), malformed);
     }
@@ -115,9 +116,9 @@
 
   @Override
   public void close() {
-    DatagramSocket open = socket;
-    if (open != null) {
-      open.close();
+    DatagramSocket openSocket = socket;
+    if (openSocket != null) {
+      openSocket.close();
     }
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/ReportedContact.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/ReportedContact.java
@@ -4,9 +4,9 @@
  * What a node says of its own calls to the store.
  *
  * @param state how they go
- * @param forMillis for how long, milliseconds
+ * @param durationMillis for how long, milliseconds
  */
-record ReportedContact(State state, long forMillis) {
+record ReportedContact(State state, long durationMillis) {
   /** How the calls of a node go. */
   enum State {
     /** It makes none, and none failed lately. */
@@ -20,17 +20,17 @@
   static final ReportedContact NO_CALLS = new ReportedContact(State.NONE, 0);
 
   /** Longest time that is stated, milliseconds. */
-  private static final long MAX_MILLIS = 1_000_000;
+  private static final long MAX_DURATION_MILLIS = 1_000_000;
 
   /** States a contact that holds since a time. */
   static ReportedContact of(StoreContact contact, long nowMillis) {
-    long forMillis = Math.min(MAX_MILLIS, nowMillis - contact.sinceMillis());
+    long durationMillis = Math.min(MAX_DURATION_MILLIS, nowMillis - contact.sinceMillis());
     return new ReportedContact(
-        contact.reachable() ? State.REACHABLE : State.LOST, Math.max(0, forMillis));
+        contact.reachable() ? State.REACHABLE : State.LOST, Math.max(0, durationMillis));
   }
 
   /** The contact on this node's clock. */
-  StoreContact asOf(long heardMillis) {
-    return new StoreContact(state == State.REACHABLE, heardMillis - forMillis);
+  StoreContact toStoreContact(long reportedAtMillis) {
+    return new StoreContact(state == State.REACHABLE, reportedAtMillis - durationMillis);
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/StateChangesCodec.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/StateChangesCodec.java
@@ -105,23 +105,23 @@
     }
     out.writeEndArray();
     out.writeStartArray();
-    for (Departed each : facts.departed()) {
-      out.writeString(each.start().id());
-      out.writeNumber(each.start().bornMillis());
-      out.writeNumber(each.departure().ordinal());
-      write(out, each.at());
+    for (Departed departed : facts.departed()) {
+      out.writeString(departed.start().id());
+      out.writeNumber(departed.start().bornMillis());
+      out.writeNumber(departed.departure().ordinal());
+      write(out, departed.at());
     }
     out.writeEndArray();
   }
 
-  private static StoreFacts facts(JsonParser in) throws IOException {
+  private static StoreFacts readFacts(JsonParser in) throws IOException {
     Optional<StoreItem> configuration = Optional.empty();
     require(in.nextToken() == JsonToken.START_ARRAY);
     if (in.nextToken() != JsonToken.END_ARRAY) {
       String key = in.getText();
       require(in.nextToken() == JsonToken.VALUE_STRING);
       String value = in.getText();
-      configuration = Optional.of(new StoreItem(key, value, number(in)));
+      configuration = Optional.of(new StoreItem(key, value, readNumber(in)));
       require(in.nextToken() == JsonToken.END_ARRAY);
     }
     List<Departed> departed = new ArrayList<>();
@@ -129,21 +129,21 @@
     while (in.nextToken() != JsonToken.END_ARRAY) {
       require(in.currentToken() == JsonToken.VALUE_STRING);
       require(departed.size() < DepartedStarts.MAX_STARTS);
-      departed.add(departed(in, in.getText()));
+      departed.add(readDeparted(in, in.getText()));
     }
     return new StoreFacts(configuration, departed);
   }
 
-  private static Departed departed(JsonParser in, String id) throws IOException {
-    BackendStart start = new BackendStart(id, number(in));
-    long departure = number(in);
+  private static Departed readDeparted(JsonParser in, String id) throws IOException {
+    BackendStart start = new BackendStart(id, readNumber(in));
+    long departure = readNumber(in);
     require(departure >= 0 && departure < DEPARTURES.length);
-    return new Departed(start, DEPARTURES[(int) departure], position(in));
+    return new Departed(start, DEPARTURES[(int) departure], readPosition(in));
   }
 
-  private static StorePosition position(JsonParser in) throws IOException {
-    long era = number(in);
-    return new StorePosition(era, number(in));
+  private static StorePosition readPosition(JsonParser in) throws IOException {
+    long era = readNumber(in);
+    return new StorePosition(era, readNumber(in));
   }
 
   private static void write(JsonGenerator out, String key, String value, long revision)
@@ -172,24 +172,25 @@
   }
 
   /** Reads a patch whose list has begun. */
-  private static ItemPatch patch(JsonParser in, String key) throws IOException {
-    final long fromRevision = number(in);
-    final int length = size(number(in));
-    final long checksum = number(in);
+  private static ItemPatch readPatch(JsonParser in, String key) throws IOException {
+    final long fromRevision = readNumber(in);
+    final int length = checkedLength(readNumber(in));
+    final long checksum = readNumber(in);
     List<TextPatch.Piece> pieces = new ArrayList<>();
     for (JsonToken token = in.nextToken(); token != JsonToken.END_ARRAY; token = in.nextToken()) {
       if (token == JsonToken.VALUE_STRING) {
         pieces.add(new TextPatch.Piece.Insert(in.getText()));
       } else {
         require(token == JsonToken.VALUE_NUMBER_INT);
-        int from = size(in.getLongValue());
-        pieces.add(new TextPatch.Piece.Copy(from, size(number(in))));
+        int offset = checkedLength(in.getLongValue());
+        pieces.add(new TextPatch.Piece.Copy(offset, checkedLength(readNumber(in))));
       }
     }
-    return new ItemPatch(key, fromRevision, number(in), new TextPatch(pieces, length, checksum));
+    return new ItemPatch(
+        key, fromRevision, readNumber(in), new TextPatch(pieces, length, checksum));
   }
 
-  private static int size(long number) throws IOException {
+  private static int checkedLength(long number) throws IOException {
     require(number >= 0 && number <= MAX_TEXT_LENGTH);
     return (int) number;
   }
@@ -202,9 +203,9 @@
   static StateTransfer read(InputStream stream) throws IOException {
     JsonParser in = CBOR.createParser(new InflaterInputStream(stream));
     require(in.nextToken() == JsonToken.START_ARRAY);
-    final StorePosition after = position(in);
-    final StorePosition at = position(in);
-    final StoreFacts facts = facts(in);
+    final StorePosition after = readPosition(in);
+    final StorePosition at = readPosition(in);
+    final StoreFacts facts = readFacts(in);
     List<StoreItem> items = new ArrayList<>();
     List<StoreEvent.Gone> gone = new ArrayList<>();
     List<ItemPatch> patches = new ArrayList<>();
@@ -213,13 +214,13 @@
       String key = in.getText();
       JsonToken value = in.nextToken();
       if (value == JsonToken.VALUE_NULL) {
-        gone.add(new StoreEvent.Gone(key, number(in)));
+        gone.add(new StoreEvent.Gone(key, readNumber(in)));
       } else if (value == JsonToken.START_ARRAY) {
-        patches.add(patch(in, key));
+        patches.add(readPatch(in, key));
       } else {
         require(value == JsonToken.VALUE_STRING);
         String text = in.getText();
-        items.add(new StoreItem(key, text, number(in)));
+        items.add(new StoreItem(key, text, readNumber(in)));
       }
     }
     // Reads on to the checksum of the compression.
@@ -227,13 +228,13 @@
     return new StateTransfer(new StoreChanges(after, at, items, gone, patches), facts);
   }
 
-  private static long number(JsonParser in) throws IOException {
+  private static long readNumber(JsonParser in) throws IOException {
     require(in.nextToken() == JsonToken.VALUE_NUMBER_INT);
     return in.getLongValue();
   }
 
-  private static void require(boolean wellFormed) throws IOException {
-    if (!wellFormed) {
+  private static void require(boolean isWellFormed) throws IOException {
+    if (!isWellFormed) {
       throw new IOException("changes of another node are malformed");
     }
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/StatePuller.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/StatePuller.java
@@ -25,7 +25,7 @@
  */
 final class StatePuller implements AutoCloseable {
   /** How often this node looks whether it is behind, while it is, milliseconds. */
-  static final long CHECK_MILLIS = 50;
+  static final long CHECK_INTERVAL_MILLIS = 50;
 
   /**
    * Bound of each step of a transfer, milliseconds: packets that wait for two seconds at a link are
@@ -35,7 +35,7 @@
 
   private final MeshSettings settings;
   private final MeshState state;
-  private final BooleanSupplier readsStore;
+  private final BooleanSupplier isReadingStore;
   private final MeshEvents events;
   private final LongSupplier clockMillis;
   private final Thread thread = new Thread(this::run, "umberpath-puller");
@@ -43,9 +43,9 @@
   private volatile boolean closed;
 
   /** Whether changes of another node did not fit what this one holds. */
-  private volatile boolean wantsWhole;
+  private volatile boolean needsFullState;
 
-  private volatile boolean hasAsked;
+  private volatile boolean hasAttemptedTransfer;
 
   /** Guarded by this object's lock. */
   private final TransferSchedule schedule;
@@ -55,12 +55,12 @@
   StatePuller(
       MeshSettings settings,
       MeshState state,
-      BooleanSupplier readsStore,
+      BooleanSupplier isReadingStore,
       MeshEvents events,
       LongSupplier clockMillis) {
     this.settings = settings;
     this.state = state;
-    this.readsStore = readsStore;
+    this.isReadingStore = isReadingStore;
     this.events = events;
     this.clockMillis = clockMillis;
     this.schedule =
@@ -79,25 +79,26 @@
 
   void start() {
     synchronized (this) {
-      schedule.begin(clockMillis.getAsLong());
+      schedule.start(clockMillis.getAsLong());
     }
     thread.setDaemon(true);
     thread.start();
   }
 
   /** Whether another node has been asked, with whatever outcome. */
-  boolean hasAsked() {
-    return hasAsked;
+  boolean hasAttemptedTransfer() {
+    return hasAttemptedTransfer;
   }
 
   /** Nodes that are not asked, since they are out of reach. */
-  void avoid(Predicate<String> condition) {
+  void excludeSources(Predicate<String> condition) {
     isSilent = condition;
   }
 
   /** Another node holds something newer. */
-  synchronized void ahead(String host, boolean isNear, long version, StorePosition position) {
-    schedule.ahead(clockMillis.getAsLong(), host, isNear, version, position);
+  synchronized void onNewerState(
+      String host, boolean isNear, long version, StorePosition position) {
+    schedule.recordNewerState(clockMillis.getAsLong(), host, isNear, version, position);
     notifyAll();
   }
 
@@ -105,8 +106,8 @@
     while (!closed) {
       try {
         awaitBehind();
-        step();
-        Thread.sleep(CHECK_MILLIS);
+        startDueTransfer();
+        Thread.sleep(CHECK_INTERVAL_MILLIS);
       } catch (InterruptedException ended) {
         return;
       } catch (RuntimeException fault) {
@@ -122,60 +123,60 @@
   }
 
   /** Begins a transfer if one is due. */
-  private synchronized void step() {
+  private synchronized void startDueTransfer() {
     schedule
-        .next(clockMillis.getAsLong(), state.view(), readsStore.getAsBoolean(), isSilent)
-        .ifPresent(this::begin);
+        .nextSource(clockMillis.getAsLong(), state.view(), isReadingStore.getAsBoolean(), isSilent)
+        .ifPresent(this::startTransfer);
   }
 
-  private void begin(PeerAddress source) {
+  private void startTransfer(PeerAddress source) {
     long behindMillis = schedule.behindMillis(clockMillis.getAsLong());
     workers.execute(() -> transfer(source, behindMillis));
   }
 
   private void transfer(PeerAddress source, long behindMillis) {
-    boolean taken = false;
+    boolean isAdopted = false;
     try {
-      taken = pull(source, new TransferTimes.Clock(clockMillis, behindMillis));
+      isAdopted = pull(source, new TransferTimes.Stopwatch(clockMillis, behindMillis));
     } finally {
-      ended(source, taken);
+      onTransferEnded(source, isAdopted);
     }
   }
 
-  private synchronized void ended(PeerAddress source, boolean taken) {
-    hasAsked = true;
-    schedule.ended(clockMillis.getAsLong(), state.view(), source, taken);
+  private synchronized void onTransferEnded(PeerAddress source, boolean isAdopted) {
+    hasAttemptedTransfer = true;
+    schedule.recordEnd(clockMillis.getAsLong(), state.view(), source, isAdopted);
   }
 
   private synchronized boolean wantsFacts() {
     return schedule.wantsFacts();
   }
 
-  private synchronized void answered(StateTransfer transfer) {
-    schedule.answered(transfer.changes().at());
+  private synchronized void onResponse(StateTransfer transfer) {
+    schedule.recordResponse(transfer.changes().at());
   }
 
-  private boolean pull(PeerAddress source, TransferTimes.Clock times) {
+  private boolean pull(PeerAddress source, TransferTimes.Stopwatch times) {
     try (Socket socket = new Socket()) {
       socket.connect(new InetSocketAddress(source.host(), source.port()), TIMEOUT_MILLIS);
       times.connected();
       socket.setSoTimeout(TIMEOUT_MILLIS);
-      StateRequest held = wantsWhole ? StateRequest.WHOLE : state.request();
+      StateRequest held = needsFullState ? StateRequest.WHOLE : state.stateRequest();
       TransferRequest request = new TransferRequest(held, state.view().version(), wantsFacts());
       BufferedOutputStream out = new BufferedOutputStream(socket.getOutputStream());
       StateChangesCodec.write(request, out);
       out.flush();
       StateTransfer transfer = read(socket, times);
       MeshState.Adoption adoption = state.adopt(transfer, source.toString());
-      answered(transfer);
+      onResponse(transfer);
       if (adoption == MeshState.Adoption.NOT_NEWER) {
         return false;
       }
-      wantsWhole = adoption == MeshState.Adoption.UNFIT;
-      if (wantsWhole) {
+      needsFullState = adoption == MeshState.Adoption.PATCH_MISMATCH;
+      if (needsFullState) {
         throw new IOException("a patch does not fit the item that it is for");
       }
-      events.stateAdopted(source.toString(), state.view().version(), transfer, times.taken());
+      events.stateAdopted(source.toString(), state.view().version(), transfer, times.adopted());
       return true;
     } catch (IOException failure) {
       events.statePullFailed(source.toString(), failure);
@@ -183,16 +184,17 @@
     }
   }
 
-  private static StateTransfer read(Socket socket, TransferTimes.Clock times) throws IOException {
-    BufferedInputStream answer = new BufferedInputStream(socket.getInputStream());
-    answer.mark(1);
-    if (answer.read() < 0) {
+  private static StateTransfer read(Socket socket, TransferTimes.Stopwatch times)
+      throws IOException {
+    BufferedInputStream response = new BufferedInputStream(socket.getInputStream());
+    response.mark(1);
+    if (response.read() < 0) {
       throw new EOFException("no answer");
     }
-    times.answerBegins();
-    answer.reset();
-    StateTransfer transfer = StateChangesCodec.read(answer);
-    times.answerRead();
+    times.responseStarted();
+    response.reset();
+    StateTransfer transfer = StateChangesCodec.read(response);
+    times.responseRead();
     return transfer;
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/StateServer.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/StateServer.java
@@ -17,21 +17,21 @@
  */
 final class StateServer implements AutoCloseable {
   private static final int BACKLOG = 64;
-  private static final int MAX_WRITERS = 2;
-  private static final int MAX_WAITING = 64;
+  private static final int MAX_WORKERS = 2;
+  private static final int MAX_QUEUED = 64;
 
   /** How long a connected node may take to send its revision, milliseconds. */
   private static final int REQUEST_TIMEOUT_MILLIS = 500;
 
   private final ServerSocket server;
   private final Function<TransferRequest, byte[]> transferFor;
-  private final ExecutorService writers =
+  private final ExecutorService workers =
       new ThreadPoolExecutor(
           0,
-          MAX_WRITERS,
+          MAX_WORKERS,
           1,
           TimeUnit.SECONDS,
-          new LinkedBlockingQueue<>(MAX_WAITING),
+          new LinkedBlockingQueue<>(MAX_QUEUED),
           StateServer::daemon,
           new ThreadPoolExecutor.DiscardPolicy());
 
@@ -66,7 +66,7 @@
     while (!server.isClosed()) {
       try {
         Socket peer = server.accept();
-        writers.execute(() -> give(peer));
+        workers.execute(() -> serve(peer));
       } catch (IOException failed) {
         if (server.isClosed()) {
           return;
@@ -75,12 +75,12 @@
     }
   }
 
-  private void give(Socket peer) {
+  private void serve(Socket peer) {
     try (peer) {
       peer.setSoTimeout(REQUEST_TIMEOUT_MILLIS);
       TransferRequest request = StateChangesCodec.readRequest(peer.getInputStream());
       peer.getOutputStream().write(transferFor.apply(request));
-    } catch (IOException gone) {
+    } catch (IOException disconnected) {
       // The other node logs why its transfer failed, and tries again, here or elsewhere.
       return;
     }
@@ -94,7 +94,7 @@
       // Nothing depends on how the listener ends.
       return;
     } finally {
-      writers.shutdownNow();
+      workers.shutdownNow();
     }
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/StateSources.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/StateSources.java
@@ -20,14 +20,14 @@
  */
 final class StateSources {
   /** What a node stated last. */
-  private record Stated(String host, long version, StorePosition position) {
+  private record AdvertisedState(String host, long version, StorePosition position) {
     boolean isAheadOf(MeshView view) {
       return view.isBehind(version, position);
     }
   }
 
-  private final Map<String, Stated> statedByHost = new HashMap<>();
-  private final Set<String> tried = new HashSet<>();
+  private final Map<String, AdvertisedState> advertisedByHost = new HashMap<>();
+  private final Set<String> triedHosts = new HashSet<>();
   private final Supplier<Random> random;
 
   StateSources(Supplier<Random> random) {
@@ -35,51 +35,51 @@
   }
 
   /** A node states what it holds. */
-  void state(String host, long version, StorePosition position) {
-    statedByHost.put(host, new Stated(host, version, position));
+  void recordAdvertised(String host, long version, StorePosition position) {
+    advertisedByHost.put(host, new AdvertisedState(host, version, position));
   }
 
   /** Whether a node holds something newer. */
-  boolean isAnyAhead(MeshView view) {
-    dropOvertaken(view);
-    return !statedByHost.isEmpty();
+  boolean hasNewer(MeshView view) {
+    removeOutdated(view);
+    return !advertisedByHost.isEmpty();
   }
 
-  private void dropOvertaken(MeshView view) {
-    statedByHost.values().removeIf(stated -> !stated.isAheadOf(view));
+  private void removeOutdated(MeshView view) {
+    advertisedByHost.values().removeIf(advertised -> !advertised.isAheadOf(view));
   }
 
   /**
-   * The node to ask next: first those that were not asked since {@link #beginAnew}, of these the
+   * The node to ask next: first those that were not asked since {@link #resetTried}, of these the
    * one that is furthest, of equals the last source, whose patches lead on from what it gave. Else
    * one is drawn, so that not all nodes go to the same one.
    *
    * @param isSilent whether a node is out of reach
    */
   Optional<String> next(MeshView view, String lastSource, Predicate<String> isSilent) {
-    dropOvertaken(view);
-    List<Stated> candidates = new ArrayList<>(statedByHost.values());
-    candidates.removeIf(stated -> isSilent.test(stated.host()));
-    if (candidates.stream().allMatch(stated -> tried.contains(stated.host()))) {
-      tried.clear();
+    removeOutdated(view);
+    List<AdvertisedState> candidates = new ArrayList<>(advertisedByHost.values());
+    candidates.removeIf(advertised -> isSilent.test(advertised.host()));
+    if (candidates.stream().allMatch(advertised -> triedHosts.contains(advertised.host()))) {
+      triedHosts.clear();
     }
-    candidates.removeIf(stated -> tried.contains(stated.host()));
+    candidates.removeIf(advertised -> triedHosts.contains(advertised.host()));
     Collections.shuffle(candidates, random.get());
     return candidates.stream()
         .max(
-            Comparator.comparing(Stated::position)
-                .thenComparingLong(Stated::version)
-                .thenComparing(stated -> stated.host().equals(lastSource)))
-        .map(Stated::host);
+            Comparator.comparing(AdvertisedState::position)
+                .thenComparingLong(AdvertisedState::version)
+                .thenComparing(advertised -> advertised.host().equals(lastSource)))
+        .map(AdvertisedState::host);
   }
 
   /** A node is being asked. */
-  void asked(String host) {
-    tried.add(host);
+  void markTried(String host) {
+    triedHosts.add(host);
   }
 
   /** All may be asked again: a transfer gave something, or this node is level with them. */
-  void beginAnew() {
-    tried.clear();
+  void resetTried() {
+    triedHosts.clear();
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/StoreFollower.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/StoreFollower.java
@@ -24,19 +24,19 @@
   private static final long START_CHECK_MILLIS = 25;
 
   /** How long a node that stopped reading passes the last failure of its calls on, milliseconds. */
-  private static final long FAILURE_REMEMBERED_MILLIS = 5_000;
+  private static final long FAILURE_RETENTION_MILLIS = 5_000;
 
   /**
    * Calls in a row that the store may throttle before it counts as not answering this node: with
    * the pauses between them 0.5 to 1 s, past a rush of many nodes at once.
    */
-  private static final int MAX_THROTTLED_IN_A_ROW = 4;
+  private static final int MAX_CONSECUTIVE_THROTTLED = 4;
 
   /**
    * Time beyond the longest that a watch may take from which on it counts as not answered,
    * milliseconds: the store takes some milliseconds, a full link some hundred.
    */
-  private static final long LATE_BY_MILLIS = 600;
+  private static final long WATCH_GRACE_MILLIS = 600;
 
   /** Pause after a fault in the program, so that it is not met as fast as a core runs. */
   private static final long FAULT_PAUSE_MILLIS = 1_000;
@@ -50,19 +50,19 @@
   private final Thread thread = new Thread(this::run, "umberpath-store");
   private volatile boolean closed;
   private volatile StoreContact contact = StoreContact.FROM_START;
-  private volatile Supplier<ReadDecision> decision =
+  private volatile Supplier<ReadDecision> readPolicy =
       () -> new ReadDecision(true, false, () -> "always");
   private volatile Runnable changeListener = () -> {};
   private volatile boolean reading = true;
-  private boolean standby;
+  private boolean isStandby;
 
   /** How the call that is under way, or was last, is timed. */
-  private volatile StoreWatcherSettings timing = WatchTimes.PROMPT;
+  private volatile StoreWatcherSettings timings = StoreWatchTimings.PROMPT;
 
-  private int throttledInARow;
+  private int consecutiveThrottled;
 
   /** When a call was last answered since this node began to read; NEVER before the first. */
-  private volatile long answeredAtMillis = NEVER;
+  private volatile long lastResponseMillis = NEVER;
 
   StoreFollower(MeshState state, StoreClient client, MeshEvents events, LongSupplier clockMillis) {
     this.state = state;
@@ -72,8 +72,8 @@
   }
 
   /** Decides whether this node calls the store itself; until then it does. */
-  void onlyIf(Supplier<ReadDecision> condition) {
-    decision = condition;
+  void setReadPolicy(Supplier<ReadDecision> policy) {
+    readPolicy = policy;
   }
 
   /** Is told when the store's changes were taken. */
@@ -97,17 +97,17 @@
   }
 
   /** How this node's calls go, for the others. */
-  ReportedContact reported() {
+  ReportedContact reportedContact() {
     long now = clockMillis.getAsLong();
-    long answeredAt = answeredAtMillis;
+    long respondedAt = lastResponseMillis;
     if (!contact.reachable()) {
       return ReportedContact.of(contact, now);
     }
-    if (!reading || answeredAt == NEVER) {
+    if (!reading || respondedAt == NEVER) {
       return ReportedContact.NO_CALLS;
     }
-    boolean isLate = now > answeredAt + timing.longestQuietMillis() + LATE_BY_MILLIS;
-    return ReportedContact.of(isLate ? new StoreContact(false, answeredAt) : contact, now);
+    boolean isLate = now > respondedAt + timings.longestQuietMillis() + WATCH_GRACE_MILLIS;
+    return ReportedContact.of(isLate ? new StoreContact(false, respondedAt) : contact, now);
   }
 
   private void run() {
@@ -132,88 +132,88 @@
   }
 
   private void step() throws InterruptedException {
-    if (!mayRead()) {
-      boolean starts = !state.view().position().isKnown();
-      Thread.sleep(starts ? START_CHECK_MILLIS : IDLE_CHECK_MILLIS);
+    if (!updateReading()) {
+      boolean isStarting = !state.view().position().isKnown();
+      Thread.sleep(isStarting ? START_CHECK_MILLIS : IDLE_CHECK_MILLIS);
       return;
     }
     Step step;
     synchronized (state) {
-      timing = standby ? WatchTimes.STANDBY : WatchTimes.PROMPT;
-      state.watcher().pace(timing);
+      timings = isStandby ? StoreWatchTimings.STANDBY : StoreWatchTimings.PROMPT;
+      state.watcher().pace(timings);
       step = state.watcher().next(clockMillis.getAsLong());
     }
     if (step instanceof Step.Wait wait) {
-      long left = wait.untilMillis() - clockMillis.getAsLong();
-      Thread.sleep(Math.max(1, Math.min(left, MAX_SLEEP_MILLIS)));
+      long remainingMillis = wait.untilMillis() - clockMillis.getAsLong();
+      Thread.sleep(Math.max(1, Math.min(remainingMillis, MAX_SLEEP_MILLIS)));
       return;
     }
     StoreCall call = ((Step.Call) step).call();
-    StoreAnswer answer = ofThisEra(client.call(call));
+    StoreAnswer response = rejectOutdated(client.call(call));
     if (closed) {
       return;
     }
     long now = clockMillis.getAsLong();
-    note(now, answer);
-    boolean isFurther = state.answered(now, answer);
-    if (isFurther) {
+    recordOutcome(now, response);
+    boolean hasAdvanced = state.handleResponse(now, response);
+    if (hasAdvanced) {
       // Others need not wait until it is in force here.
       changeListener.run();
       state.refresh("store");
     }
-    events.storeCalled(answer, state.view().held());
+    events.storeCalled(response, state.view().heldPosition());
   }
 
   /** An answer of an era that is over is none: of a late one, or of one from an old instance. */
-  private StoreAnswer ofThisEra(StoreAnswer answer) {
+  private StoreAnswer rejectOutdated(StoreAnswer response) {
     synchronized (state) {
-      return state.watcher().isOutdated(answer)
+      return state.watcher().isOutdated(response)
           ? new StoreAnswer.Unavailable(
               "answer of era %d, and %d has begun"
-                  .formatted(answer.era().getAsLong(), state.watcher().at().era()))
-          : answer;
+                  .formatted(response.era().getAsLong(), state.watcher().at().era()))
+          : response;
     }
   }
 
-  private boolean mayRead() {
-    ReadDecision current = decision.get();
-    boolean now = current.reads();
-    standby = current.isStandby();
-    if (now != reading) {
-      throttledInARow = 0;
-      answeredAtMillis = NEVER;
-      reading = now;
-      events.storeReader(now, current.inputs().get());
-    }
-    boolean expired = clockMillis.getAsLong() > contact.sinceMillis() + FAILURE_REMEMBERED_MILLIS;
-    if (!now && !contact.reachable() && expired) {
+  private boolean updateReading() {
+    ReadDecision current = readPolicy.get();
+    boolean shouldRead = current.shouldRead();
+    isStandby = current.isStandby();
+    if (shouldRead != reading) {
+      consecutiveThrottled = 0;
+      lastResponseMillis = NEVER;
+      reading = shouldRead;
+      events.storeReader(shouldRead, current.inputs().get());
+    }
+    boolean isExpired = clockMillis.getAsLong() > contact.sinceMillis() + FAILURE_RETENTION_MILLIS;
+    if (!shouldRead && !contact.reachable() && isExpired) {
       contact = StoreContact.FROM_START;
     }
-    return now;
+    return shouldRead;
   }
 
-  private void note(long nowMillis, StoreAnswer answer) {
-    if (answer instanceof StoreAnswer.Throttled) {
-      throttledInARow++;
-      if (throttledInARow >= MAX_THROTTLED_IN_A_ROW) {
+  private void recordOutcome(long nowMillis, StoreAnswer response) {
+    if (response instanceof StoreAnswer.Throttled) {
+      consecutiveThrottled++;
+      if (consecutiveThrottled >= MAX_CONSECUTIVE_THROTTLED) {
         // Others of the zone are to read: the store may throttle this node alone.
-        lost(nowMillis, "throttled " + throttledInARow + " times in a row");
+        recordLost(nowMillis, "throttled " + consecutiveThrottled + " times in a row");
       }
       return;
     }
-    throttledInARow = 0;
-    if (!(answer instanceof StoreAnswer.Unavailable)) {
-      answeredAtMillis = nowMillis;
+    consecutiveThrottled = 0;
+    if (!(response instanceof StoreAnswer.Unavailable)) {
+      lastResponseMillis = nowMillis;
     }
-    if (answer instanceof StoreAnswer.Unavailable unavailable) {
-      lost(nowMillis, unavailable.cause());
+    if (response instanceof StoreAnswer.Unavailable unavailable) {
+      recordLost(nowMillis, unavailable.cause());
     } else if (!contact.reachable()) {
       events.storeRegained(nowMillis - contact.sinceMillis());
       contact = new StoreContact(true, nowMillis);
     }
   }
 
-  private void lost(long nowMillis, String cause) {
+  private void recordLost(long nowMillis, String cause) {
     if (contact.reachable()) {
       events.storeLost(cause);
       contact = new StoreContact(false, nowMillis);
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/StoreReadPolicy.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/StoreReadPolicy.java
@@ -22,7 +22,7 @@
    * to hear of, milliseconds: a few rounds of reports. Each start called the store one to three
    * times in that time for nothing, as it took itself for the only node.
    */
-  private static final long FIRST_PEERS_MILLIS = 1_000;
+  private static final long PEER_DISCOVERY_MILLIS = 1_000;
 
   private final MeshSettings settings;
   private final MeshState state;
@@ -58,18 +58,18 @@
    */
   ReadDecision decide() {
     if (!state.view().isComplete()) {
-      return new ReadDecision(!waitsForPeers(), false, () -> "holds no state yet");
+      return new ReadDecision(!shouldWaitForPeers(), false, () -> "holds no state yet");
     }
     boolean mayHavePeers = !settings.otherSeeds().isEmpty();
-    if (mayHavePeers && peers.nodes() == 1 && sinceStartMillis() < FIRST_PEERS_MILLIS) {
+    if (mayHavePeers && peers.nodes() == 1 && uptimeMillis() < PEER_DISCOVERY_MILLIS) {
       return new ReadDecision(false, false, () -> "knows no other node yet");
     }
-    ReaderElection.Decision elected = peers.electReader(!follower.contact().reachable());
-    if (attester.isLapsed()) {
+    ReaderElection.Decision election = peers.electReader(!follower.contact().reachable());
+    if (attester.isEntryMissing()) {
       return new ReadDecision(true, false, () -> "the entry of its back end is missing");
     }
     return new ReadDecision(
-        elected.reads(), elected.reads() && peers.isStandbyReader(), elected::inputs);
+        election.reads(), election.reads() && peers.isStandbyReader(), election::inputs);
   }
 
   /**
@@ -77,17 +77,17 @@
    * of the store's pages and no calls to the store, three a start; and the store may show only an
    * older copy.
    */
-  private boolean waitsForPeers() {
+  private boolean shouldWaitForPeers() {
     if (settings.otherSeeds().isEmpty()) {
       return false;
     }
-    long waited = sinceStartMillis();
+    long waitedMillis = uptimeMillis();
     return settings.isFirstStart()
-        ? !settings.isSeed() && waited < FIRST_START_WAIT_MILLIS
-        : !puller.hasAsked() && waited < RESTART_WAIT_MILLIS;
+        ? !settings.isSeed() && waitedMillis < FIRST_START_WAIT_MILLIS
+        : !puller.hasAttemptedTransfer() && waitedMillis < RESTART_WAIT_MILLIS;
   }
 
-  private long sinceStartMillis() {
+  private long uptimeMillis() {
     return clockMillis.getAsLong() - startedMillis;
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/WatchTimes.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/StoreWatchTimings.java
@@ -3,16 +3,16 @@
 import io.umberpath.control.store.StoreWatcherSettings;
 
 /** How the nodes that call the store time their calls. */
-final class WatchTimes {
+final class StoreWatchTimings {
   /**
    * Mean wait of a watch, milliseconds. A watch may hear nothing while changes are made, and then
    * just stand: how long it does so is part of {@link ChangeBudget}. Two nodes of all call so
    * often.
    */
-  private static final long WATCH_MILLIS = 500;
+  private static final long PROMPT_WATCH_MILLIS = 500;
 
   /** Share by which a wait differs from that, so that not all nodes find out at once. */
-  private static final double WATCH_SPREAD = 0.2;
+  private static final double WATCH_JITTER = 0.2;
 
   /**
    * The same for a node that hears of changes from others that call the store promptly. Its watch
@@ -24,7 +24,7 @@
   private static final long STANDBY_PAUSE_MILLIS = 1_000;
 
   /** Pause after changes, in which those of a quick succession gather, milliseconds. */
-  private static final long WATCH_PAUSE_MILLIS = 200;
+  private static final long PROMPT_PAUSE_MILLIS = 200;
 
   /** The same for the first few changes after a quiet time, such as a restart of many nodes. */
   private static final long FAST_POLL_PAUSE_MILLIS = 60;
@@ -40,9 +40,9 @@
   /** For the nodes from which the others hear of changes. */
   static final StoreWatcherSettings PROMPT =
       new StoreWatcherSettings(
-          WATCH_MILLIS,
-          WATCH_SPREAD,
-          WATCH_PAUSE_MILLIS,
+          PROMPT_WATCH_MILLIS,
+          WATCH_JITTER,
+          PROMPT_PAUSE_MILLIS,
           FAST_POLL_PAUSE_MILLIS,
           FAST_POLLS,
           FAST_POLL_REFILL_MILLIS,
@@ -53,7 +53,7 @@
   static final StoreWatcherSettings STANDBY =
       new StoreWatcherSettings(
           STANDBY_WATCH_MILLIS,
-          WATCH_SPREAD,
+          WATCH_JITTER,
           STANDBY_PAUSE_MILLIS,
           STANDBY_PAUSE_MILLIS,
           0,
@@ -61,5 +61,5 @@
           MIN_BACKOFF_MILLIS,
           MAX_BACKOFF_MILLIS);
 
-  private WatchTimes() {}
+  private StoreWatchTimings() {}
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/TransferSchedule.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/TransferSchedule.java
@@ -34,20 +34,20 @@
    * configuration travels as a patch of some hundred bytes, so that the pause bounds connections
    * between nodes, not bytes; that a back end leaves must be known within 2 s.
    */
-  static final long PAUSE_MILLIS = 100;
+  static final long TRANSFER_PAUSE_MILLIS = 100;
 
   /** How long a transfer may take before another is begun beside it, milliseconds. */
-  static final long PATIENCE_MILLIS = 500;
+  static final long SLOW_TRANSFER_MILLIS = 500;
 
-  private static final int MAX_TRANSFERS = 3;
+  private static final int MAX_CONCURRENT_TRANSFERS = 3;
 
   /** Nodes that one asks for facts alone: what it was given as seeds may be three that are down. */
-  private static final int MAX_FACT_TRANSFERS = 3;
+  private static final int MAX_FACT_REQUESTS = 3;
 
   /** Pause between two transfers while this node holds no configuration yet, milliseconds. */
   private static final long START_PAUSE_MILLIS = 200;
 
-  private static final long LEVEL = -1;
+  private static final long UP_TO_DATE = -1;
 
   private final List<PeerAddress> seeds;
   private final int exchangePort;
@@ -56,11 +56,11 @@
   private final StateSources near;
   private final StateSources far;
 
-  /** Since when this node is behind; {@link #LEVEL} while it is not. */
-  private long behindSinceMillis = LEVEL;
+  /** Since when this node is behind; {@link #UP_TO_DATE} while it is not. */
+  private long behindSinceMillis = UP_TO_DATE;
 
   private long nextTransferMillis;
-  private int transfers;
+  private int activeTransfers;
 
   /** The node that changes were last taken from; empty before the first. */
   private String lastSource = "";
@@ -72,7 +72,7 @@
   private boolean hasFacts;
 
   /** Nodes asked for that alone, while this one held a state. */
-  private int factTransfers;
+  private int factRequests;
 
   /**
    * Creates the schedule of a node that holds nothing.
@@ -92,21 +92,22 @@
   }
 
   /** The node starts: it is behind. */
-  void begin(long nowMillis) {
+  void start(long nowMillis) {
     behindSinceMillis = nowMillis;
   }
 
   /** Another node holds something newer. */
-  void ahead(long nowMillis, String host, boolean isNear, long version, StorePosition position) {
+  void recordNewerState(
+      long nowMillis, String host, boolean isNear, long version, StorePosition position) {
     if (!isActive()) {
       behindSinceMillis = nowMillis;
     }
-    (isNear ? near : far).state(host, version, position);
+    (isNear ? near : far).recordAdvertised(host, version, position);
   }
 
-  /** Whether {@link #next} may have something to do. */
+  /** Whether {@link #nextSource} may have something to do. */
   boolean isActive() {
-    return behindSinceMillis != LEVEL;
+    return behindSinceMillis != UP_TO_DATE;
   }
 
   /** For how long this node has been behind, milliseconds. */
@@ -120,33 +121,39 @@
   }
 
   /** The node to take changes from now, which counts as asked; empty if none is due. */
-  Optional<PeerAddress> next(
-      long nowMillis, MeshView view, boolean readsStore, Predicate<String> isSilent) {
-    boolean isBehind = near.isAnyAhead(view) | far.isAnyAhead(view);
+  Optional<PeerAddress> nextSource(
+      long nowMillis, MeshView view, boolean isReadingStore, Predicate<String> isSilent) {
+    boolean isBehind = near.hasNewer(view) | far.hasNewer(view);
     if (view.isComplete() && !isBehind) {
-      return level(nowMillis);
+      return nextWhenUpToDate(nowMillis);
     }
-    List<PeerAddress> sources = sources(view, nowMillis - behindSinceMillis, readsStore, isSilent);
-    if (sources.isEmpty() || nowMillis < nextTransferMillis || transfers == MAX_TRANSFERS) {
+    List<PeerAddress> sources =
+        eligibleSources(view, nowMillis - behindSinceMillis, isReadingStore, isSilent);
+    if (sources.isEmpty()
+        || nowMillis < nextTransferMillis
+        || activeTransfers == MAX_CONCURRENT_TRANSFERS) {
       return Optional.empty();
     }
     // One that does not answer must not take the turn of another that could.
     PeerAddress source =
-        sources.stream().filter(each -> !each.equals(lastTried)).findFirst().orElse(sources.get(0));
+        sources.stream()
+            .filter(candidate -> !candidate.equals(lastTried))
+            .findFirst()
+            .orElse(sources.get(0));
     lastTried = source;
-    near.asked(source.host());
-    far.asked(source.host());
-    return Optional.of(begun(nowMillis, source));
+    near.markTried(source.host());
+    far.markTried(source.host());
+    return Optional.of(recordStart(nowMillis, source));
   }
 
-  private Optional<PeerAddress> level(long nowMillis) {
-    if (asksForFacts(nowMillis)) {
-      factTransfers++;
-      return Optional.of(begun(nowMillis, shuffledSeeds().get(0)));
+  private Optional<PeerAddress> nextWhenUpToDate(long nowMillis) {
+    if (shouldRequestFacts(nowMillis)) {
+      factRequests++;
+      return Optional.of(recordStart(nowMillis, shuffledSeeds().get(0)));
     }
-    if (transfers == 0 || hasFacts) {
-      behindSinceMillis = LEVEL;
-      beginAnew();
+    if (activeTransfers == 0 || hasFacts) {
+      behindSinceMillis = UP_TO_DATE;
+      resetTried();
     }
     return Optional.empty();
   }
@@ -155,29 +162,29 @@
    * Whether a node that read the store by itself is to be told what an older copy may not show: by
    * one of the nodes that it was given, tried a few times.
    */
-  private boolean asksForFacts(long nowMillis) {
+  private boolean shouldRequestFacts(long nowMillis) {
     return !hasFacts
         && !isFirstStart
         && !seeds.isEmpty()
-        && factTransfers < MAX_FACT_TRANSFERS
-        && transfers == 0
+        && factRequests < MAX_FACT_REQUESTS
+        && activeTransfers == 0
         && nowMillis >= nextTransferMillis;
   }
 
-  private PeerAddress begun(long nowMillis, PeerAddress source) {
-    transfers++;
-    nextTransferMillis = nowMillis + PATIENCE_MILLIS;
+  private PeerAddress recordStart(long nowMillis, PeerAddress source) {
+    activeTransfers++;
+    nextTransferMillis = nowMillis + SLOW_TRANSFER_MILLIS;
     return source;
   }
 
-  private List<PeerAddress> sources(
-      MeshView view, long behindMillis, boolean readsStore, Predicate<String> isSilent) {
+  private List<PeerAddress> eligibleSources(
+      MeshView view, long behindMillis, boolean isReadingStore, Predicate<String> isSilent) {
     List<PeerAddress> sources = new ArrayList<>();
-    if (behindMillis >= (readsStore ? READER_WAIT_MILLIS : 0)) {
-      near.next(view, lastSource, isSilent).ifPresent(host -> sources.add(exchangeOf(host)));
+    if (behindMillis >= (isReadingStore ? READER_WAIT_MILLIS : 0)) {
+      near.next(view, lastSource, isSilent).ifPresent(host -> sources.add(exchangeAddress(host)));
     }
-    if (behindMillis >= (readsStore ? READER_WAIT_MILLIS : OTHER_ZONE_WAIT_MILLIS)) {
-      far.next(view, lastSource, isSilent).ifPresent(host -> sources.add(exchangeOf(host)));
+    if (behindMillis >= (isReadingStore ? READER_WAIT_MILLIS : OTHER_ZONE_WAIT_MILLIS)) {
+      far.next(view, lastSource, isSilent).ifPresent(host -> sources.add(exchangeAddress(host)));
     }
     if (!view.isComplete()) {
       sources.addAll(shuffledSeeds());
@@ -191,13 +198,13 @@
     return shuffled;
   }
 
-  private PeerAddress exchangeOf(String host) {
+  private PeerAddress exchangeAddress(String host) {
     return new PeerAddress(host, exchangePort);
   }
 
   /** Another node has given what it holds. */
-  void answered(StorePosition itsPosition) {
-    hasFacts |= itsPosition.isKnown();
+  void recordResponse(StorePosition sourcePosition) {
+    hasFacts |= sourcePosition.isKnown();
   }
 
   /**
@@ -206,23 +213,23 @@
    * @param view what this node holds now
    * @param taken whether it brought something newer
    */
-  void ended(long nowMillis, MeshView view, PeerAddress source, boolean taken) {
-    transfers--;
+  void recordEnd(long nowMillis, MeshView view, PeerAddress source, boolean isAdopted) {
+    activeTransfers--;
     // Other nodes that start too hold nothing yet, and are asked again a little later.
     nextTransferMillis = view.isComplete() ? nowMillis : nowMillis + START_PAUSE_MILLIS;
-    if (taken) {
+    if (isAdopted) {
       lastSource = source.host();
       // The own zone delivers: what is newer still gets the whole time to come from there.
-      nextTransferMillis = nowMillis + PAUSE_MILLIS;
+      nextTransferMillis = nowMillis + TRANSFER_PAUSE_MILLIS;
       behindSinceMillis = nowMillis;
-      beginAnew();
+      resetTried();
     }
   }
 
   /** All sources may be asked again. */
-  private void beginAnew() {
+  private void resetTried() {
     lastTried = null;
-    near.beginAnew();
-    far.beginAnew();
+    near.resetTried();
+    far.resetTried();
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/TransferTimes.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/TransferTimes.java
@@ -14,40 +14,40 @@
 record TransferTimes(long behind, long connect, long answer, long read, long take) {
 
   /** Measures the steps of one transfer as they end. */
-  static final class Clock {
+  static final class Stopwatch {
     private final LongSupplier clockMillis;
-    private final long behind;
+    private final long behindMillis;
     private long lastMillis;
-    private long connect;
-    private long answer;
-    private long read;
+    private long connectMillis;
+    private long responseMillis;
+    private long readMillis;
 
-    Clock(LongSupplier clockMillis, long behindMillis) {
+    Stopwatch(LongSupplier clockMillis, long behindMillis) {
       this.clockMillis = clockMillis;
-      this.behind = behindMillis;
+      this.behindMillis = behindMillis;
       this.lastMillis = clockMillis.getAsLong();
     }
 
-    private long step() {
-      long before = lastMillis;
+    private long lap() {
+      long previousMillis = lastMillis;
       lastMillis = clockMillis.getAsLong();
-      return lastMillis - before;
+      return lastMillis - previousMillis;
     }
 
     void connected() {
-      connect = step();
+      connectMillis = lap();
     }
 
-    void answerBegins() {
-      answer = step();
+    void responseStarted() {
+      responseMillis = lap();
     }
 
-    void answerRead() {
-      read = step();
+    void responseRead() {
+      readMillis = lap();
     }
 
-    TransferTimes taken() {
-      return new TransferTimes(behind, connect, answer, read, step());
+    TransferTimes adopted() {
+      return new TransferTimes(behindMillis, connectMillis, responseMillis, readMillis, lap());
     }
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/ZoneReaders.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/ZoneReaders.java
@@ -24,25 +24,25 @@
   private final PeerReports reports;
 
   /** Nodes that take no new work; shared with who hears of it. */
-  private final Set<String> leaving;
+  private final Set<String> drainingHosts;
 
   private final long roundMillis;
   private final ReaderElection election;
 
   /** The last decision; guarded by this object's lock. */
-  private LastElection last;
+  private LastElection lastElection;
 
   /**
    * The last decision about reading the store, and from what it was made.
    *
    * @param peers the other nodes as they were seen
-   * @param refused whether the store did not answer this node lately
+   * @param isRefused whether the store did not answer this node lately
    * @param atMillis when it was made
    */
   private record LastElection(
-      PeerView peers, boolean refused, long atMillis, ReaderElection.Decision decision) {
-    boolean holds(PeerView current, boolean nowRefused, long nowMillis, long roundMillis) {
-      return peers == current && refused == nowRefused && nowMillis < atMillis + roundMillis;
+      PeerView peers, boolean isRefused, long atMillis, ReaderElection.Decision decision) {
+    boolean isValid(PeerView current, boolean isRefusedNow, long nowMillis, long roundMillis) {
+      return peers == current && isRefused == isRefusedNow && nowMillis < atMillis + roundMillis;
     }
   }
 
@@ -57,13 +57,13 @@
       Supplier<PeerView> peers,
       LongSupplier silenceMillis,
       PeerReports reports,
-      Set<String> leaving,
+      Set<String> drainingHosts,
       long roundMillis) {
     this.self = self;
     this.peers = peers;
     this.silenceMillis = silenceMillis;
     this.reports = reports;
-    this.leaving = leaving;
+    this.drainingHosts = drainingHosts;
     this.roundMillis = roundMillis;
     this.election = new ReaderElection(self, roundMillis);
   }
@@ -72,38 +72,44 @@
    * Whether this node is one of those of its zone that call the store; decided once a round of
    * reports at most, since nothing else changes it.
    *
-   * @param refused whether the store did not answer this node lately
+   * @param isRefused whether the store did not answer this node lately
    */
-  synchronized ReaderElection.Decision decide(long nowMillis, boolean refused) {
+  synchronized ReaderElection.Decision decide(long nowMillis, boolean isRefused) {
     PeerView current = peers.get();
-    if (last == null || !last.holds(current, refused, nowMillis, roundMillis)) {
-      last = new LastElection(current, refused, nowMillis, elect(nowMillis, current, refused));
+    if (lastElection == null || !lastElection.isValid(current, isRefused, nowMillis, roundMillis)) {
+      lastElection =
+          new LastElection(current, isRefused, nowMillis, elect(nowMillis, current, isRefused));
     }
-    return last.decision();
+    return lastElection.decision();
   }
 
-  private ReaderElection.Decision elect(long nowMillis, PeerView current, boolean refused) {
+  private ReaderElection.Decision elect(long nowMillis, PeerView current, boolean isRefused) {
     Set<String> reachable = current.reachableInZone();
-    reachable.removeAll(leaving);
-    Set<String> calling = new HashSet<>();
-    Set<String> refusedNodes = new HashSet<>();
+    reachable.removeAll(drainingHosts);
+    Set<String> callingHosts = new HashSet<>();
+    Set<String> refusedHosts = new HashSet<>();
     reports
-        .of(reachable)
+        .ofHosts(reachable)
         .forEach(
-            (host, heard) -> {
-              ReportedContact.State state = heard.report().contact().state();
+            (host, received) -> {
+              ReportedContact.State state = received.report().storeContact().state();
               if (state != ReportedContact.State.NONE) {
-                calling.add(host);
+                callingHosts.add(host);
               }
               if (state == ReportedContact.State.LOST) {
-                refusedNodes.add(host);
+                refusedHosts.add(host);
               }
             });
-    if (refused) {
-      refusedNodes.add(self);
+    if (isRefused) {
+      refusedHosts.add(self);
     }
     return election.decide(
-        nowMillis, reachable, calling, refusedNodes, current.zones(), silenceMillis.getAsLong());
+        nowMillis,
+        reachable,
+        callingHosts,
+        refusedHosts,
+        current.zones(),
+        silenceMillis.getAsLong());
   }
 
   /**
@@ -113,21 +119,21 @@
   boolean isStandby() {
     PeerView current = peers.get();
     Comparator<String> rank = StoreReaders.rank();
-    long prompt =
-        reports.of(current.others()).entrySet().stream()
+    long promptReaders =
+        reports.ofHosts(current.others()).entrySet().stream()
             .filter(entry -> isCalling(entry.getValue()))
             .map(Map.Entry::getKey)
             .filter(host -> !current.silent().contains(host) && rank.compare(host, self) < 0)
             .count();
-    return prompt >= PROMPT_READERS;
+    return promptReaders >= PROMPT_READERS;
   }
 
-  private static boolean isCalling(PeerReports.Heard heard) {
-    return heard.report().contact().state() == ReportedContact.State.REACHABLE;
+  private static boolean isCalling(PeerReports.ReceivedReport received) {
+    return received.report().storeContact().state() == ReportedContact.State.REACHABLE;
   }
 
   /** The contact with the store that nodes of the own zone state; empty if none calls it. */
-  Optional<StoreContact> contact() {
-    return reports.contact(peers.get().reachableInZone()::contains);
+  Optional<StoreContact> storeContact() {
+    return reports.storeContact(peers.get().reachableInZone()::contains);
   }
 }
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/AttestedBackendsTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/AttestedBackendsTest.java
@@ -18,25 +18,25 @@
   private final AttestedBackends backends = new AttestedBackends();
 
   private List<BackendEntry> ready(long now, StoreContact contact, BackendEntry... listed) {
-    return backends.ready(
+    return backends.readyBackends(
         now, new BackendDirectory(List.of(listed), Set.of()), () -> contact, "booking");
   }
 
   @Test
-  void anAttestedOneIsUsedUntilItsAttestationEnds() {
-    backends.heard(5_000, "10.0.0.1", Optional.of(ENTRY));
+  void attestedBackendIsUsedUntilItsAttestationExpires() {
+    backends.recordAttestation(5_000, "10.0.0.1", Optional.of(ENTRY));
 
     assertThat(ready(7_499, StoreContact.FROM_START)).containsExactly(ENTRY);
     assertThat(ready(7_500, StoreContact.FROM_START)).isEmpty();
 
-    backends.heard(7_600, "10.0.0.1", Optional.of(ENTRY));
-    backends.heard(7_700, "10.0.0.1", Optional.empty());
+    backends.recordAttestation(7_600, "10.0.0.1", Optional.of(ENTRY));
+    backends.recordAttestation(7_700, "10.0.0.1", Optional.empty());
     assertThat(ready(7_700, StoreContact.FROM_START)).isEmpty();
   }
 
   @Test
-  void whatIsListedAtItsAddressGoesBeforeIt() {
-    backends.heard(5_000, "10.0.0.1", Optional.of(ENTRY));
+  void backendListedAtItsAddressReplacesAnAttestedOne() {
+    backends.recordAttestation(5_000, "10.0.0.1", Optional.of(ENTRY));
     BackendEntry later =
         new BackendEntry("b", "booking", ENTRY.address(), "z", 6, BackendEntry.State.READY, 0);
 
@@ -45,43 +45,43 @@
 
   /** The users: one that is still missing two seconds after the store's return is gone. */
   @Test
-  void oneThatIsStillMissingTwoSecondsAfterTheStoreIsBackIsGone() {
+  void backendStillUnlistedTwoSecondsAfterReconnectionIsDropped() {
     StoreContact regained = new StoreContact(true, 5_200);
-    backends.heard(5_000, "10.0.0.1", Optional.of(ENTRY));
+    backends.recordAttestation(5_000, "10.0.0.1", Optional.of(ENTRY));
     assertThat(ready(5_100, LOST)).containsExactly(ENTRY);
 
     for (long now = 5_200; now < 8_000; now += 100) {
-      backends.heard(now, "10.0.0.1", Optional.of(ENTRY));
+      backends.recordAttestation(now, "10.0.0.1", Optional.of(ENTRY));
       assertThat(ready(now, regained).isEmpty()).isEqualTo(now >= 7_200);
     }
   }
 
   @Test
-  void theAttestationOfAnEarlierStartUnderTheIdIsNotCarriedOn() {
+  void attestationOfAnEarlierStartWithTheSameIdIsNotExtended() {
     StoreContact regained = new StoreContact(true, 5_200);
-    backends.heard(5_000, "10.0.0.1", Optional.of(ENTRY));
+    backends.recordAttestation(5_000, "10.0.0.1", Optional.of(ENTRY));
     BackendEntry restarted =
         new BackendEntry(
             "a", "booking", ENTRY.address(), "z", 6, BackendEntry.State.READY, 0, 7_000);
 
-    backends.heard(7_300, "10.0.0.1", Optional.of(restarted));
+    backends.recordAttestation(7_300, "10.0.0.1", Optional.of(restarted));
 
     assertThat(ready(7_300, regained)).containsExactly(restarted);
   }
 
   @Test
-  void oneThatLapsesLaterIsUsedAgain() {
+  void backendWhoseEntryExpiresAfterReconnectionIsUsed() {
     StoreContact regained = new StoreContact(true, 5_200);
-    backends.heard(9_000, "10.0.0.1", Optional.of(ENTRY));
+    backends.recordAttestation(9_000, "10.0.0.1", Optional.of(ENTRY));
 
     assertThat(ready(9_000, regained)).containsExactly(ENTRY);
   }
 
   @Test
-  void oneOfAnEvacuatedZoneIsNotUsed() {
-    backends.heard(5_000, "10.0.0.1", Optional.of(ENTRY));
+  void attestedBackendOfAnEvacuatedZoneIsNotUsed() {
+    backends.recordAttestation(5_000, "10.0.0.1", Optional.of(ENTRY));
     BackendDirectory evacuated = new BackendDirectory(List.of(), Set.of("z"));
 
-    assertThat(backends.ready(5_000, evacuated, () -> LOST, "booking")).isEmpty();
+    assertThat(backends.readyBackends(5_000, evacuated, () -> LOST, "booking")).isEmpty();
   }
 }
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/ChangeBudgetTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/ChangeBudgetTest.java
@@ -18,7 +18,8 @@
   /** Within this an acknowledged configuration is in force, and no work reaches who leaves. */
   private static final long BOUND_MILLIS = 2_000;
 
-  private static final Path NOTE = Path.of("..", "docs", "design", "0018-order-and-bounds.md");
+  private static final Path DESIGN_NOTE =
+      Path.of("..", "docs", "design", "0018-order-and-bounds.md");
 
   static List<ChangeBudget.Path> paths() {
     return ChangeBudget.paths();
@@ -26,24 +27,24 @@
 
   @ParameterizedTest
   @MethodSource("paths")
-  void eachWayLeavesAQuarterOfTheBound(ChangeBudget.Path path) {
+  void eachPathLeavesAQuarterOfTheBound(ChangeBudget.Path path) {
     assertThat(path.millis()).as(path.name()).isLessThan(BOUND_MILLIS * 3 / 4);
     assertThat(ChangeBudget.isWithin(path, BOUND_MILLIS)).isTrue();
   }
 
   @Test
-  void theLongestWayDecides() {
+  void longestPathIsTheWatchThatHearsNothing() {
     assertThat(ChangeBudget.longest().name()).isEqualTo("a watch hears nothing");
   }
 
   @ParameterizedTest
   @MethodSource("paths")
-  void theDesignNoteNamesTheSums(ChangeBudget.Path path) throws IOException {
+  void designNoteListsTheSteps(ChangeBudget.Path path) throws IOException {
     StringBuilder steps = new StringBuilder();
     path.steps()
         .forEach(step -> steps.append(steps.length() == 0 ? "" : " + ").append(step.millis()));
 
-    assertThat(Files.readString(NOTE))
+    assertThat(Files.readString(DESIGN_NOTE))
         .contains("| %s | %s | %d |".formatted(path.name(), steps, path.millis()));
   }
 }
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/ConfigurationWarmUpTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/ConfigurationWarmUpTest.java
@@ -18,18 +18,18 @@
 import org.junit.jupiter.api.Test;
 
 final class ConfigurationWarmUpTest {
-  private final AtomicInteger rulesRead = new AtomicInteger();
+  private final AtomicInteger parsedRules = new AtomicInteger();
 
   private final StoreDocuments documents =
-      new PortDocuments() {
+      new FakeStoreDocuments() {
         @Override
         public RoutingConfiguration readExample(int rules) {
-          rulesRead.addAndGet(rules);
-          return large(rules);
+          parsedRules.addAndGet(rules);
+          return largeConfiguration(rules);
         }
       };
 
-  private static RoutingConfiguration large(int rules) {
+  private static RoutingConfiguration largeConfiguration(int rules) {
     ServiceDefinition service = new ServiceDefinition("booking", "/healthz", 130, 0, 0);
     List<RoutingRule> all =
         IntStream.range(0, rules)
@@ -50,28 +50,28 @@
         1, new RequestLimits(1, 1, 1, 1), all, Map.of(service.name(), service));
   }
 
-  private void readExampleBeside(MeshView view) {
-    new ConfigurationWarmUp(documents, () -> view, null).readExample();
+  private void warmUpWith(MeshView view) {
+    new ConfigurationWarmUp(documents, () -> view, null).parseExample();
   }
 
-  private static MeshView holding(int rules) {
-    RoutingConfiguration configuration = large(rules);
+  private static MeshView viewWith(int rules) {
+    RoutingConfiguration configuration = largeConfiguration(rules);
     StorePosition at = new StorePosition(1, 1);
     BackendDirectory backends = new BackendDirectory(List.of(), Set.of());
     return new MeshView(configuration, RoutingTable.of(configuration), backends, at, at);
   }
 
   @Test
-  void readsAnExampleWhereNothingOrLittleHasBeenRead() {
-    readExampleBeside(MeshView.NOTHING);
-    assertThat(rulesRead).hasValue(ConfigurationWarmUp.RULES);
-    readExampleBeside(holding(3));
-    assertThat(rulesRead).hasValue(2 * ConfigurationWarmUp.RULES);
+  void parsesTheExampleUnlessALargeConfigurationIsHeld() {
+    warmUpWith(MeshView.EMPTY);
+    assertThat(parsedRules).hasValue(ConfigurationWarmUp.EXAMPLE_RULES);
+    warmUpWith(viewWith(3));
+    assertThat(parsedRules).hasValue(2 * ConfigurationWarmUp.EXAMPLE_RULES);
   }
 
   @Test
-  void readsNoneWhereALargeConfigurationHasBeenRead() {
-    readExampleBeside(holding(ConfigurationWarmUp.RULES));
-    assertThat(rulesRead).hasValue(0);
+  void skipsTheExampleIfALargeConfigurationIsHeld() {
+    warmUpWith(viewWith(ConfigurationWarmUp.EXAMPLE_RULES));
+    assertThat(parsedRules).hasValue(0);
   }
 }
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/PortDocuments.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/FakeStoreDocuments.java
@@ -18,7 +18,7 @@
  * state joined by {@code @}; evacuations whose key is {@code evacuate/} and the zone;
  * configurations that hold the one service that is their value, and after an {@code @} the version.
  */
-class PortDocuments implements StoreDocuments {
+class FakeStoreDocuments implements StoreDocuments {
   private static final String CONFIGURATION = "configuration";
   private static final String EVACUATION = "evacuate/";
 
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/FleetModel.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/FleetModel.java
@@ -19,14 +19,14 @@
 /**
  * Nodes with the decisions that run in the process, a store that comes back from older copies, and
  * messages that are late, lost or reordered. What must never happen is checked after each step, and
- * that all nodes hold what the store holds after {@link #settle}.
+ * that all nodes hold what the store holds after {@link #assertConverged}.
  */
 final class FleetModel {
-  private static final StoreWatcherSettings TIMES = new StoreWatcherSettings(500, 0, 1, 1);
+  private static final StoreWatcherSettings TIMINGS = new StoreWatcherSettings(500, 0, 1, 1);
   private static final String CONFIGURATION = "configuration";
-  private static final String LEAVING = "a";
-  private static final String ENDING = "b";
-  private static final String NEXT = "c";
+  private static final String DRAINING = "a";
+  private static final String REPLACED = "b";
+  private static final String REPLACEMENT = "c";
   private static final int SETTLING_ROUNDS = 12;
 
   /** Of all models, on a clock that stands, so that the bounds of its lines hold over all. */
@@ -43,11 +43,14 @@
   private final class Node {
     private final MeshState state =
         new MeshState(
-            new PortDocuments(), new StoreWatcher("", TIMES, () -> 1), EVENTS, () -> nowMillis);
+            new FakeStoreDocuments(),
+            new StoreWatcher("", TIMINGS, () -> 1),
+            EVENTS,
+            () -> nowMillis);
 
     private final List<Message> inFlight = new ArrayList<>();
-    private long version = -1;
-    private final Set<String> departedSeen = new HashSet<>();
+    private long highestVersion = -1;
+    private final Set<String> seenDeparted = new HashSet<>();
 
     Set<String> ready() {
       Set<String> ids = new TreeSet<>();
@@ -55,21 +58,21 @@
       return ids;
     }
 
-    void check() {
+    void checkInvariants() {
       MeshView view = state.view();
-      assertThat(view.version()).as("version in a life").isGreaterThanOrEqualTo(version);
-      version = view.version();
-      for (String id : List.of(LEAVING, ENDING)) {
+      assertThat(view.version()).as("version in a life").isGreaterThanOrEqualTo(highestVersion);
+      highestVersion = view.version();
+      for (String id : List.of(DRAINING, REPLACED)) {
         Optional<BackendEntry> entry = view.backends().byId(id);
         boolean isReady = ready().contains(id);
-        if (departedSeen.contains(id)) {
+        if (seenDeparted.contains(id)) {
           assertThat(isReady).as("%s takes work again", id).isFalse();
         }
         if (entry.filter(each -> each.state() == BackendEntry.State.DRAINING).isPresent()) {
-          departedSeen.add(id);
+          seenDeparted.add(id);
         }
-        if (id.equals(ENDING) && view.backends().byId(NEXT).isPresent()) {
-          departedSeen.add(id);
+        if (id.equals(REPLACED) && view.backends().byId(REPLACEMENT).isPresent()) {
+          seenDeparted.add(id);
         }
       }
     }
@@ -79,51 +82,51 @@
   private final List<Node> nodes = new ArrayList<>();
   private long nowMillis;
   private long acceptedVersion = 1;
-  private boolean hasLeft;
-  private boolean hasNext;
-  private boolean hasNextEnded;
+  private boolean isDraining;
+  private boolean isReplaced;
+  private boolean hasReplacementEnded;
 
   FleetModel(int count) {
     store.put(CONFIGURATION, "booking@1");
-    store.put(LEAVING, "80");
-    store.put(ENDING, "81");
+    store.put(DRAINING, "80");
+    store.put(REPLACED, "81");
     for (int index = 0; index < count; index++) {
       nodes.add(new Node());
     }
-    catchUp();
+    readStoreFullyOnAll();
   }
 
-  int nodes() {
+  int nodeCount() {
     return nodes.size();
   }
 
   /** The operator writes a newer configuration. */
-  void configure() {
+  void writeConfiguration() {
     acceptedVersion++;
     store.put(CONFIGURATION, "booking@" + acceptedVersion);
   }
 
   /** One back end says that it leaves. */
-  void leave() {
-    hasLeft = true;
-    writeIfOther(LEAVING, "80@0@booking@DRAINING");
+  void drain() {
+    isDraining = true;
+    putIfDifferent(DRAINING, "80@0@booking@DRAINING");
   }
 
   /** Another one ends, and its address goes to a back end that starts. */
   void replace() {
-    if (hasNext) {
+    if (isReplaced) {
       return;
     }
-    hasNext = true;
-    store.remove(ENDING);
-    store.put(NEXT, "81");
+    isReplaced = true;
+    store.remove(REPLACED);
+    store.put(REPLACEMENT, "81");
   }
 
   /** The back end at the address used again ends too, perhaps before it is written again. */
-  void endNext() {
-    hasNextEnded = hasNext;
-    if (hasNextEnded && store.items().containsKey(NEXT)) {
-      store.remove(NEXT);
+  void endReplacement() {
+    hasReplacementEnded = isReplaced;
+    if (hasReplacementEnded && store.items().containsKey(REPLACEMENT)) {
+      store.remove(REPLACEMENT);
     }
   }
 
@@ -136,32 +139,32 @@
   }
 
   /** The operator and the back ends write what the store has lost. */
-  void writeAgain() {
-    writeIfOther(CONFIGURATION, "booking@" + acceptedVersion);
-    writeIfOther(LEAVING, hasLeft ? "80@0@booking@DRAINING" : "80");
-    if (!hasNext) {
-      writeIfOther(ENDING, "81");
+  void rewriteLost() {
+    putIfDifferent(CONFIGURATION, "booking@" + acceptedVersion);
+    putIfDifferent(DRAINING, isDraining ? "80@0@booking@DRAINING" : "80");
+    if (!isReplaced) {
+      putIfDifferent(REPLACED, "81");
       return;
     }
-    if (store.items().containsKey(ENDING)) {
-      store.remove(ENDING);
+    if (store.items().containsKey(REPLACED)) {
+      store.remove(REPLACED);
     }
-    if (!hasNextEnded) {
-      writeIfOther(NEXT, "81");
-    } else if (store.items().containsKey(NEXT)) {
-      store.remove(NEXT);
+    if (!hasReplacementEnded) {
+      putIfDifferent(REPLACEMENT, "81");
+    } else if (store.items().containsKey(REPLACEMENT)) {
+      store.remove(REPLACEMENT);
     }
   }
 
-  private void writeIfOther(String key, String value) {
-    StoreItem held = store.items().get(key);
-    if (held == null || !held.value().equals(value)) {
+  private void putIfDifferent(String key, String value) {
+    StoreItem stored = store.items().get(key);
+    if (stored == null || !stored.value().equals(value)) {
       store.put(key, value);
     }
   }
 
   /** A node calls the store, whose answer is on its way from now on. */
-  void call(int index) {
+  void callStore(int index) {
     Node node = nodes.get(index);
     synchronized (node.state) {
       Step step = node.state.watcher().next(nowMillis);
@@ -175,33 +178,33 @@
   }
 
   /** A node asks another one, whose answer is on its way from now on. */
-  void ask(int index, int other) {
+  void requestTransfer(int index, int other) {
     Node node = nodes.get(index);
     TransferRequest request =
-        new TransferRequest(node.state.request(), node.state.view().version(), true);
+        new TransferRequest(node.state.stateRequest(), node.state.view().version(), true);
     node.inFlight.add(new Message.FromPeer(nodes.get(other).state.transferFor(request)));
   }
 
   /** The first or the last message on its way to a node arrives. */
-  void deliver(int index, boolean first) {
+  void deliver(int index, boolean isFirst) {
     Node node = nodes.get(index);
     if (node.inFlight.isEmpty()) {
       return;
     }
-    Message message = node.inFlight.remove(first ? 0 : node.inFlight.size() - 1);
-    if (message instanceof Message.FromPeer peer) {
-      if (node.state.adopt(peer.transfer(), "peer") == MeshState.Adoption.UNFIT) {
+    Message message = node.inFlight.remove(isFirst ? 0 : node.inFlight.size() - 1);
+    if (message instanceof Message.FromPeer fromPeer) {
+      if (node.state.adopt(fromPeer.transfer(), "peer") == MeshState.Adoption.PATCH_MISMATCH) {
         throw new AssertionError("a patch was made from other content");
       }
-    } else if (message instanceof Message.FromStore answered) {
+    } else if (message instanceof Message.FromStore fromStore) {
       synchronized (node.state) {
-        node.state.watcher().answered(nowMillis, answered.answer());
+        node.state.watcher().answered(nowMillis, fromStore.answer());
         if (node.state.watcher().at().isKnown()) {
           node.state.refresh("store");
         }
       }
     }
-    node.check();
+    node.checkInvariants();
   }
 
   /** A node's process ends and another one begins, which asks the others before it reads. */
@@ -209,43 +212,43 @@
     nodes.set(index, new Node());
     for (int other = 0; other < nodes.size(); other++) {
       if (other != index) {
-        ask(index, other);
+        requestTransfer(index, other);
         deliver(index, false);
       }
     }
   }
 
   /** A node calls the store until it has read all that there is. */
-  void follow(int index) {
+  void readStoreFully(int index) {
     for (int round = 0; round < SETTLING_ROUNDS; round++) {
-      call(index);
+      callStore(index);
       while (!nodes.get(index).inFlight.isEmpty()) {
         deliver(index, true);
       }
     }
   }
 
-  private void catchUp() {
+  private void readStoreFullyOnAll() {
     for (int index = 0; index < nodes.size(); index++) {
-      follow(index);
+      readStoreFully(index);
     }
   }
 
   /** All is written again and every node reaches the store: all hold the same, and what is true. */
-  void settle() {
-    writeAgain();
-    catchUp();
+  void assertConverged() {
+    rewriteLost();
+    readStoreFullyOnAll();
     nowMillis += BackendListing.UNRENEWED_MILLIS;
     Set<String> ready = new TreeSet<>();
-    if (!hasNextEnded) {
-      ready.add(hasNext ? NEXT : ENDING);
+    if (!hasReplacementEnded) {
+      ready.add(isReplaced ? REPLACEMENT : REPLACED);
     }
-    if (!hasLeft) {
-      ready.add(LEAVING);
+    if (!isDraining) {
+      ready.add(DRAINING);
     }
     for (Node node : nodes) {
-      node.state.settle();
-      node.check();
+      node.state.applyIfDue();
+      node.checkInvariants();
       assertThat(node.state.view().position()).isEqualTo(store.position());
       assertThat(node.state.view().version()).isEqualTo(acceptedVersion);
       assertThat(node.ready()).isEqualTo(ready);
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/MeshStateLockTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/MeshStateLockTest.java
@@ -25,30 +25,30 @@
   private static final StoreItem CONFIGURATION = new StoreItem("configuration", "booking@7", 5);
   private static final StoreItem BACKEND = new StoreItem("a", "80", 4);
 
-  private final CountDownLatch reading = new CountDownLatch(1);
-  private final CountDownLatch mayEnd = new CountDownLatch(1);
+  private final CountDownLatch parseStarted = new CountDownLatch(1);
+  private final CountDownLatch parseMayEnd = new CountDownLatch(1);
   private final CountDownLatch announced = new CountDownLatch(1);
   private final MeshState state =
       new MeshState(
-          new SlowDocuments(),
-          new StoreWatcher("", WatchTimes.PROMPT, () -> 0.5),
+          new BlockingDocuments(),
+          new StoreWatcher("", StoreWatchTimings.PROMPT, () -> 0.5),
           new MeshEvents(() -> 0),
           () -> 0);
 
   @AfterEach
-  void endReading() {
-    mayEnd.countDown();
+  void endParse() {
+    parseMayEnd.countDown();
   }
 
-  private final class SlowDocuments extends PortDocuments {
+  private final class BlockingDocuments extends FakeStoreDocuments {
     @Override
     public Either<String, RoutingConfiguration> configuration(StoreItem item) {
       if (!item.equals(CONFIGURATION)) {
         return super.configuration(item);
       }
-      reading.countDown();
+      parseStarted.countDown();
       try {
-        mayEnd.await();
+        parseMayEnd.await();
       } catch (InterruptedException ended) {
         throw new IllegalStateException(ended);
       }
@@ -56,19 +56,19 @@
     }
   }
 
-  private CompletableFuture<Void> adopts() throws InterruptedException {
+  private CompletableFuture<Void> startAdoption() throws InterruptedException {
     StoreChanges changes =
         new StoreChanges(StorePosition.NOTHING, AT, List.of(CONFIGURATION, BACKEND), List.of());
     CompletableFuture<Void> adopted =
         CompletableFuture.runAsync(
             () -> state.adopt(new StateTransfer(changes, StoreFacts.NONE), "peer"));
-    reading.await();
+    parseStarted.await();
     return adopted;
   }
 
-  private void assertTaken(CompletableFuture<Void> adopted) {
+  private void assertAppliedAfterParse(CompletableFuture<Void> adopted) {
     assertThat(state.view().version()).isEqualTo(-1);
-    mayEnd.countDown();
+    parseMayEnd.countDown();
     adopted.join();
     assertThat(state.view().version()).isEqualTo(7);
     assertThat(state.view().position()).isEqualTo(AT);
@@ -76,86 +76,86 @@
 
   /** Each node on the way of a change would add the time that it takes to read it. */
   @Test
-  void otherNodesAreGivenAConfigurationThatIsStillBeingRead() throws Exception {
+  void adoptedConfigurationIsServedToPeersWhileItIsParsed() throws Exception {
     state.onAdopted(announced::countDown);
-    CompletableFuture<Void> adopted = adopts();
+    CompletableFuture<Void> adopted = startAdoption();
     announced.await();
 
     TransferRequest request = new TransferRequest(StateRequest.WHOLE, -1, false);
     assertThat(state.transferFor(request).changes().items())
         .containsExactlyInAnyOrder(CONFIGURATION, BACKEND);
-    assertThat(state.view().held()).isEqualTo(AT);
-    assertTaken(adopted);
+    assertThat(state.view().heldPosition()).isEqualTo(AT);
+    assertAppliedAfterParse(adopted);
   }
 
   /** The same where the store has told of it. */
   @Test
-  void otherNodesAreGivenWhatTheStoreToldWhileItIsBeingRead() throws Exception {
+  void storeConfigurationIsServedToPeersWhileItIsParsed() throws Exception {
     StoreAnswer.Page page = new StoreAnswer.Page(List.of(CONFIGURATION), false, AT);
-    assertThat(state.answered(0, page)).isTrue();
+    assertThat(state.handleResponse(0, page)).isTrue();
 
     TransferRequest request = new TransferRequest(StateRequest.WHOLE, -1, false);
     assertThat(state.transferFor(request).changes().items()).containsExactly(CONFIGURATION);
     CompletableFuture<Void> refreshed = CompletableFuture.runAsync(() -> state.refresh("store"));
-    reading.await();
-    assertTaken(refreshed);
+    parseStarted.await();
+    assertAppliedAfterParse(refreshed);
   }
 
   /** The timer keeps deadlines and sends reports. */
   @Test
-  void theTimerIsNotHeldUpWhileAConfigurationIsBeingRead() throws Exception {
-    CompletableFuture<Void> adopted = adopts();
+  void timerIsNotBlockedWhileAConfigurationIsParsed() throws Exception {
+    CompletableFuture<Void> adopted = startAdoption();
 
-    state.settle();
-    assertTaken(adopted);
+    state.applyIfDue();
+    assertAppliedAfterParse(adopted);
   }
 
   /** It has all that the others hold, and would ask them in vain. */
   @Test
-  void aNodeIsNotBehindThoseWhoseConfigurationItIsReading() throws Exception {
-    CompletableFuture<Void> adopted = adopts();
+  void nodeIsNotBehindPeersWhoseConfigurationItParses() throws Exception {
+    CompletableFuture<Void> adopted = startAdoption();
 
     assertThat(state.view().isBehind(7, AT)).isFalse();
     assertThat(state.view().isBehind(8, new StorePosition(1, 6))).isTrue();
-    assertTaken(adopted);
+    assertAppliedAfterParse(adopted);
   }
 
   /** A node that starts would go by the copy alone. */
   @Test
-  void aNewerConfigurationIsToldWithAnOlderCopyThatIsBeingRead() throws Exception {
+  void newerConfigurationIsServedWithAnOlderCopyThatIsParsed() throws Exception {
     StoreItem newer = new StoreItem("configuration", "booking@9", 8);
-    take(new StorePosition(0, 8), newer, BACKEND);
-    CompletableFuture<Void> adopted = adopts();
+    adopt(new StorePosition(0, 8), newer, BACKEND);
+    CompletableFuture<Void> adopted = startAdoption();
 
     TransferRequest request = new TransferRequest(StateRequest.WHOLE, -1, false);
     assertThat(state.transferFor(request).facts().configuration()).contains(newer);
-    mayEnd.countDown();
+    parseMayEnd.countDown();
     adopted.join();
     assertThat(state.view().version()).isEqualTo(9);
   }
 
   /** Its entry is replaced by that of the copy before it was in force. */
   @Test
-  void aDepartureThatIsNotInForceYetOutlastsAnOlderCopy() throws Exception {
+  void departureNotYetAppliedSurvivesAnOlderCopy() throws Exception {
     StoreItem ready = new StoreItem("a", "80@1000", 4);
-    take(new StorePosition(1, 4), ready);
+    adopt(new StorePosition(1, 4), ready);
     StoreItem leaving = new StoreItem("a", "80@1000@booking@DRAINING", 5);
     CompletableFuture<Void> adopted =
-        CompletableFuture.runAsync(() -> take(AT, CONFIGURATION, leaving));
-    reading.await();
-    Thread copy = new Thread(() -> take(new StorePosition(2, 4), ready));
+        CompletableFuture.runAsync(() -> adopt(AT, CONFIGURATION, leaving));
+    parseStarted.await();
+    Thread copy = new Thread(() -> adopt(new StorePosition(2, 4), ready));
     copy.start();
     while (copy.getState() != Thread.State.BLOCKED && copy.isAlive()) {
       Thread.sleep(1);
     }
-    mayEnd.countDown();
+    parseMayEnd.countDown();
     adopted.join();
     copy.join();
 
     assertThat(state.view().backends().ready("booking")).isEmpty();
   }
 
-  private void take(StorePosition at, StoreItem... items) {
+  private void adopt(StorePosition at, StoreItem... items) {
     StoreChanges changes = new StoreChanges(StorePosition.NOTHING, at, List.of(items), List.of());
     state.adopt(new StateTransfer(changes, StoreFacts.NONE), "peer");
   }
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/MeshStateTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/MeshStateTest.java
@@ -16,8 +16,8 @@
   private final AtomicLong now = new AtomicLong();
   private final MeshState state =
       new MeshState(
-          new PortDocuments(),
-          new StoreWatcher("", WatchTimes.PROMPT, () -> 0.5),
+          new FakeStoreDocuments(),
+          new StoreWatcher("", StoreWatchTimings.PROMPT, () -> 0.5),
           new MeshEvents(() -> 0),
           now::get);
 
@@ -36,7 +36,7 @@
 
   /** The store lists a start that has ended until its lease runs out. */
   @Test
-  void ofTwoStartsAtOneAddressOnlyTheLaterIsListed() {
+  void onlyTheLaterOfTwoStartsAtOneAddressIsListed() {
     state.adopt(
         whole(4, List.of(new StoreItem("a", "80", 3), new StoreItem("b", "81", 4))), "peer");
     assertThat(ready()).containsExactly("a", "b");
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void theOrderInWhichTheyAreReadDoesNotMatter() {
+  void orderOfItemsDoesNotMatter() {
     state.adopt(
         whole(7, List.of(new StoreItem("c", "80", 7), new StoreItem("a", "80", 3))), "peer");
 
@@ -60,7 +60,7 @@
 
   /** The clock of a back end's machine may have been set back: the store's order holds. */
   @Test
-  void ofTwoStartsUnderOneIdTheOneThatWasWrittenLastIsListedWhateverItsTimeIs() {
+  void lastWrittenOfTwoStartsUnderOneIdIsListedWhateverItsStartTime() {
     state.adopt(whole(3, List.of(new StoreItem("a", "80@9000", 3))), "peer");
     assertThat(state.view().backends().byId("a").get().bornMillis()).isEqualTo(9_000);
 
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void anEntryThatIsNoneNamesNoBackendAndTheOthersHold() {
+  void invalidEntryIsSkippedAndTheOthersAreUsed() {
     state.adopt(whole(5, List.of(new StoreItem("a", "", 5), new StoreItem("b", "81", 4))), "peer");
 
     assertThat(ready()).containsExactly("b");
@@ -78,7 +78,7 @@
 
   /** Another writer's entry may name the address of a back end that serves. */
   @Test
-  void anEntryOfAnUnknownServiceTakesNobodysPlace() {
+  void entryOfAnUnknownServiceReplacesNoBackend() {
     List<StoreItem> items =
         List.of(
             new StoreItem("configuration", "booking", 2),
@@ -91,7 +91,7 @@
   }
 
   @Test
-  void theBackendsOfAnEvacuatedZoneAreNotReadyUntilTheEvacuationIsTakenBack() {
+  void backendsOfAnEvacuatedZoneAreNotReadyUntilTheEvacuationEnds() {
     StoreItem backend = new StoreItem("a", "80", 3);
     state.adopt(whole(4, List.of(backend, new StoreItem("evacuate/z", "{}", 4))), "peer");
     assertThat(ready()).isEmpty();
@@ -102,7 +102,7 @@
   }
 
   @Test
-  void theDirectoryStaysWhileNoBackendOrEvacuationChanges() {
+  void directoryIsKeptWhileNoBackendOrEvacuationChanges() {
     StoreItem backend = new StoreItem("a", "80", 3);
     state.adopt(whole(4, List.of(backend)), "peer");
     BackendDirectory before = state.view().backends();
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/PeerMessagesTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/PeerMessagesTest.java
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void theZoneOfANodeThatIsNotListedIsReadAsItWasWritten() throws IOException {
+  void zoneOfAnUnlistedNodeRoundTrips() throws IOException {
     PeerReport listed = report(false, Optional.empty());
     PeerReport unlisted =
         new PeerReport(
@@ -69,8 +69,8 @@
             false,
             listed.version(),
             listed.position(),
-            listed.contact(),
-            listed.suspects(),
+            listed.storeContact(),
+            listed.suspectsDigest(),
             Optional.of("z"),
             Optional.empty());
     PeerMessage message = message(PeerMessage.Kind.REPORTS, 1, unlisted);
@@ -84,7 +84,7 @@
   }
 
   @Test
-  void suspicionsAreReadAsTheyWereWritten() throws IOException {
+  void suspicionsRoundTrip() throws IOException {
     CrashMark mark = new CrashMark(-7, 90_000, false);
     CrashMark cleared = new CrashMark(1_234_567_890, 99_750, true);
     Suspicion first = new Suspicion(new RequestFingerprint(-1, Long.MAX_VALUE), List.of(mark));
@@ -104,7 +104,7 @@
   }
 
   @Test
-  void manySuspicionsTravelInDatagramsThatPassWhole() throws IOException {
+  void manySuspicionsAreSplitIntoUnfragmentedDatagrams() throws IOException {
     List<CrashMark> marks =
         IntStream.range(0, 64).mapToObj(crash -> new CrashMark(crash << 24, 0, true)).toList();
     List<Suspicion> many =
@@ -122,7 +122,7 @@
   }
 
   @Test
-  void aReportIsReadAsItWasWritten() throws IOException {
+  void reportRoundTrips() throws IOException {
     PeerMessage message = message(PeerMessage.Kind.REPORTS, 1, report(true, Optional.empty()));
 
     byte[] bytes = message.encode();
@@ -133,14 +133,14 @@
 
   /** A zone of 25 nodes, as many as the largest deployments have, gossips in single datagrams. */
   @Test
-  void theReportsOfAZoneFitOneDatagram() {
+  void reportsOfAZoneFitOneDatagram() {
     PeerMessage zone = message(PeerMessage.Kind.REPORTS, 25, report(false, Optional.empty()));
 
     assertThat(PeerMessage.encode(PeerMessage.Kind.REPORTS, zone.entries())).hasSize(1);
   }
 
   @Test
-  void aReportThatAttestsABackendIsReadAsItWasWritten() throws IOException {
+  void reportWithAnAttestedBackendRoundTrips() throws IOException {
     PeerMessage message = message(PeerMessage.Kind.REPORTS, 1, report(false, Optional.of(ENTRY)));
 
     byte[] bytes = message.encode();
@@ -157,7 +157,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {1, 14, 24, 25, 28, 29, 143})
-  void aDigestIsSplitIntoDatagramsThatPassWhole(int count) throws IOException {
+  void digestIsSplitIntoUnfragmentedDatagrams(int count) throws IOException {
     PeerMessage whole = message(PeerMessage.Kind.DIGEST, count, report(false, Optional.of(ENTRY)));
 
     List<PeerMessage.Entry> read = new ArrayList<>();
@@ -171,7 +171,7 @@
 
   /** What a message holds in place of a report is refused when it is read. */
   @Test
-  void aReportOfAnotherFormIsRefused() throws IOException {
+  void malformedReportIsRejectedWhenDecoded() throws IOException {
     byte[] bytes = message(PeerMessage.Kind.REPORTS, 1, report(false, Optional.empty())).encode();
     // The last byte ends the message, the one before it the report's list.
     bytes[bytes.length - 2] = 0;
@@ -182,7 +182,7 @@
   }
 
   @Test
-  void whatIsNoMessageIsRefused() {
+  void malformedMessageIsRejected() {
     byte[] garbage = {1, 2, 3, 4};
 
     assertThatThrownBy(() -> PeerDatagram.decode(garbage, garbage.length))
@@ -190,7 +190,7 @@
   }
 
   @Test
-  void changesAreReadAsTheyWereWritten() throws IOException {
+  void changesRoundTrip() throws IOException {
     StoreChanges changes =
         new StoreChanges(
             new StorePosition(2, 7),
@@ -215,7 +215,7 @@
   }
 
   @Test
-  void aRequestForThemIsReadAsItWasWritten() throws IOException {
+  void transferRequestRoundTrips() throws IOException {
     StateRequest held = new StateRequest(new StorePosition(3, 17), 12);
     TransferRequest request = new TransferRequest(held, 42, true);
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
@@ -226,7 +226,7 @@
   }
 
   @Test
-  void changesThatAreCutShortAreRefusedWhole() {
+  void truncatedChangesAreRejected() {
     byte[] whole =
         StateChangesCodec.encode(
             new StateTransfer(
@@ -244,7 +244,7 @@
   }
 
   @Test
-  void aHopLineIsReadAsItWasWritten() {
+  void hopHeaderRoundTrips() {
     HopHeader hop = new HopHeader("i-7f", "r-1", 2, 150, 180, 40, -5, true);
 
     assertThat(HopHeader.decode(hop.encode())).contains(hop);
@@ -260,7 +260,7 @@
         "i-7f,r-1,x,150,180,40,-5,0",
         "a,b,1,2,3,4,5,6,7"
       })
-  void whatIsNoHopLineIsNone(String text) {
+  void malformedHopHeaderIsIgnored(String text) {
     assertThat(HopHeader.decode(text)).isEmpty();
   }
 }
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/PeerReportsTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/PeerReportsTest.java
@@ -19,65 +19,65 @@
   }
 
   /** Stamps of one run whose counts are the times. */
-  private boolean take(String host, PeerReport report, int atMillis) throws IOException {
-    return take(host, new PeerMessage.Stamp(7, atMillis), report, atMillis);
+  private boolean accept(String host, PeerReport report, int atMillis) throws IOException {
+    return accept(host, new PeerMessage.Stamp(7, atMillis), report, atMillis);
   }
 
-  private boolean take(String host, PeerMessage.Stamp stamp, PeerReport report, long atMillis)
+  private boolean accept(String host, PeerMessage.Stamp stamp, PeerReport report, long atMillis)
       throws IOException {
     PeerMessage.Entry entry = new PeerMessage.Entry(host, 0, stamp, EncodedReport.of(report));
-    return reports.take(entry, atMillis).isPresent();
+    return reports.accept(entry, atMillis).isPresent();
   }
 
   /** Digests overtake each other: an older report of a node does not replace a later one. */
   @Test
-  void theLatestReportOfANodeStands() throws IOException {
-    assertThat(take("a", report(ReportedContact.NO_CALLS, 3), 1_000)).isTrue();
-    assertThat(take("a", report(ReportedContact.NO_CALLS, 5), 900)).isFalse();
+  void latestReportOfANodeIsKept() throws IOException {
+    assertThat(accept("a", report(ReportedContact.NO_CALLS, 3), 1_000)).isTrue();
+    assertThat(accept("a", report(ReportedContact.NO_CALLS, 5), 900)).isFalse();
 
-    assertThat(reports.of(Set.of("a", "b")).get("a").report().load().running()).isEqualTo(3);
+    assertThat(reports.ofHosts(Set.of("a", "b")).get("a").report().load().running()).isEqualTo(3);
   }
 
   @Test
-  void reportsThatAreTooOldAreForgotten() throws IOException {
-    take("a", report(ReportedContact.NO_CALLS, 3), 1_000);
-    reports.forget(12_000);
+  void expiredReportsAreRemoved() throws IOException {
+    accept("a", report(ReportedContact.NO_CALLS, 3), 1_000);
+    reports.removeExpired(12_000);
 
-    assertThat(reports.of(Set.of("a"))).isEmpty();
+    assertThat(reports.ofHosts(Set.of("a"))).isEmpty();
   }
 
   @Test
-  void theContactOfAZoneIsThatOfItsReaders() throws IOException {
+  void storeContactOfAZoneIsThatOfItsReaders() throws IOException {
     ReportedContact lost = new ReportedContact(ReportedContact.State.LOST, 300);
     ReportedContact reachable = new ReportedContact(ReportedContact.State.REACHABLE, 700);
-    take("idle", report(ReportedContact.NO_CALLS, 0), 1_000);
-    assertThat(reports.contact(host -> true)).isEmpty();
+    accept("idle", report(ReportedContact.NO_CALLS, 0), 1_000);
+    assertThat(reports.storeContact(host -> true)).isEmpty();
 
-    take("refused", report(lost, 0), 1_000);
-    assertThat(reports.contact(host -> true)).contains(new StoreContact(false, 700));
+    accept("refused", report(lost, 0), 1_000);
+    assertThat(reports.storeContact(host -> true)).contains(new StoreContact(false, 700));
 
-    take("reader", report(reachable, 0), 1_000);
-    assertThat(reports.contact(host -> true)).contains(new StoreContact(true, 300));
-    assertThat(reports.contact(host -> !host.equals("reader")))
+    accept("reader", report(reachable, 0), 1_000);
+    assertThat(reports.storeContact(host -> true)).contains(new StoreContact(true, 300));
+    assertThat(reports.storeContact(host -> !host.equals("reader")))
         .contains(new StoreContact(false, 700));
   }
 
   /** Passed on and on, the report of a node that has died would keep it alive for ever. */
   @Test
-  void theSameReportThatCameALongerWayIsNotNews() throws IOException {
+  void duplicateReportIsIgnored() throws IOException {
     PeerReport report = report(ReportedContact.NO_CALLS, 3);
-    assertThat(take("a", report, 1_000)).isTrue();
+    assertThat(accept("a", report, 1_000)).isTrue();
 
-    assertThat(take("a", new PeerMessage.Stamp(7, 1_000), report, 1_050)).isFalse();
-    assertThat(reports.of(Set.of("a")).get("a").atMillis()).isEqualTo(1_000);
+    assertThat(accept("a", new PeerMessage.Stamp(7, 1_000), report, 1_050)).isFalse();
+    assertThat(reports.ofHosts(Set.of("a")).get("a").madeAtMillis()).isEqualTo(1_000);
   }
 
   @Test
-  void aNodeThatStartedAgainBeginsToCountAgain() throws IOException {
+  void restartedNodeRestartsItsSequence() throws IOException {
     PeerReport report = report(ReportedContact.NO_CALLS, 3);
-    take("a", report, 1_000);
+    accept("a", report, 1_000);
 
-    assertThat(take("a", new PeerMessage.Stamp(8, 1), report, 1_500)).isTrue();
-    assertThat(take("a", new PeerMessage.Stamp(7, 1_001), report, 1_100)).isFalse();
+    assertThat(accept("a", new PeerMessage.Stamp(8, 1), report, 1_500)).isTrue();
+    assertThat(accept("a", new PeerMessage.Stamp(7, 1_001), report, 1_100)).isFalse();
   }
 }
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/PeerViewTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/PeerViewTest.java
@@ -17,7 +17,7 @@
   }
 
   @Test
-  void aNodeOfUnknownZoneIsReportedToButNothingIsLeftToIt() {
+  void nodeOfUnknownZoneGetsReportsButNoZoneTasks() {
     PeerView view = view(Set.of("a", "b", "c", "unplaced"), Set.of("b"));
 
     assertThat(view.near()).containsExactlyInAnyOrder("a", "b", "unplaced");
@@ -28,7 +28,7 @@
 
   /** Digests of a zone were left to nodes that each zone took for its own. */
   @Test
-  void nodesOfUnknownZoneAreNoDelegates() {
+  void nodesOfUnknownZoneAreNotDelegates() {
     Set<String> unplaced = Set.of("u1", "u2", "u3", "u4", "u5", "u6", "u7", "u8");
     PeerView view = view(Set.of("c", "u1", "u2", "u3", "u4", "u5", "u6", "u7", "u8"), Set.of());
     ReportSchedule schedule = new ReportSchedule("self");
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/ReadersAfterALossTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/ReaderFailoverTest.java
@@ -27,9 +27,9 @@
  * It showed in the lines "peer-heard" of a machine without power and "store-reader ends" of all
  * zones within a second, and in no call to the store by any node for 5 s.
  */
-final class ReadersAfterALossTest {
-  private static final long UNLISTED_MILLIS = 10_000;
-  private static final long PAUSE_MILLIS = 600;
+final class ReaderFailoverTest {
+  private static final long UNLISTED_RETENTION_MILLIS = 10_000;
+  private static final long PROCESS_PAUSE_MILLIS = 600;
   private static final long LOSS_MILLIS = 5_000;
   private static final long LEASE_MILLIS = 4_500;
   private static final long END_MILLIS = 30_000;
@@ -47,14 +47,14 @@
     Node(String host, String zone) {
       this.host = host;
       this.zone = zone;
-      this.known = new KnownPeers(host, UNLISTED_MILLIS, PAUSE_MILLIS);
+      this.known = new KnownPeers(host, UNLISTED_RETENTION_MILLIS, PROCESS_PAUSE_MILLIS);
     }
   }
 
   private final Map<String, Node> nodes = new HashMap<>();
   private final Map<String, String> zones = new HashMap<>();
 
-  private void build(int zoneCount, int zoneNodes) {
+  private void buildFleet(int zoneCount, int zoneNodes) {
     for (int zone = 0; zone < zoneCount; zone++) {
       for (int index = 0; index < zoneNodes; index++) {
         String host = "10." + (zone + 1) + ".0." + (index + 3);
@@ -65,11 +65,11 @@
   }
 
   /** The node that ranks before all others. */
-  private String first() {
-    return nodes.keySet().stream().filter(host -> ahead(host, nodes.keySet())).findAny().get();
+  private String firstRanked() {
+    return nodes.keySet().stream().filter(host -> ranksFirst(host, nodes.keySet())).findAny().get();
   }
 
-  private static boolean ahead(String host, Collection<String> all) {
+  private static boolean ranksFirst(String host, Collection<String> all) {
     List<String> others = new ArrayList<>(all);
     others.remove(host);
     return reads(host, new HashSet<>(others), ONE_READER_ZONES);
@@ -86,16 +86,16 @@
       return;
     }
     node.listed = listed;
-    SilenceTimes times = SilenceTimes.of((int) listed.stream().filter(near(node)).count());
+    SilenceTimes times = SilenceTimes.of((int) listed.stream().filter(isInZoneOf(node)).count());
     Map<String, KnownPeers.ListedPeer> entries = new HashMap<>();
     for (String host : listed) {
-      long silentMillis = near(node).test(host) ? times.nearMillis() : times.farMillis();
+      long silentMillis = isInZoneOf(node).test(host) ? times.nearMillis() : times.farMillis();
       entries.put(host, new KnownPeers.ListedPeer(zones.get(host), silentMillis));
     }
     node.known.replace(now, entries);
   }
 
-  private Predicate<String> near(Node node) {
+  private Predicate<String> isInZoneOf(Node node) {
     return host -> zones.get(host).equals(node.zone);
   }
 
@@ -106,7 +106,7 @@
   }
 
   /** Each round every living node is heard of by all others. */
-  private void round(long now, Set<String> dead, Set<String> listed) {
+  private void runRound(long now, Set<String> dead, Set<String> listed) {
     for (Node node : nodes.values()) {
       for (String host : nodes.keySet()) {
         if (!dead.contains(host)) {
@@ -120,26 +120,26 @@
 
   @ParameterizedTest
   @ValueSource(ints = {1, 3, 12})
-  void everyZoneKeepsAReaderWhenTheFirstOneIsLost(int zoneNodes) {
-    build(ONE_READER_ZONES, zoneNodes + 1);
-    String lost = first();
-    long noticed = LOSS_MILLIS + SilenceTimes.of(zoneNodes + 1).nearMillis();
+  void everyZoneKeepsAReaderWhenTheFirstRankedNodeIsLost(int zoneNodes) {
+    buildFleet(ONE_READER_ZONES, zoneNodes + 1);
+    String lost = firstRanked();
+    long detectedMillis = LOSS_MILLIS + SilenceTimes.of(zoneNodes + 1).nearMillis();
 
     for (long now = 0; now < END_MILLIS; now += SilenceTimes.ROUND_MILLIS) {
-      boolean lapsed = now >= LOSS_MILLIS + LEASE_MILLIS;
+      boolean isExpired = now >= LOSS_MILLIS + LEASE_MILLIS;
       Set<String> dead = now < LOSS_MILLIS ? Set.of() : Set.of(lost);
       Set<String> listed = new HashSet<>(nodes.keySet());
-      if (lapsed) {
+      if (isExpired) {
         listed.remove(lost);
       }
-      round(now, dead, listed);
-      if (now < LOSS_MILLIS || now > noticed) {
-        assertThat(zonesWithAReader(now, dead)).as("at %d ms", now).hasSize(ONE_READER_ZONES);
+      runRound(now, dead, listed);
+      if (now < LOSS_MILLIS || now > detectedMillis) {
+        assertThat(zonesWithReader(now, dead)).as("at %d ms", now).hasSize(ONE_READER_ZONES);
       }
     }
   }
 
-  private Set<String> zonesWithAReader(long now, Set<String> dead) {
+  private Set<String> zonesWithReader(long now, Set<String> dead) {
     Set<String> served = new HashSet<>();
     for (Node node : nodes.values()) {
       if (!dead.contains(node.host) && reads(now, node)) {
@@ -151,15 +151,15 @@
 
   /** A node whose back end's entry has lapsed lives on, and reads on for its zone. */
   @Test
-  void aReaderWhoseEntryIsGoneReadsOnWhileItReports() {
-    build(ONE_READER_ZONES, 3);
-    String first = first();
+  void unlistedReaderKeepsReadingWhileItReports() {
+    buildFleet(ONE_READER_ZONES, 3);
+    String first = firstRanked();
     Set<String> listed = new HashSet<>(nodes.keySet());
     listed.remove(first);
 
     for (long now = 0; now < END_MILLIS; now += SilenceTimes.ROUND_MILLIS) {
-      round(now, Set.of(), now < LOSS_MILLIS ? nodes.keySet() : listed);
-      assertThat(zonesWithAReader(now, Set.of())).as("at %d ms", now).hasSize(ONE_READER_ZONES);
+      runRound(now, Set.of(), now < LOSS_MILLIS ? nodes.keySet() : listed);
+      assertThat(zonesWithReader(now, Set.of())).as("at %d ms", now).hasSize(ONE_READER_ZONES);
     }
   }
 }
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/DeafWatchTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/SilentWatchTest.java
@@ -12,17 +12,17 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** A store that forgets its history first leaves watches standing that hear nothing. */
-final class DeafWatchTest {
+final class SilentWatchTest {
   /** An accepted configuration is in force after this, milliseconds. */
   private static final long BOUND_MILLIS = 2_000;
 
   /** For two calls after the watch: one that hears that history is gone, one that reads. */
-  private static final long CALLS_MILLIS = 500;
+  private static final long TWO_CALLS_MILLIS = 500;
 
   @ParameterizedTest
   @ValueSource(doubles = {0, 0.5, 1})
-  void aWatchThatHearsNothingEndsWellWithinTheBound(double drawn) {
-    StoreWatcher watcher = new StoreWatcher("", WatchTimes.PROMPT, () -> drawn);
+  void watchThatHearsNothingEndsWellWithinTheBound(double drawn) {
+    StoreWatcher watcher = new StoreWatcher("", StoreWatchTimings.PROMPT, () -> drawn);
     watcher.next(0);
     watcher.answered(
         0, new StoreAnswer.Page(List.of(), false, new StorePosition(StorePosition.NO_ERA, 1)));
@@ -30,6 +30,6 @@
     Step.Call step = (Step.Call) watcher.next(1);
 
     StoreCall.Watch watch = (StoreCall.Watch) step.call();
-    assertThat(watch.waitMillis()).isLessThanOrEqualTo(BOUND_MILLIS - CALLS_MILLIS);
+    assertThat(watch.waitMillis()).isLessThanOrEqualTo(BOUND_MILLIS - TWO_CALLS_MILLIS);
   }
 }
