--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/VirtualFleet.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/SimulatedFleet.java
@@ -19,7 +19,7 @@
  * reader that the store answers, two of all call it promptly. Reports go out when a reader has news
  * and every round to three nodes of the zone; digests once a second.
  */
-final class VirtualFleet {
+final class SimulatedFleet {
   private static final int EXCHANGE_PORT = 7_000;
   private static final int PROMPT_READERS = 2;
   private static final int GOSSIP_TARGETS = 3;
@@ -32,10 +32,10 @@
   private static final long TRANSFER_TIMEOUT_MILLIS = 2_000;
   private static final MeshEvents EVENTS = new MeshEvents(() -> 0);
 
-  private record Timed(long atMillis, long order, Runnable task) {}
+  private record ScheduledTask(long atMillis, long order, Runnable task) {}
 
   /** A watch that waits at the store. */
-  private record Standing(Node node, long after, long untilMillis) {}
+  private record PendingWatch(Node node, long after, long untilMillis) {}
 
   /** One node. */
   final class Node {
@@ -44,11 +44,11 @@
     final String host;
     final MeshState state;
     private final TransferSchedule schedule;
-    private boolean announces;
-    private boolean pulls;
+    private boolean isAnnouncing;
+    private boolean isPulling;
 
     /** Whether the back end that has left gets new work from here. */
-    boolean sendsToLeaver() {
+    boolean sendsToDrainingBackend() {
       return state.view().backends().ready("booking").stream()
           .anyMatch(entry -> entry.id().equals("b-0"));
     }
@@ -59,8 +59,8 @@
       this.host = "10." + zone + "." + index / 250 + "." + (1 + index % 250);
       this.state =
           new MeshState(
-              new PortDocuments(),
-              new StoreWatcher("", WatchTimes.PROMPT, random::nextDouble),
+              new FakeStoreDocuments(),
+              new StoreWatcher("", StoreWatchTimings.PROMPT, random::nextDouble),
               EVENTS,
               () -> now);
       this.schedule = new TransferSchedule(List.of(), EXCHANGE_PORT, true, () -> random);
@@ -71,8 +71,8 @@
   private final StoreModel store;
   private final int zones;
   private final List<Node> nodes = new ArrayList<>();
-  private final List<Standing> standing = new ArrayList<>();
-  private final PriorityQueue<Timed> queue =
+  private final List<PendingWatch> pendingWatches = new ArrayList<>();
+  private final PriorityQueue<ScheduledTask> queue =
       new PriorityQueue<>(
           (one, other) ->
               one.atMillis() != other.atMillis()
@@ -80,14 +80,14 @@
                   : Long.compare(one.order(), other.order()));
   private long order;
   private long now;
-  private boolean away;
-  private int cutZone = -1;
-  private Predicate<Node> refused = node -> false;
-  private int calls;
-  private int wholeReads;
+  private boolean isStoreDown;
+  private int isolatedZone = -1;
+  private Predicate<Node> isRefused = node -> false;
+  private int storeCalls;
+  private int fullReads;
   private long transferBytes;
 
-  VirtualFleet(int size, int zones, long seed, StoreModel store) {
+  SimulatedFleet(int size, int zones, long seed, StoreModel store) {
     this.random = new Random(seed);
     this.zones = zones;
     this.store = store;
@@ -95,12 +95,12 @@
       nodes.add(new Node(index, index % zones));
     }
     // The store refuses a third of the nodes, of each zone alike.
-    this.refused = node -> node.index / zones % 3 == 0;
+    this.isRefused = node -> node.index / zones % 3 == 0;
     for (Node node : nodes) {
-      node.schedule.begin(0);
-      at(random.nextInt((int) ROUND_MILLIS), () -> round(node));
+      node.schedule.start(0);
+      schedule(random.nextInt((int) ROUND_MILLIS), () -> runRound(node));
       if (isReader(node)) {
-        at(random.nextInt(500), () -> follow(node));
+        schedule(random.nextInt(500), () -> callStore(node));
       }
     }
   }
@@ -113,12 +113,12 @@
     return now;
   }
 
-  int calls() {
-    return calls;
+  int storeCalls() {
+    return storeCalls;
   }
 
-  int wholeReads() {
-    return wholeReads;
+  int fullReads() {
+    return fullReads;
   }
 
   long transferBytes() {
@@ -130,17 +130,17 @@
   }
 
   /** Runs a task at a time. */
-  void at(long millis, Runnable task) {
-    queue.add(new Timed(millis, order++, task));
+  void schedule(long millis, Runnable task) {
+    queue.add(new ScheduledTask(millis, order++, task));
   }
 
-  private void in(long millis, Runnable task) {
-    at(now + millis, task);
+  private void scheduleAfter(long millis, Runnable task) {
+    schedule(now + millis, task);
   }
 
   void runUntil(long millis) {
     while (!queue.isEmpty() && queue.peek().atMillis() <= millis) {
-      Timed next = queue.remove();
+      ScheduledTask next = queue.remove();
       now = next.atMillis();
       next.task().run();
     }
@@ -148,44 +148,46 @@
   }
 
   /** The store is away, or back. */
-  void away(boolean isAway) {
-    away = isAway;
-    List<Standing> cut = List.copyOf(standing);
-    standing.clear();
-    cut.forEach(each -> reply(each.node(), new StoreAnswer.Unavailable("cut")));
+  void setStoreDown(boolean isDown) {
+    isStoreDown = isDown;
+    List<PendingWatch> failed = List.copyOf(pendingWatches);
+    pendingWatches.clear();
+    failed.forEach(
+        pending -> deliverAfterDelay(pending.node(), new StoreAnswer.Unavailable("cut")));
   }
 
   /** Cuts a zone off from the store and the others; -1 for none. */
-  void cutOff(int zone) {
-    cutZone = zone;
+  void isolateZone(int zone) {
+    isolatedZone = zone;
   }
 
   /** The store has changed: watches that wait are answered. */
-  void changed() {
-    List<Standing> heard = new ArrayList<>(standing);
-    standing.clear();
-    for (Standing each : heard) {
-      if (isCutFromStore(each.node())) {
-        standing.add(each);
+  void onStoreChange() {
+    List<PendingWatch> notified = new ArrayList<>(pendingWatches);
+    pendingWatches.clear();
+    for (PendingWatch pending : notified) {
+      if (isIsolated(pending.node())) {
+        pendingWatches.add(pending);
       } else {
-        reply(each.node(), store.answer(new StoreCall.Watch("", each.after(), 0)));
+        deliverAfterDelay(
+            pending.node(), store.answer(new StoreCall.Watch("", pending.after(), 0)));
       }
     }
   }
 
-  private boolean isCutFromStore(Node node) {
-    return node.zone == cutZone;
+  private boolean isIsolated(Node node) {
+    return node.zone == isolatedZone;
   }
 
-  private boolean reach(Node one, Node other) {
-    return one.zone == other.zone || (one.zone != cutZone && other.zone != cutZone);
+  private boolean canReach(Node one, Node other) {
+    return one.zone == other.zone || (one.zone != isolatedZone && other.zone != isolatedZone);
   }
 
   /** The first node of each zone that the store answers. */
   private boolean isReader(Node node) {
-    return !refused.test(node)
+    return !isRefused.test(node)
         && nodes.stream()
-            .filter(each -> each.zone == node.zone && !refused.test(each))
+            .filter(each -> each.zone == node.zone && !isRefused.test(each))
             .findFirst()
             .filter(first -> first == node)
             .isPresent();
@@ -195,95 +197,97 @@
     return node.zone < PROMPT_READERS;
   }
 
-  private void follow(Node node) {
-    node.state.watcher().pace(isPrompt(node) ? WatchTimes.PROMPT : WatchTimes.STANDBY);
+  private void callStore(Node node) {
+    node.state
+        .watcher()
+        .pace(isPrompt(node) ? StoreWatchTimings.PROMPT : StoreWatchTimings.STANDBY);
     Step step = node.state.watcher().next(now);
     if (step instanceof Step.Wait wait) {
-      at(Math.max(now + 1, wait.untilMillis()), () -> follow(node));
+      schedule(Math.max(now + 1, wait.untilMillis()), () -> callStore(node));
       return;
     }
-    calls++;
+    storeCalls++;
     StoreCall call = ((Step.Call) step).call();
-    if (away || isCutFromStore(node)) {
-      reply(node, new StoreAnswer.Unavailable("away"));
+    if (isStoreDown || isIsolated(node)) {
+      deliverAfterDelay(node, new StoreAnswer.Unavailable("away"));
     } else if (call instanceof StoreCall.Watch watch) {
       watch(node, watch);
     } else {
-      wholeReads += ((StoreCall.Read) call).after().isEmpty() ? 1 : 0;
-      reply(node, store.answer(call));
+      fullReads += ((StoreCall.Read) call).after().isEmpty() ? 1 : 0;
+      deliverAfterDelay(node, store.answer(call));
     }
   }
 
   private void watch(Node node, StoreCall.Watch watch) {
-    StoreAnswer atOnce = store.answer(watch);
-    boolean waits = atOnce instanceof StoreAnswer.Events events && events.events().isEmpty();
+    StoreAnswer immediate = store.answer(watch);
+    boolean waits = immediate instanceof StoreAnswer.Events events && events.events().isEmpty();
     if (!waits) {
-      reply(node, atOnce);
+      deliverAfterDelay(node, immediate);
       return;
     }
-    Standing waiting = new Standing(node, watch.afterRevision(), now + watch.waitMillis());
-    standing.add(waiting);
-    at(
-        waiting.untilMillis(),
+    PendingWatch pending = new PendingWatch(node, watch.afterRevision(), now + watch.waitMillis());
+    pendingWatches.add(pending);
+    schedule(
+        pending.untilMillis(),
         () -> {
-          if (standing.remove(waiting)) {
-            reply(node, atOnce);
+          if (pendingWatches.remove(pending)) {
+            deliverAfterDelay(node, immediate);
           }
         });
   }
 
-  private void reply(Node node, StoreAnswer answer) {
-    in(STORE_MILLIS, () -> answered(node, answer));
+  private void deliverAfterDelay(Node node, StoreAnswer answer) {
+    scheduleAfter(STORE_MILLIS, () -> handleResponse(node, answer));
   }
 
-  private void answered(Node node, StoreAnswer answer) {
+  private void handleResponse(Node node, StoreAnswer answer) {
     StorePosition before = node.state.watcher().at();
     boolean changed = node.state.watcher().answered(now, answer);
     if (changed || !node.state.watcher().at().equals(before)) {
       node.state.refresh("store");
       announce(node);
     }
-    follow(node);
+    callStore(node);
   }
 
   private void announce(Node node) {
-    if (node.announces) {
+    if (node.isAnnouncing) {
       return;
     }
-    node.announces = true;
-    in(
-        MeshNode.ANNOUNCE_MILLIS,
+    node.isAnnouncing = true;
+    scheduleAfter(
+        MeshNode.ANNOUNCE_DELAY_MILLIS,
         () -> {
-          node.announces = false;
-          near(node).forEach(peer -> report(node, peer));
+          node.isAnnouncing = false;
+          zonePeers(node).forEach(peer -> sendReport(node, peer));
           for (int zone = 0; zone < zones; zone++) {
-            digest(node, zone);
+            sendDigest(node, zone);
           }
         });
   }
 
-  private List<Node> near(Node node) {
+  private List<Node> zonePeers(Node node) {
     return nodes.stream().filter(each -> each.zone == node.zone && each != node).toList();
   }
 
-  private void report(Node from, Node to) {
+  private void sendReport(Node from, Node to) {
     MeshView view = from.state.view();
-    heard(from, to, view.version(), view.position(), DATAGRAM_MILLIS);
+    deliverReport(from, to, view.version(), view.position(), DATAGRAM_MILLIS);
   }
 
   /** One node of another zone hears, and passes it on to its zone. */
-  private void digest(Node from, int zone) {
-    List<Node> there = nodes.stream().filter(each -> each.zone == zone).toList();
-    Node relay = there.get(random.nextInt(there.size()));
-    if (zone == from.zone || !reach(from, relay)) {
+  private void sendDigest(Node from, int zone) {
+    List<Node> candidates = nodes.stream().filter(each -> each.zone == zone).toList();
+    Node relay = candidates.get(random.nextInt(candidates.size()));
+    if (zone == from.zone || !canReach(from, relay)) {
       return;
     }
     MeshView view = from.state.view();
-    heard(from, relay, view.version(), view.position(), FAR_DATAGRAM_MILLIS);
-    near(relay)
+    deliverReport(from, relay, view.version(), view.position(), FAR_DATAGRAM_MILLIS);
+    zonePeers(relay)
         .forEach(
             peer ->
-                heard(
+                deliverReport(
                     from,
                     peer,
                     view.version(),
@@ -291,87 +295,88 @@
                     FAR_DATAGRAM_MILLIS + DATAGRAM_MILLIS));
   }
 
-  private void heard(Node from, Node to, long version, StorePosition position, long millis) {
-    in(
+  private void deliverReport(
+      Node from, Node to, long version, StorePosition position, long millis) {
+    scheduleAfter(
         millis,
         () -> {
           MeshView view = to.state.view();
           if (version > view.version() || position.isAfter(view.position())) {
-            to.schedule.ahead(now, from.host, from.zone == to.zone, version, position);
-            pull(to);
+            to.schedule.recordNewerState(now, from.host, from.zone == to.zone, version, position);
+            startPulling(to);
           }
         });
   }
 
-  private void round(Node node) {
-    node.state.settle();
-    List<Node> near = near(node);
+  private void runRound(Node node) {
+    node.state.applyIfDue();
+    List<Node> near = zonePeers(node);
     for (int target = 0; target < Math.min(GOSSIP_TARGETS, near.size()); target++) {
-      report(node, near.get(random.nextInt(near.size())));
+      sendReport(node, near.get(random.nextInt(near.size())));
     }
     boolean isDelegate = node.index / zones < 2;
     if (isDelegate && now % DIGEST_MILLIS < ROUND_MILLIS) {
       for (int zone = 0; zone < zones; zone++) {
-        digest(node, zone);
+        sendDigest(node, zone);
       }
     }
-    in(ROUND_MILLIS, () -> round(node));
+    scheduleAfter(ROUND_MILLIS, () -> runRound(node));
   }
 
   /** Runs the schedule of a node now and every few milliseconds while it has something to do. */
-  private void pull(Node node) {
-    if (node.pulls) {
+  private void startPulling(Node node) {
+    if (node.isPulling) {
       return;
     }
-    node.pulls = true;
-    step(node);
+    node.isPulling = true;
+    pullStep(node);
   }
 
-  private void step(Node node) {
+  private void pullStep(Node node) {
     if (!node.schedule.isActive()) {
-      node.pulls = false;
+      node.isPulling = false;
       return;
     }
     node.schedule
-        .next(now, node.state.view(), isReader(node), host -> false)
+        .nextSource(now, node.state.view(), isReader(node), host -> false)
         .ifPresent(source -> transfer(node, source));
-    in(StatePuller.CHECK_MILLIS, () -> step(node));
+    scheduleAfter(StatePuller.CHECK_INTERVAL_MILLIS, () -> pullStep(node));
   }
 
   private void transfer(Node node, PeerAddress source) {
-    Node giver =
+    Node sourceNode =
         nodes.stream().filter(each -> each.host.equals(source.host())).findFirst().orElseThrow();
-    if (!reach(node, giver)) {
-      in(TRANSFER_TIMEOUT_MILLIS, () -> ended(node, source, false));
+    if (!canReach(node, sourceNode)) {
+      scheduleAfter(TRANSFER_TIMEOUT_MILLIS, () -> endTransfer(node, source, false));
       return;
     }
-    StateRequest held = node.state.request();
+    StateRequest held = node.state.stateRequest();
     TransferRequest request =
         new TransferRequest(held, node.state.view().version(), node.schedule.wantsFacts());
-    in(
+    scheduleAfter(
         HALF_TRANSFER_MILLIS,
         () -> {
-          StateTransfer given = giver.state.transferFor(request);
-          transferBytes += StateChangesCodec.encode(given).length;
-          in(HALF_TRANSFER_MILLIS, () -> taken(node, source, given));
+          StateTransfer transfer = sourceNode.state.transferFor(request);
+          transferBytes += StateChangesCodec.encode(transfer).length;
+          scheduleAfter(HALF_TRANSFER_MILLIS, () -> adopt(node, source, transfer));
         });
   }
 
-  private void taken(Node node, PeerAddress source, StateTransfer given) {
-    node.schedule.answered(given.changes().at());
-    boolean taken = node.state.adopt(given, source.host()) == MeshState.Adoption.TAKEN;
-    if (taken && isReader(node)) {
+  private void adopt(Node node, PeerAddress source, StateTransfer transfer) {
+    node.schedule.recordResponse(transfer.changes().at());
+    boolean isAdopted = node.state.adopt(transfer, source.host()) == MeshState.Adoption.ADOPTED;
+    if (isAdopted && isReader(node)) {
       announce(node);
     }
-    ended(node, source, taken);
+    endTransfer(node, source, isAdopted);
   }
 
-  private void ended(Node node, PeerAddress source, boolean taken) {
-    node.schedule.ended(now, node.state.view(), source, taken);
+  private void endTransfer(Node node, PeerAddress source, boolean isAdopted) {
+    node.schedule.recordEnd(now, node.state.view(), source, isAdopted);
   }
 
   /** Items that a store of back ends has at the start: a configuration and their entries. */
-  static void fill(StoreModel store, int backends) {
+  static void populate(StoreModel store, int backends) {
     store.put("configuration", "booking@1");
     for (int index = 0; index < backends; index++) {
       store.put("b-" + index, Integer.toString(1_000 + index));
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/StatePullerTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/StatePullerTest.java
@@ -23,7 +23,7 @@
 
 final class StatePullerTest {
   private static final int SLOW_MILLIS = 800;
-  private static final long GIVE_UP_MILLIS = 20_000;
+  private static final long AWAIT_MILLIS = 20_000;
   private static final LongSupplier CLOCK = () -> System.nanoTime() / 1_000_000;
   private static final StateTransfer CHANGES = changesTo(4);
 
@@ -70,11 +70,14 @@
    * then and begun anew, so that no change ever arrived.
    */
   @Test
-  void aTransferOverAFullLinkIsNotGivenUp() throws Exception {
+  void transferOverASaturatedLinkCompletes() throws Exception {
     MeshEvents events = new MeshEvents(CLOCK);
     MeshState state =
         new MeshState(
-            new PortDocuments(), new StoreWatcher("", WatchTimes.PROMPT, () -> 0.5), events, CLOCK);
+            new FakeStoreDocuments(),
+            new StoreWatcher("", StoreWatchTimings.PROMPT, () -> 0.5),
+            events,
+            CLOCK);
     try (ServerSocket server = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"));
         StatePuller puller =
             new StatePuller(settings(server.getLocalPort()), state, () -> false, events, CLOCK)) {
@@ -82,9 +85,9 @@
       thread.setDaemon(true);
       thread.start();
       puller.start();
-      puller.ahead("127.0.0.1", true, -1, position(4));
+      puller.onNewerState("127.0.0.1", true, -1, position(4));
 
-      long end = CLOCK.getAsLong() + GIVE_UP_MILLIS;
+      long end = CLOCK.getAsLong() + AWAIT_MILLIS;
       while (state.view().position().revision() < 4 && CLOCK.getAsLong() < end) {
         Thread.sleep(10);
       }
@@ -105,7 +108,7 @@
   }
 
   private static void awaitRevision(MeshState state, long revision) throws InterruptedException {
-    long end = CLOCK.getAsLong() + GIVE_UP_MILLIS;
+    long end = CLOCK.getAsLong() + AWAIT_MILLIS;
     while (state.view().position().revision() < revision && CLOCK.getAsLong() < end) {
       Thread.sleep(10);
     }
@@ -117,12 +120,15 @@
    * since the first one, and took all of them from other zones although its own delivered.
    */
   @Test
-  void otherZonesWaitAnewAfterEachTransferFromTheOwnZone() throws Exception {
+  void waitForOtherZonesRestartsAfterEachTransferFromTheOwnZone() throws Exception {
     AtomicLong now = new AtomicLong();
     MeshEvents events = new MeshEvents(CLOCK);
     MeshState state =
         new MeshState(
-            new PortDocuments(), new StoreWatcher("", WatchTimes.PROMPT, () -> 0.5), events, CLOCK);
+            new FakeStoreDocuments(),
+            new StoreWatcher("", StoreWatchTimings.PROMPT, () -> 0.5),
+            events,
+            CLOCK);
     StateServer near =
         StateServer.open(
             new PeerAddress("127.0.0.1", 0), request -> StateChangesCodec.encode(changesTo(4)));
@@ -135,9 +141,9 @@
         StatePuller puller =
             new StatePuller(settings(near.port()), state, () -> false, events, now::get)) {
       puller.start();
-      puller.ahead("127.0.0.2", false, -1, position(5));
+      puller.onNewerState("127.0.0.2", false, -1, position(5));
       now.set(900);
-      puller.ahead("127.0.0.1", true, -1, position(4));
+      puller.onNewerState("127.0.0.1", true, -1, position(4));
       awaitRevision(state, 4);
 
       now.set(1_500);
@@ -155,14 +161,14 @@
    * change took 2.2 s in place of one.
    */
   @Test
-  void aSourceThatDoesNotAnswerDoesNotTakeTheTurnOfAnotherZone() throws Exception {
-    takesTheStateAfterADeadSource(false, 2);
+  void unresponsiveSourceDoesNotDelayASourceOfAnotherZone() throws Exception {
+    assertPullsAfterAnUnresponsiveSource(false, 2);
   }
 
   /** The node that stated the newest version was killed; it alone was asked, though others live. */
   @Test
-  void anotherSourceOfTheSameZoneIsAskedAfterOneThatDoesNotAnswer() throws Exception {
-    takesTheStateAfterADeadSource(true, 1);
+  void anotherSourceOfTheSameZoneIsAskedAfterAnUnresponsiveOne() throws Exception {
+    assertPullsAfterAnUnresponsiveSource(true, 1);
   }
 
   /**
@@ -171,38 +177,41 @@
    * @param otherIsNear whether the other one is of the own zone too
    * @param deadTurns how often the dead one is asked before it, each half a second
    */
-  private static void takesTheStateAfterADeadSource(boolean otherIsNear, int deadTurns)
-      throws Exception {
+  private static void assertPullsAfterAnUnresponsiveSource(
+      boolean isOtherNear, int unresponsiveTurns) throws Exception {
     AtomicLong now = new AtomicLong();
     MeshEvents events = new MeshEvents(CLOCK);
     MeshState state =
         new MeshState(
-            new PortDocuments(), new StoreWatcher("", WatchTimes.PROMPT, () -> 0.5), events, CLOCK);
+            new FakeStoreDocuments(),
+            new StoreWatcher("", StoreWatchTimings.PROMPT, () -> 0.5),
+            events,
+            CLOCK);
     AtomicInteger asked = new AtomicInteger();
-    try (ServerSocket dead = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"));
+    try (ServerSocket unresponsive = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"));
         StateServer other =
             StateServer.open(
-                new PeerAddress("127.0.0.2", dead.getLocalPort()),
+                new PeerAddress("127.0.0.2", unresponsive.getLocalPort()),
                 request -> StateChangesCodec.encode(changesTo(5)));
         StatePuller puller =
             new StatePuller(settings(other.port()), state, () -> false, events, now::get)) {
-      Thread thread = new Thread(() -> acceptAndSayNothing(dead, asked));
+      Thread thread = new Thread(() -> acceptWithoutResponse(unresponsive, asked));
       thread.setDaemon(true);
       thread.start();
       puller.start();
-      puller.ahead("127.0.0.2", otherIsNear, -1, position(5));
-      puller.ahead("127.0.0.1", true, -1, position(6));
-      for (int turn = 1; turn <= deadTurns; turn++) {
+      puller.onNewerState("127.0.0.2", isOtherNear, -1, position(5));
+      puller.onNewerState("127.0.0.1", true, -1, position(6));
+      for (int turn = 1; turn <= unresponsiveTurns; turn++) {
         awaitCount(asked, turn);
         now.addAndGet(500);
       }
       awaitRevision(state, 5);
 
-      assertThat(asked).hasValue(deadTurns);
+      assertThat(asked).hasValue(unresponsiveTurns);
     }
   }
 
-  private static void acceptAndSayNothing(ServerSocket server, AtomicInteger accepted) {
+  private static void acceptWithoutResponse(ServerSocket server, AtomicInteger accepted) {
     List<Socket> peers = new ArrayList<>();
     while (!server.isClosed()) {
       try {
@@ -216,7 +225,7 @@
   }
 
   private static void awaitCount(AtomicInteger counter, int count) throws InterruptedException {
-    long end = CLOCK.getAsLong() + GIVE_UP_MILLIS;
+    long end = CLOCK.getAsLong() + AWAIT_MILLIS;
     while (counter.get() < count && CLOCK.getAsLong() < end) {
       Thread.sleep(10);
     }
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/StateSourcesTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/StateSourcesTest.java
@@ -19,16 +19,16 @@
   }
 
   private String next() {
-    String host = sources.next(MeshView.NOTHING, "last", "silent"::equals).orElse("");
-    sources.asked(host);
+    String host = sources.next(MeshView.EMPTY, "last", "silent"::equals).orElse("");
+    sources.markTried(host);
     return host;
   }
 
   @Test
-  void oneThatDoesNotAnswerIsFollowedByTheNextFurthest() {
-    sources.state("a", 5, position(50));
-    sources.state("b", 4, position(40));
-    sources.state("c", 3, position(30));
+  void sourcesAreTriedInOrderOfTheirPosition() {
+    sources.recordAdvertised("a", 5, position(50));
+    sources.recordAdvertised("b", 4, position(40));
+    sources.recordAdvertised("c", 3, position(30));
 
     assertThat(next()).isEqualTo("a");
     assertThat(next()).isEqualTo("b");
@@ -37,30 +37,30 @@
   }
 
   @Test
-  void ofEqualsTheLastSourceComesFirst() {
-    sources.state("a", 5, position(50));
-    sources.state("last", 5, position(50));
-    sources.state("b", 5, position(50));
+  void lastSourceIsPreferredAmongEquals() {
+    sources.recordAdvertised("a", 5, position(50));
+    sources.recordAdvertised("last", 5, position(50));
+    sources.recordAdvertised("b", 5, position(50));
 
     assertThat(next()).isEqualTo("last");
   }
 
   @Test
-  void aSilentNodeIsNotAsked() {
-    sources.state("silent", 5, position(50));
-    sources.state("a", 4, position(40));
+  void silentNodeIsNotAsked() {
+    sources.recordAdvertised("silent", 5, position(50));
+    sources.recordAdvertised("a", 4, position(40));
 
     assertThat(next()).isEqualTo("a");
     assertThat(next()).isEqualTo("a");
   }
 
   @Test
-  void afterATransferThatGaveSomethingAllMayBeAskedAgain() {
-    sources.state("a", 5, position(50));
-    sources.state("b", 4, position(40));
+  void allSourcesMayBeAskedAgainAfterAReset() {
+    sources.recordAdvertised("a", 5, position(50));
+    sources.recordAdvertised("b", 4, position(40));
 
     assertThat(next()).isEqualTo("a");
-    sources.beginAnew();
+    sources.resetTried();
 
     assertThat(next()).isEqualTo("a");
   }
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/StoreFollowerTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/StoreFollowerTest.java
@@ -21,8 +21,8 @@
 
 final class StoreFollowerTest {
   private static final LongSupplier CLOCK = () -> System.nanoTime() / 1_000_000;
-  private static final long PATIENCE_SECONDS = 20;
-  private static final int LOOKS = 4;
+  private static final long TIMEOUT_SECONDS = 20;
+  private static final int POLICY_CHECKS = 4;
 
   /** Answers each call at once, and counts them. */
   private static final class CountingClient implements StoreClient {
@@ -42,34 +42,34 @@
   }
 
   @Test
-  void onlyANodeThatIsToReadCallsTheStore() throws Exception {
+  void onlyAReaderCallsTheStore() throws Exception {
     MeshEvents events = new MeshEvents(CLOCK);
-    StoreWatcher watcher = new StoreWatcher("", WatchTimes.PROMPT, () -> 0.5);
-    MeshState state = new MeshState(new PortDocuments(), watcher, events, CLOCK);
+    StoreWatcher watcher = new StoreWatcher("", StoreWatchTimings.PROMPT, () -> 0.5);
+    MeshState state = new MeshState(new FakeStoreDocuments(), watcher, events, CLOCK);
     CountingClient client = new CountingClient();
-    AtomicBoolean reads = new AtomicBoolean();
-    CountDownLatch looks = new CountDownLatch(LOOKS);
+    AtomicBoolean shouldRead = new AtomicBoolean();
+    CountDownLatch policyChecks = new CountDownLatch(POLICY_CHECKS);
     CountDownLatch changed = new CountDownLatch(1);
     try (StoreFollower follower = new StoreFollower(state, client, events, CLOCK)) {
-      follower.onlyIf(
+      follower.setReadPolicy(
           () -> {
-            looks.countDown();
-            return new ReadDecision(reads.get(), false, () -> "set by the test");
+            policyChecks.countDown();
+            return new ReadDecision(shouldRead.get(), false, () -> "set by the test");
           });
       follower.onChange(changed::countDown);
       follower.start();
-      assertThat(looks.await(PATIENCE_SECONDS, TimeUnit.SECONDS)).isTrue();
+      assertThat(policyChecks.await(TIMEOUT_SECONDS, TimeUnit.SECONDS)).isTrue();
       assertThat(client.calls).hasValue(0);
-      assertThat(follower.reported()).isEqualTo(ReportedContact.NO_CALLS);
+      assertThat(follower.reportedContact()).isEqualTo(ReportedContact.NO_CALLS);
 
-      reads.set(true);
-      assertThat(changed.await(PATIENCE_SECONDS, TimeUnit.SECONDS)).isTrue();
-      assertThat(follower.reported().state()).isEqualTo(ReportedContact.State.REACHABLE);
+      shouldRead.set(true);
+      assertThat(changed.await(TIMEOUT_SECONDS, TimeUnit.SECONDS)).isTrue();
+      assertThat(follower.reportedContact().state()).isEqualTo(ReportedContact.State.REACHABLE);
     }
   }
 
   private static void await(BooleanSupplier condition) throws InterruptedException {
-    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS);
+    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
     while (!condition.getAsBoolean()) {
       assertThat(System.nanoTime()).isLessThan(end);
       Thread.sleep(5);
@@ -81,10 +81,10 @@
    * on as its zone's reader, said that its calls are answered, and nobody else read.
    */
   @Test
-  void aNodeThatTheStoreKeepsThrottlingIsNoReaderToRelyOn() throws Exception {
+  void persistentlyThrottledReaderReportsLostContact() throws Exception {
     MeshEvents events = new MeshEvents(CLOCK);
-    StoreWatcher watcher = new StoreWatcher("", WatchTimes.PROMPT, () -> 0.5);
-    MeshState state = new MeshState(new PortDocuments(), watcher, events, CLOCK);
+    StoreWatcher watcher = new StoreWatcher("", StoreWatchTimings.PROMPT, () -> 0.5);
+    MeshState state = new MeshState(new FakeStoreDocuments(), watcher, events, CLOCK);
     CountDownLatch calls = new CountDownLatch(8);
     StoreClient client =
         new StoreClient() {
@@ -102,13 +102,13 @@
         };
     try (StoreFollower follower = new StoreFollower(state, client, events, CLOCK)) {
       follower.start();
-      await(() -> follower.reported().state() == ReportedContact.State.LOST);
-      await(() -> follower.reported().state() == ReportedContact.State.REACHABLE);
+      await(() -> follower.reportedContact().state() == ReportedContact.State.LOST);
+      await(() -> follower.reportedContact().state() == ReportedContact.State.REACHABLE);
     }
   }
 
   /** Each call hangs until the test gives its answer. */
-  private static StoreClient client(SynchronousQueue<StoreAnswer> answers) {
+  private static StoreClient blockingClient(SynchronousQueue<StoreAnswer> answers) {
     return new StoreClient() {
       @Override
       public StoreAnswer call(StoreCall call) {
@@ -126,22 +126,23 @@
 
   /** A node said that its calls are answered before the first was, and while one hung for good. */
   @Test
-  void aNodeSaysThatItsCallsAreAnsweredOnlyWhileTheyAre() throws Exception {
+  void reportsReachableOnlyWhileCallsAreAnswered() throws Exception {
     AtomicLong now = new AtomicLong();
     MeshEvents events = new MeshEvents(CLOCK);
-    StoreWatcher watcher = new StoreWatcher("", WatchTimes.PROMPT, () -> 0.5);
-    MeshState state = new MeshState(new PortDocuments(), watcher, events, CLOCK);
+    StoreWatcher watcher = new StoreWatcher("", StoreWatchTimings.PROMPT, () -> 0.5);
+    MeshState state = new MeshState(new FakeStoreDocuments(), watcher, events, CLOCK);
     SynchronousQueue<StoreAnswer> answers = new SynchronousQueue<>();
-    try (StoreFollower follower = new StoreFollower(state, client(answers), events, now::get)) {
+    try (StoreFollower follower =
+        new StoreFollower(state, blockingClient(answers), events, now::get)) {
       follower.start();
-      assertThat(follower.reported().state()).isEqualTo(ReportedContact.State.NONE);
+      assertThat(follower.reportedContact().state()).isEqualTo(ReportedContact.State.NONE);
 
       answers.put(
           new StoreAnswer.Page(List.of(), false, new StorePosition(StorePosition.NO_ERA, 1)));
-      await(() -> follower.reported().state() == ReportedContact.State.REACHABLE);
+      await(() -> follower.reportedContact().state() == ReportedContact.State.REACHABLE);
 
       now.addAndGet(10_000);
-      assertThat(follower.reported().state()).isEqualTo(ReportedContact.State.LOST);
+      assertThat(follower.reportedContact().state()).isEqualTo(ReportedContact.State.LOST);
     }
   }
 
@@ -157,23 +158,24 @@
     "true, 4_350, REACHABLE",
     "true, 4_370, LOST"
   })
-  void aCallIsLateOnlyBeyondWhatItMayTake(
+  void callIsLateOnlyAfterItsLongestWait(
       boolean standby, String millis, ReportedContact.State state) throws Exception {
     AtomicLong now = new AtomicLong();
     MeshEvents events = new MeshEvents(CLOCK);
-    StoreWatcher watcher = new StoreWatcher("", WatchTimes.PROMPT, () -> 1);
-    MeshState held = new MeshState(new PortDocuments(), watcher, events, CLOCK);
+    StoreWatcher watcher = new StoreWatcher("", StoreWatchTimings.PROMPT, () -> 1);
+    MeshState held = new MeshState(new FakeStoreDocuments(), watcher, events, CLOCK);
     SynchronousQueue<StoreAnswer> answers = new SynchronousQueue<>();
-    try (StoreFollower follower = new StoreFollower(held, client(answers), events, now::get)) {
-      follower.onlyIf(() -> new ReadDecision(true, standby, () -> "set by the test"));
+    try (StoreFollower follower =
+        new StoreFollower(held, blockingClient(answers), events, now::get)) {
+      follower.setReadPolicy(() -> new ReadDecision(true, standby, () -> "set by the test"));
       follower.start();
       answers.put(
           new StoreAnswer.Page(List.of(), false, new StorePosition(StorePosition.NO_ERA, 1)));
-      await(() -> follower.reported().state() == ReportedContact.State.REACHABLE);
+      await(() -> follower.reportedContact().state() == ReportedContact.State.REACHABLE);
 
       now.addAndGet(Long.parseLong(millis.replace("_", "")));
 
-      assertThat(follower.reported().state()).isEqualTo(state);
+      assertThat(follower.reportedContact().state()).isEqualTo(state);
     }
   }
 }
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/StoreModel.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/StoreModel.java
@@ -15,7 +15,7 @@
   private long era = 1;
 
   /** Revision below which no changes are kept. */
-  private long historySince;
+  private long oldestHistoryRevision;
 
   void put(String key, String value) {
     events.add(new StoreEvent.Put(new StoreItem(key, value, revision() + 1)));
@@ -29,12 +29,12 @@
   void restore(int lostChanges) {
     int left = Math.max(1, events.size() - lostChanges);
     events.subList(left, events.size()).clear();
-    historySince = Math.min(historySince, revision());
+    oldestHistoryRevision = Math.min(oldestHistoryRevision, revision());
     era++;
   }
 
   void forgetHistory() {
-    historySince = revision();
+    oldestHistoryRevision = revision();
   }
 
   long revision() {
@@ -71,7 +71,7 @@
   }
 
   private StoreAnswer changes(long after) {
-    if (after > revision() || after < historySince) {
+    if (after > revision() || after < oldestHistoryRevision) {
       return new StoreAnswer.HistoryGone(era);
     }
     List<StoreEvent> later = events.subList((int) after, events.size());
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/ZoneReadersTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/ZoneReadersTest.java
@@ -22,20 +22,20 @@
   private static final GateLoad LOAD = new GateLoad(0, 0, 6, 50_000, 100, 0);
 
   private final PeerReports reports = new PeerReports();
-  private final Set<String> leaving = new HashSet<>();
-  private PeerView peers = PeerView.NOBODY;
+  private final Set<String> drainingHosts = new HashSet<>();
+  private PeerView peers = PeerView.EMPTY;
   private long now = 100_000;
   private int count;
 
-  private static PeerView seeing(String host, Set<String> silent) {
+  private static PeerView viewOf(String host, Set<String> silent) {
     return PeerView.of(Set.of(host), silent, "z", each -> Optional.of("z"));
   }
 
-  private ZoneReaders readersOf(String self) {
-    return new ZoneReaders(self, () -> peers, () -> 900, reports, leaving, ROUND_MILLIS);
+  private ZoneReaders readersFor(String self) {
+    return new ZoneReaders(self, () -> peers, () -> 900, reports, drainingHosts, ROUND_MILLIS);
   }
 
-  private void reports(String host, ReportedContact.State state) throws IOException {
+  private void addReport(String host, ReportedContact.State state) throws IOException {
     PeerReport report =
         new PeerReport(
             LOAD,
@@ -47,67 +47,67 @@
             Optional.empty(),
             Optional.empty());
     PeerMessage.Stamp stamp = new PeerMessage.Stamp(1, ++count);
-    reports.take(new PeerMessage.Entry(host, 0, stamp, EncodedReport.of(report)), now);
+    reports.accept(new PeerMessage.Entry(host, 0, stamp, EncodedReport.of(report)), now);
   }
 
-  private boolean readsAfter(ZoneReaders readers, boolean refused, long millis) {
+  private boolean shouldReadAfter(ZoneReaders readers, boolean refused, long millis) {
     now += millis;
     return readers.decide(now, refused).reads();
   }
 
   /** The node of the two that is due; the other leaves it to that one. */
-  private Map.Entry<String, String> dueAndOther() throws IOException {
-    reports(OTHER, ReportedContact.State.REACHABLE);
-    peers = seeing(OTHER, Set.of());
-    ZoneReaders first = readersOf(ONE);
-    boolean oneReads = readsAfter(first, false, 0);
+  private Map.Entry<String, String> electedAndOther() throws IOException {
+    addReport(OTHER, ReportedContact.State.REACHABLE);
+    peers = viewOf(OTHER, Set.of());
+    ZoneReaders first = readersFor(ONE);
+    boolean isOneReading = shouldReadAfter(first, false, 0);
     for (int round = 0; round < 8; round++) {
-      oneReads = readsAfter(first, false, ROUND_MILLIS);
+      isOneReading = shouldReadAfter(first, false, ROUND_MILLIS);
     }
-    return oneReads ? Map.entry(ONE, OTHER) : Map.entry(OTHER, ONE);
+    return isOneReading ? Map.entry(ONE, OTHER) : Map.entry(OTHER, ONE);
   }
 
   @Test
-  void aNodeThatIsAloneInItsZoneReads() {
-    assertThat(readsAfter(readersOf(ONE), false, 0)).isTrue();
+  void singleNodeOfAZoneReads() {
+    assertThat(shouldReadAfter(readersFor(ONE), false, 0)).isTrue();
   }
 
   @Test
-  void theOtherReadsWhereTheOneThatIsDueIsSilentOrLeaves() throws IOException {
-    String due = dueAndOther().getKey();
-    String other = dueAndOther().getValue();
-    reports(due, ReportedContact.State.REACHABLE);
+  void otherNodeReadsWhenTheElectedOneIsSilentOrDraining() throws IOException {
+    String elected = electedAndOther().getKey();
+    String other = electedAndOther().getValue();
+    addReport(elected, ReportedContact.State.REACHABLE);
 
-    peers = seeing(due, Set.of(due));
-    assertThat(readsAfter(readersOf(other), false, 0)).isTrue();
+    peers = viewOf(elected, Set.of(elected));
+    assertThat(shouldReadAfter(readersFor(other), false, 0)).isTrue();
 
-    peers = seeing(due, Set.of());
-    leaving.add(due);
-    assertThat(readsAfter(readersOf(other), false, 0)).isTrue();
+    peers = viewOf(elected, Set.of());
+    drainingHosts.add(elected);
+    assertThat(shouldReadAfter(readersFor(other), false, 0)).isTrue();
   }
 
   @Test
-  void aReaderCallsRarelyOnceTwoBeforeItCallPromptly() throws IOException {
+  void readerIsOnStandbyOnceTwoHigherRankedReadersCallPromptly() throws IOException {
     List<String> ranked =
         Stream.of("10.1.0.1", "10.2.0.1", "10.3.0.1").sorted(StoreReaders.rank()).toList();
-    ZoneReaders last = readersOf(ranked.get(2));
+    ZoneReaders last = readersFor(ranked.get(2));
     peers = PeerView.of(Set.copyOf(ranked.subList(0, 2)), Set.of(), "z", each -> Optional.of("y"));
 
-    reports(ranked.get(0), ReportedContact.State.REACHABLE);
-    reports(ranked.get(1), ReportedContact.State.LOST);
+    addReport(ranked.get(0), ReportedContact.State.REACHABLE);
+    addReport(ranked.get(1), ReportedContact.State.LOST);
     assertThat(last.isStandby()).isFalse();
 
-    reports(ranked.get(1), ReportedContact.State.REACHABLE);
+    addReport(ranked.get(1), ReportedContact.State.REACHABLE);
     assertThat(last.isStandby()).isTrue();
-    assertThat(readersOf(ranked.get(1)).isStandby()).isFalse();
+    assertThat(readersFor(ranked.get(1)).isStandby()).isFalse();
 
     peers = PeerView.of(peers.others(), Set.of(ranked.get(0)), "z", each -> Optional.of("y"));
     assertThat(last.isStandby()).isFalse();
   }
 
   @Test
-  void aDecisionHoldsForARoundUnlessItsInputsChange() {
-    ZoneReaders readers = readersOf(ONE);
+  void decisionIsCachedForARoundUnlessItsInputsChange() {
+    ZoneReaders readers = readersFor(ONE);
     assertThat(readers.decide(now, false)).isSameAs(readers.decide(now + 1, false));
     assertThat(readers.decide(now + 2, true)).isNotSameAs(readers.decide(now + 3, false));
     assertThat(readers.decide(now + 4, false))
