--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/AttestedBackends.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/AttestedBackends.java
@@ -9,12 +9,14 @@
 import java.util.function.Supplier;
 
 /**
- * Back ends that the store lists no more, but the node beside each attests to live. Thread-safe.
+ * Backends that the store no longer lists, but that the node on the same machine attests to be
+ * alive. Thread-safe.
  */
 final class AttestedBackends {
   /**
-   * How long an attestation holds without being repeated, milliseconds: nodes of other zones hear
-   * of it by digests, one a second from each of two nodes, and one round later.
+   * How long an attestation is valid unless it is renewed, milliseconds. Nodes of other zones
+   * receive it by digests, which two nodes of a zone send once a second each, and a round of
+   * reports later.
    */
   private static final long VALID_MILLIS = 2_500;
 
@@ -22,7 +24,7 @@
 
   private final Map<String, Attestation> byHost = new ConcurrentHashMap<>();
 
-  /** Takes what the node of a machine attests now. */
+  /** Records what the node at a host attests now; empty withdraws its attestation. */
   void recordAttestation(long nowMillis, String host, Optional<BackendEntry> entry) {
     if (entry.isPresent()) {
       Attestation previous = byHost.get(host);
@@ -35,16 +37,16 @@
     }
   }
 
-  /** Drops attestations that hold no more, so that requests need not look at them. */
+  /** Removes expired attestations, so that the request path need not check them. */
   void removeExpired(long nowMillis) {
     byHost.values().removeIf(attestation -> nowMillis >= attestation.expiresAtMillis());
   }
 
   /**
-   * The back ends of a service that take new work: those listed, and those attested.
+   * Returns the backends of a service that take new requests, listed and attested ones.
    *
-   * @param contact of this node with the store; asked for only if a back end is attested, as this
-   *     is called for each request
+   * @param contact this node's contact with the store; evaluated only if a backend is attested,
+   *     because this method is called for each request
    */
   List<BackendEntry> readyBackends(
       long nowMillis, BackendDirectory listed, Supplier<StoreContact> contact, String service) {
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/BackendDirectory.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/BackendDirectory.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** The back ends at one revision of the store. Immutable. */
+/** The backends at one revision of the store. Immutable. */
 final class BackendDirectory {
   static final BackendDirectory EMPTY = new BackendDirectory(List.of(), Set.of());
 
@@ -21,9 +21,9 @@
   private final Set<String> evacuatedZones;
 
   /**
-   * Sorts entries.
+   * Indexes entries by id, host and service.
    *
-   * @param evacuatedZones zones whose back ends take no new work
+   * @param evacuatedZones zones whose backends take no new requests
    */
   BackendDirectory(Collection<BackendEntry> entries, Set<String> evacuatedZones) {
     this.evacuatedZones = Set.copyOf(evacuatedZones);
@@ -37,7 +37,7 @@
     readyByService.values().forEach(list -> list.sort(Comparator.comparing(BackendEntry::id)));
   }
 
-  /** Whether it is of these very entries and zones, read once and not read again since. */
+  /** Whether it was built from these entries, compared by identity, and these zones. */
   boolean isBuiltFrom(Collection<BackendEntry> entries, Set<String> evacuated) {
     if (entries.size() != byId.size() || !evacuated.equals(evacuatedZones)) {
       return false;
@@ -50,17 +50,17 @@
     return true;
   }
 
-  /** Those of a service that take new work. */
+  /** The backends of a service that take new requests, by id. */
   List<BackendEntry> ready(String service) {
     return readyByService.getOrDefault(service, List.of());
   }
 
-  /** Whether the back ends of a zone are to get no new work. */
+  /** Whether the backends of a zone take no new requests. */
   boolean isEvacuated(String zone) {
     return evacuatedZones.contains(zone);
   }
 
-  /** Zones whose back ends are to get no new work. */
+  /** Zones whose backends take no new requests. */
   Set<String> evacuatedZones() {
     return evacuatedZones;
   }
@@ -69,7 +69,7 @@
     return Optional.ofNullable(byId.get(id));
   }
 
-  /** The entries at an address; several while a new start has not replaced the old one. */
+  /** The entries at an address; several until a restarted backend has replaced its old entry. */
   List<BackendEntry> at(PeerAddress address) {
     List<BackendEntry> atHost = atHost(address.host());
     for (BackendEntry entry : atHost) {
@@ -77,7 +77,7 @@
         return atHost.stream().filter(candidate -> candidate.address().equals(address)).toList();
       }
     }
-    // As a rule: a machine has one back end.
+    // The usual case: a machine has one backend.
     return atHost;
   }
 
@@ -86,7 +86,7 @@
     return byHost.getOrDefault(host, List.of());
   }
 
-  /** IP addresses of the machines. */
+  /** IP addresses of all backends. */
   Set<String> hosts() {
     return byHost.keySet();
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/ChangeBudget.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/ChangeBudget.java
@@ -5,32 +5,32 @@
 import java.util.stream.Stream;
 
 /**
- * How long a change that the store has acknowledged takes to the last node, at most: by each single
- * fault the way that is left, as a sum of named worst cases. Calls to the store are saved inside
- * these sums, never from them.
+ * Upper bounds of the time from the store's acknowledgement of a change until it is in force on the
+ * last node: for each single fault, the remaining propagation path as a sum of named worst cases.
+ * Longer intervals between store calls must fit into these sums.
  */
 final class ChangeBudget {
-  /** Share of a bound that a way may take; the rest is for a machine that is busy or just slow. */
+  /** Largest share of a bound that a path may take; the rest is for busy or slow machines. */
   static final double MAX_SHARE_OF_BOUND = 0.75;
 
-  /** A call that the store answers at once; 30 ms from a write to the reader's log line. */
+  /** A store call with an immediate response; 30 ms from a write to the reader's log line. */
   private static final long STORE_CALL_MILLIS = 30;
 
-  /** A datagram to another node, and its reading, on a share of 0.3 of a core. */
+  /** Sending a datagram to another node and processing it there, with 0.3 of a core. */
   private static final long DATAGRAM_MILLIS = 20;
 
   /**
-   * A transfer of changes: connect, request, answer; 10 to 60 ms between log lines of two nodes.
+   * A transfer of changes (connect, request, response): 10 to 60 ms between log lines of two nodes.
    */
   private static final long TRANSFER_MILLIS = 60;
 
-  /** One worst case on a way. */
+  /** One worst-case duration on a path. */
   record Step(String name, long millis) {}
 
   /**
-   * The way of a change in one case.
+   * The propagation path of a change.
    *
-   * @param name the single fault
+   * @param name the single fault that lengthens it
    */
   record Path(String name, List<Step> steps) {
     long millis() {
@@ -63,7 +63,7 @@
   private static final Step NEXT_SOURCE =
       new Step("until another source is asked", TransferSchedule.SLOW_TRANSFER_MILLIS);
 
-  /** From a prompt reader to the reader of another zone, and on to a node of that zone. */
+  /** From a prompt reader to the reader of another zone, and from there to a node of that zone. */
   private static final List<Step> TO_OTHER_ZONE =
       List.of(
           ANNOUNCE,
@@ -81,7 +81,7 @@
     return new Path(name, Stream.of(first, rest).flatMap(List::stream).toList());
   }
 
-  /** The ways, one for each single fault that lengthens it. */
+  /** The paths, one for each single fault. */
   static List<Path> paths() {
     return List.of(
         path("none", List.of(PROMPT_PAUSE, CALL), TO_OTHER_ZONE),
@@ -99,12 +99,12 @@
         path("a source does not answer", List.of(PROMPT_PAUSE, CALL, NEXT_SOURCE), TO_OTHER_ZONE));
   }
 
-  /** The longest of the ways. */
+  /** The path that takes longest. */
   static Path longest() {
     return paths().stream().max(Comparator.comparingLong(Path::millis)).orElseThrow();
   }
 
-  /** Whether a way leaves enough of a bound. */
+  /** Whether a path takes less than {@link #MAX_SHARE_OF_BOUND} of a bound. */
   static boolean isWithin(Path path, long boundMillis) {
     return path.millis() < MAX_SHARE_OF_BOUND * boundMillis;
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/ConfigurationReader.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/ConfigurationReader.java
@@ -5,7 +5,7 @@
 import io.umberpath.traffic.routing.RoutingTable;
 import io.vavr.control.Either;
 
-/** Reads configurations, and keeps what it made of the last one. Thread-safe. */
+/** Parses configurations and caches the last result with its routing table. Thread-safe. */
 final class ConfigurationReader {
   private final StoreDocuments documents;
   private StoreItem lastItem;
@@ -16,7 +16,7 @@
     this.documents = documents;
   }
 
-  /** The configuration of an item, or what is wrong with it. */
+  /** The configuration of an item, or the error in it. */
   synchronized Either<String, RoutingConfiguration> read(StoreItem item) {
     if (!item.equals(lastItem)) {
       lastResult = documents.configuration(item);
@@ -26,7 +26,7 @@
     return lastResult;
   }
 
-  /** The routes of a configuration. */
+  /** The routing table of a configuration. */
   synchronized RoutingTable routingTable(RoutingConfiguration configuration) {
     boolean isCached = lastResult != null && lastResult.getOrNull() == configuration;
     return isCached ? lastRoutingTable : RoutingTable.of(configuration);
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/ConfigurationWarmUp.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/ConfigurationWarmUp.java
@@ -4,11 +4,12 @@
 import java.util.function.Supplier;
 
 /**
- * Reads an example of a large configuration once. A process that has only read small ones reads its
- * first large one with code that is not compiled yet, which takes many times as long.
+ * Parses a large example configuration once, so that the JIT compiler has compiled the parser
+ * before the first real one. With interpreted code, the first large configuration takes many times
+ * as long.
  */
 final class ConfigurationWarmUp {
-  /** Rules of the example, by which the code is compiled. */
+  /** Rules of the example: enough for the parser to be compiled. */
   static final int EXAMPLE_RULES = 300;
 
   private final StoreDocuments documents;
@@ -21,7 +22,7 @@
     this.events = events;
   }
 
-  /** Begins in a thread of its own, since it takes longer than a timer's task may. */
+  /** Starts a thread for the warm-up, which takes too long for a task of the timer. */
   void start() {
     Thread thread = new Thread(this::run, "umberpath-warm-up");
     thread.setDaemon(true);
@@ -36,7 +37,7 @@
     }
   }
 
-  /** Reads the example unless a large configuration has been read. */
+  /** Parses the example unless a large configuration has already been parsed. */
   void parseExample() {
     MeshView current = view.get();
     boolean hasParsedLarge =
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/EncodedReport.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/EncodedReport.java
@@ -9,8 +9,8 @@
 import java.util.Arrays;
 
 /**
- * A report as it travels. Nodes pass reports of others on as the bytes that they got, and read only
- * those they do not know: of four reports that arrive three are known already. Immutable.
+ * A report in its encoded form. Nodes forward reports of other nodes without decoding them and
+ * decode only new ones: three of four received reports are duplicates. Immutable.
  */
 final class EncodedReport {
   private static final CBORFactory CBOR = new CBORFactory();
@@ -28,12 +28,12 @@
     try (JsonGenerator out = CBOR.createGenerator(bytes)) {
       report.write(out);
     } catch (IOException impossible) {
-      throw new IllegalStateException("a report cannot be written", impossible);
+      throw new IllegalStateException("failed to encode a report", impossible);
     }
     return new EncodedReport(bytes.toByteArray());
   }
 
-  /** Takes the next value of a message. */
+  /** Reads the report that is the next value of a message. */
   static EncodedReport read(JsonParser in) throws IOException {
     return new EncodedReport(in.getBinaryValue());
   }
@@ -43,18 +43,18 @@
   }
 
   /**
-   * Reads the report.
+   * Decodes the report.
    *
-   * @throws IOException if it is none
+   * @throws IOException if the bytes are not a valid report
    */
   PeerReport decode() throws IOException {
     try (JsonParser in = CBOR.createParser(bytes)) {
       if (in.nextToken() != JsonToken.START_ARRAY) {
-        throw new IOException("report is no list");
+        throw new IOException("report is not a list");
       }
       PeerReport report = PeerReport.read(in);
       if (in.nextToken() != null) {
-        throw new IOException("report does not end where it is due");
+        throw new IOException("report has trailing data");
       }
       return report;
     }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/EncodedTransferCache.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/EncodedTransferCache.java
@@ -7,17 +7,18 @@
 import java.util.Map;
 
 /**
- * Encodes transfers once for all the nodes that ask for the same ones, as those of a zone do after
- * each change. Thread-safe.
+ * Caches encoded transfers, because after each change the nodes of a zone request the same ones.
+ * Thread-safe.
  */
 final class EncodedTransferCache {
-  /** Spans of changes kept; nodes of a zone differ by a change or two. */
+  /** Cached transfers; the positions of a zone's nodes differ by a change or two. */
   private static final int MAX_ENTRIES = 4;
 
   /**
-   * What an encoding holds.
+   * Identifies the content of an encoded transfer.
    *
-   * @param firstPatched revision of the item that the first patch applies to; -1 without patches
+   * @param firstPatchedRevision revision of the item that the first patch applies to; -1 without
+   *     patches
    */
   private record CacheKey(
       StorePosition after, StorePosition at, long firstPatchedRevision, StoreFacts facts) {}
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/LivenessAttester.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/LivenessAttester.java
@@ -11,16 +11,16 @@
 import java.util.function.Supplier;
 
 /**
- * Attests that the back end beside this node lives although its entry has lapsed: where the store
- * does not answer this machine, it does not hear the back end's heartbeats either. The attestation
- * rests on health probes; a back end that leaves, has ended or was replaced fails them.
+ * Attests that the local backend is alive although its entry in the store has expired: a store that
+ * does not answer this machine does not receive the backend's heartbeats either. The attestation is
+ * based on health probes, which a backend that drains, has terminated or was replaced fails.
  * Thread-safe.
  */
 final class LivenessAttester {
   private static final long PROBE_INTERVAL_MILLIS = 400;
   private static final long PROBE_TIMEOUT_MILLIS = 1_000;
 
-  /** How long a good probe is believed, from when it was sent. */
+  /** How long a successful probe is valid, from when it was sent, milliseconds. */
   private static final long PROBE_VALID_MILLIS = 1_500;
 
   private static final int OK = 200;
@@ -52,18 +52,18 @@
     this.clockMillis = clockMillis;
   }
 
-  /** The entry of the back end that lives though the store lists it no more; empty if none. */
+  /** The entry of the local backend if it is alive but no longer listed by the store. */
   synchronized Optional<BackendEntry> attestedEntry() {
     boolean isAttested = isEntryMissing() && clockMillis.getAsLong() < healthyUntilMillis;
     return isAttested ? Optional.of(lastListed) : Optional.empty();
   }
 
-  /** Whether that start of the back end is attested. */
+  /** Whether the instance with this id is attested. */
   boolean isAttested(String instance) {
     return attestedEntry().filter(entry -> entry.id().equals(instance)).isPresent();
   }
 
-  /** Looks at the entry, and probes the back end while it is missing for want of contact. */
+  /** Checks the entry, and probes the backend while lost contact may explain its absence. */
   synchronized void tick() {
     long now = clockMillis.getAsLong();
     List<BackendEntry> listed = view.get().backends().at(settings.backend());
@@ -76,7 +76,7 @@
     logChange(attestedEntry());
   }
 
-  /** Whether the entry of a back end that did not leave is missing. */
+  /** Whether the store does not list the local backend although it was last seen ready. */
   synchronized boolean isEntryMissing() {
     return lastListed != null && view.get().backends().at(settings.backend()).isEmpty();
   }
@@ -126,12 +126,12 @@
     }
   }
 
-  /** That back end ended: one that starts again under its id would pass the same probe. */
+  /** Ends the attestation: a backend restarted under the same id would pass the same probe. */
   void onBackendEnded(String id) {
     withdraw(id);
   }
 
-  /** What has left, ended or been replaced is not attested again before it is listed again. */
+  /** Withdraws the attestation until the store lists the backend again. */
   private synchronized void withdraw(String id) {
     if (lastListed != null && lastListed.id().equals(id)) {
       lastListed = null;
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshNode.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshNode.java
@@ -21,29 +21,31 @@
 import java.util.function.Supplier;
 
 /**
- * A node that follows an external store: one process beside each back end. {@link #start} is called
- * once; {@link #stop} ends it in good order.
+ * A node that follows an external store: one process on the machine of each backend. {@link #start}
+ * is called once; {@link #stop} shuts it down gracefully.
  */
 public final class MeshNode {
   /**
-   * Time between two ticks, milliseconds. All that is due regularly rides on one timer, because
-   * each wake-up of a process costs its caches: 20 a second in place of 65.
+   * Time between two ticks, milliseconds. All periodic tasks share one timer, because each wake-up
+   * of the process finds cold caches: 20 wake-ups a second instead of 65.
    */
   private static final long TICK_MILLIS = 50;
 
-  /** Gap between two ticks from which on sockets may be as late as the timer, milliseconds. */
+  /**
+   * Gap between two ticks from which on socket events may be as late as the timer, milliseconds.
+   */
   private static final long LATE_TICK_MILLIS = 2 * TICK_MILLIS;
 
-  /** Gap between two ticks from which on this process stood still, milliseconds. */
+  /** Gap between two ticks from which on this process counts as paused, milliseconds. */
   private static final long PROCESS_PAUSE_MILLIS = 1_000;
 
   private static final int TICKS_PER_SWEEP = 2;
   private static final int TICKS_PER_REPORT_ROUND = (int) (SilenceTimes.ROUND_MILLIS / TICK_MILLIS);
 
-  /** Least time between two announcements of what this node took from the store, milliseconds. */
+  /** Delay that batches announcements of changes read from the store, milliseconds. */
   static final long ANNOUNCE_DELAY_MILLIS = 50;
 
-  /** Ends of back ends under a request from which on it is held: the fewest that single it out. */
+  /** Backend crashes during a request that quarantine it: the fewest that identify it alone. */
   static final int MARKS_TO_HOLD = 3;
 
   private static final long SECOND_MILLIS = 1_000;
@@ -75,7 +77,8 @@
       Executors.newSingleThreadScheduledExecutor(MeshNode::timerThread);
   private final AtomicBoolean isAnnouncementScheduled = new AtomicBoolean();
   private final EncodedTransferCache encodedChanges = new EncodedTransferCache();
-  // What the timer runs, made once: 120 objects a second else, and slowly before they are compiled.
+  // Timer tasks, created once. Creating them for each tick allocated 120 objects a second, slowly
+  // until that code was compiled.
   private final Runnable detectPause = this::detectPause;
   private final Runnable enforceDeadlines = this::enforceDeadlines;
   private final Runnable shareSuspects = this::shareSuspects;
@@ -91,8 +94,8 @@
   /**
    * Creates a node that is not listening yet.
    *
-   * @param readyPath path at which readiness is asked for
-   * @param clockMillis rising clock, milliseconds, that also counts time in which the machine is
+   * @param readyPath path of the readiness endpoint
+   * @param clockMillis monotonic clock, milliseconds, that also counts time in which the machine is
    *     suspended
    */
   public MeshNode(
@@ -133,7 +136,7 @@
             settings, state::view, this::storeContact, proxy.backendPool(), events, clockMillis);
   }
 
-  /** Contact with the store: this node's own, or where it makes no calls, that of its zone. */
+  /** Contact with the store: this node's own while it calls the store, else that of its zone. */
   private StoreContact storeContact() {
     StoreContact ownContact = follower.contact();
     return follower.isReading() ? ownContact : peers.zoneStoreContact().orElse(ownContact);
@@ -143,7 +146,7 @@
     return attester.isAttested(instance);
   }
 
-  /** Of the nodes in reach, one may try a request that is held. */
+  /** Whether this node is the only reachable one that may retry a quarantined request. */
   private boolean isElectedToRetry(RequestFingerprint request) {
     return peers.isResponsibleFor(request.text());
   }
@@ -155,7 +158,7 @@
   }
 
   /**
-   * Listens and begins to follow the store.
+   * Starts listening and following the store.
    *
    * @throws IOException if an address cannot be bound
    */
@@ -182,7 +185,7 @@
     peers.start();
     puller.start();
     timer.scheduleWithFixedDelay(this::tick, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
-    // After the first ticks: a start serves nobody until it listens and holds a state.
+    // Deferred, because a starting node serves no requests until it listens and has a state.
     timer.schedule(() -> runGuarded(this::logChangeBudget), SECOND_MILLIS, TimeUnit.MILLISECONDS);
     timer.schedule(warmUp::start, SECOND_MILLIS, TimeUnit.MILLISECONDS);
   }
@@ -202,9 +205,9 @@
   }
 
   /**
-   * While this process stood still its peers may have closed connections, or machines on the way
-   * forgotten them: what is sent on one may be lost, and must not be sent again if it cannot
-   * repeat.
+   * Closes idle connections after a pause of this process. Meanwhile peers may have closed them or
+   * machines on the path dropped their state, so that a request sent on one may be lost, and one
+   * that is not idempotent must not be retried.
    */
   private void detectPause() {
     long now = clockMillis.getAsLong();
@@ -227,7 +230,7 @@
     }
   }
 
-  /** A task that throws would not be run again. */
+  /** Keeps an exception from the timer, which would cancel the periodic task. */
   private void runGuarded(Runnable task) {
     try {
       task.run();
@@ -247,7 +250,7 @@
     }
   }
 
-  /** What the back end beside this node ended under is news for all. */
+  /** Sends the other nodes the requests during which the local backend crashed. */
   private void shareSuspects() {
     proxy.gate().lookForCrash().ifPresent(attester::onBackendEnded);
     peers.sendSuspects();
@@ -267,7 +270,7 @@
     peers.tick(report());
   }
 
-  /** The store has changed: the zone hears of it at once, whose nodes take it from here. */
+  /** Announces changes of the store to the zone, whose nodes then pull them from this one. */
   private void scheduleAnnouncement() {
     if (isAnnouncementScheduled.compareAndSet(false, true)) {
       timer.schedule(
@@ -275,7 +278,7 @@
     }
   }
 
-  /** Its zone hears from a reader: also of what that one was told of by another zone. */
+  /** Announces changes pulled from other zones too if this node reads the store for its zone. */
   private void announceIfReading() {
     if (follower.isReading()) {
       scheduleAnnouncement();
@@ -360,11 +363,11 @@
   }
 
   /**
-   * Stops in good order: no longer ready, takes what still comes until callers have noticed, then
-   * finishes what is in flight. What is left is for {@link #close}, or for the end of the process.
+   * Shuts down gracefully: reports not ready, accepts requests until clients have noticed, then
+   * finishes those in flight. {@link #close} or the end of the process ends what is left.
    */
   public void stop() throws InterruptedException {
-    // Whoever sees that this node is not ready gets no connection that it may keep from it.
+    // First, so that a client that sees this node as not ready gets no persistent connection.
     proxy.leave();
     isStopping = true;
     new PlannedStop(proxy, backend, this::reportBackendDraining, events, clockMillis)
@@ -376,7 +379,7 @@
     peers.tick(report());
   }
 
-  /** Ends at once. */
+  /** Stops immediately. */
   public void close() {
     timer.shutdownNow();
     follower.close();
@@ -386,7 +389,7 @@
     proxy.close();
   }
 
-  /** Whether it holds a configuration. */
+  /** Whether this node has a configuration. */
   public boolean isReady() {
     return state.view().isComplete();
   }
@@ -396,22 +399,22 @@
     return state.view().version();
   }
 
-  /** Back ends of a service that take new work, as far as this node knows. */
+  /** Number of the listed backends of a service that take new requests. */
   public int readyBackends(String service) {
     return state.view().backends().ready(service).size();
   }
 
-  /** Requests under way here, of callers and of other nodes. */
+  /** Requests in flight at this node, of clients and of other nodes. */
   public int inFlight() {
     return proxy.inFlight();
   }
 
-  /** Connections to other nodes, this one's own listener included, that are open. */
+  /** Open connections to nodes, this node's own listener included. */
   public int openConnectionsToNodes() {
     return proxy.openConnectionsToNodes();
   }
 
-  /** Requests that wait here for a slot of the back end beside. */
+  /** Requests queued at this node for a slot of the local backend. */
   public int waitingRequests() {
     return proxy.gate().load().queued();
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshSettings.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshSettings.java
@@ -10,22 +10,22 @@
  *
  * @param name name of the node, for logs
  * @param zone its zone
- * @param service service of the back end beside it
- * @param backend where that back end listens
- * @param outbound where callers and the back end beside it send requests to
- * @param inbound where other nodes send requests for the back end beside it to
- * @param ready where readiness is asked for
- * @param exchange where other nodes ask for its state (TCP) and send reports to (UDP)
- * @param control where restarted nodes ask for its state too, if they are told of it
- * @param seeds such addresses of other nodes; may be out of date
- * @param isFirstStart whether the whole system starts for the first time, so that no other node
- *     holds anything yet
+ * @param service service of the local backend
+ * @param backend address of the local backend
+ * @param outbound listener for requests of clients and of the local backend
+ * @param inbound listener for requests of other nodes to the local backend
+ * @param ready listener of the readiness endpoint
+ * @param exchange listener for state requests (TCP) and reports (UDP) of other nodes
+ * @param control second listener for state requests, for restarted nodes that have it as a seed
+ * @param seeds control addresses of other nodes; may be out of date
+ * @param isFirstStart whether the whole system starts for the first time, so that no other node has
+ *     a state yet
  * @param metricsPort port of the metrics, 0 for none
- * @param retry bounds of retries
- * @param coldStarts bounds of what a cold back end gets
+ * @param retry limits of retries
+ * @param coldStarts limits of the requests to a cold backend
  * @param changeBoundMillis time within which a change that the store acknowledged has to be in
- *     force on every node, milliseconds; 0 if none is given
- * @param graceMillis time from the order to stop until the process is killed, milliseconds
+ *     force on every node, milliseconds; 0 if there is no bound
+ * @param graceMillis time from the stop signal until the process is killed, milliseconds
  * @param headers names of headers
  */
 public record MeshSettings(
@@ -47,20 +47,20 @@
     long graceMillis,
     HeaderNames headers) {
   /**
-   * Bounds of what all nodes together send again.
+   * Limits of the retries of all nodes together.
    *
    * @param windowMillis sliding window, milliseconds
-   * @param ratio share of the requests for a service
-   * @param extra beyond that
+   * @param ratio retries per request of a service
+   * @param extra retries allowed in addition
    */
   public record Retry(long windowMillis, double ratio, double extra) {}
 
-  /** The seeds but this node itself. */
+  /** The seeds without this node. */
   List<PeerAddress> otherSeeds() {
     return seeds.stream().filter(seed -> !control.equals(Optional.of(seed))).toList();
   }
 
-  /** Whether other nodes are told to ask this one. */
+  /** Whether this node is a seed of other nodes. */
   boolean isSeed() {
     return control.filter(seeds::contains).isPresent();
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshState.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshState.java
@@ -26,8 +26,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * What this node has taken from the store or from other nodes. A configuration is only replaced by
- * one with a higher version, and taken whole or not at all. Thread-safe; readers never wait.
+ * The state that this node has read from the store or pulled from other nodes. A configuration is
+ * replaced only by one with a higher version, and applied completely or not at all. Thread-safe;
+ * {@link #view} never blocks.
  */
 final class MeshState {
   private final StoreDocuments documents;
@@ -35,30 +36,30 @@
   private final StoreWatcher watcher;
   private final MeshEvents events;
 
-  /** The items that are back ends' entries; empty where one names none. */
+  /** Parsed backend entries by item; empty for an item that cannot be parsed. */
   private final Map<StoreItem, Optional<BackendEntry>> parsedEntries = new HashMap<>();
 
   private final BackendListing listing = new BackendListing();
   private final LongSupplier clockMillis;
 
-  /** The configuration's item that the store shows; null before the first. */
+  /** The configuration item in the store; null before the first. */
   private StoreItem storeConfigurationItem;
 
   private volatile long storeVersion = -1;
 
-  /** The newest configuration that was accepted, which holds whatever the store shows; or null. */
+  /** The newest accepted configuration, kept even if the store returns to an older one; or null. */
   private RoutingConfiguration accepted;
 
-  /** The item that it was read from; null before the first. */
+  /** The item that {@link #accepted} was parsed from; null before the first. */
   private StoreItem acceptedItem;
 
   private volatile MeshView view = MeshView.EMPTY;
   private volatile Runnable adoptedListener = () -> {};
 
   /**
-   * Creates a state that holds nothing.
+   * Creates an empty state.
    *
-   * @param clockMillis rising clock, milliseconds
+   * @param clockMillis monotonic clock, milliseconds
    */
   MeshState(
       StoreDocuments documents, StoreWatcher watcher, MeshEvents events, LongSupplier clockMillis) {
@@ -69,7 +70,7 @@
     this.clockMillis = clockMillis;
   }
 
-  /** What this node believes now. */
+  /** The current view. */
   MeshView view() {
     return view;
   }
@@ -79,22 +80,22 @@
     return watcher;
   }
 
-  /** What became of a transfer. */
+  /** Outcome of a transfer. */
   enum Adoption {
-    /** This node holds something newer now. */
+    /** This node has a newer state now. */
     ADOPTED,
-    /** It led no further than this node was. */
+    /** It contained nothing newer. */
     NOT_NEWER,
-    /** A patch did not fit what this node holds: of the store's items nothing was taken. */
+    /** A patch did not apply to the held item: no item of the store was changed. */
     PATCH_MISMATCH
   }
 
-  /** Is told when items of another node are held, before they are in force. */
+  /** Sets a listener that is called when items of a peer are held, before they are applied. */
   void onAdopted(Runnable listener) {
     adoptedListener = listener;
   }
 
-  /** Takes what of another node's state leads further than this node is. */
+  /** Adopts the part of a peer's state that is newer than this node's. */
   Adoption adopt(StateTransfer transfer, String peer) {
     final MeshView before = view;
     boolean factsChanged;
@@ -119,7 +120,10 @@
     return isNewer ? Adoption.ADOPTED : Adoption.NOT_NEWER;
   }
 
-  /** What an older copy of the store does not show has to be known before it is taken. */
+  /**
+   * Applies pending items before a new era, since a store restored from an older copy lacks facts
+   * that they contain.
+   */
   private void applyBeforeNewEra(long newEra) {
     if (!view.isFullyApplied() && newEra != watcher.at().era()) {
       applyItems("a new era");
@@ -127,9 +131,9 @@
   }
 
   /**
-   * Notes how far the watcher is.
+   * Updates the position of the held items.
    *
-   * @param isChanged whether its items have changed, which are put in force next
+   * @param isChanged whether items have changed and are to be applied next
    */
   private void updateHeldPosition(boolean isChanged) {
     boolean isApplied = !isChanged && view.isFullyApplied();
@@ -137,9 +141,9 @@
   }
 
   /**
-   * Takes an answer of the store.
+   * Handles a response of the store.
    *
-   * @return whether it led further; {@link #refresh} is to follow then
+   * @return whether the position advanced; the caller then calls {@link #refresh}
    */
   synchronized boolean handleResponse(long nowMillis, StoreAnswer answer) {
     answer.era().ifPresent(this::applyBeforeNewEra);
@@ -159,15 +163,15 @@
     return departuresChanged || accepted != before;
   }
 
-  /** What this node holds, for another one to carry on from. */
+  /** The position of the held items, from which a peer is to send changes. */
   synchronized StateRequest stateRequest() {
     return watcher.request();
   }
 
-  /** What another node lacks, with what holds whatever the store shows. */
+  /** The changes that another node lacks, with the facts that outlast a restored store. */
   synchronized StateTransfer transferFor(TransferRequest request) {
     StoreChanges changes = watcher.changesSince(request.state());
-    // Items that are not in force yet may be an older copy's.
+    // Items that are not applied yet may be of an older copy of the store.
     boolean isOfAppliedEra = watcher.at().era() == view.position().era();
     boolean isIncluded = isInStore(acceptedItem) && isOfAppliedEra;
     boolean needsConfiguration =
@@ -179,7 +183,7 @@
     return new StateTransfer(changes, facts);
   }
 
-  /** Version of the configuration that the store shows; -1 before the first. */
+  /** Version of the configuration in the store; -1 before the first. */
   long storeVersion() {
     return storeVersion;
   }
@@ -188,16 +192,16 @@
     return item == storeConfigurationItem;
   }
 
-  /** Time alone may change what is believed of an older copy of the store. */
+  /** Applies the items again when entries kept after a store restore are due to be dropped. */
   synchronized void applyIfDue() {
     if (listing.isDue(clockMillis.getAsLong())) {
       applyItems("time");
     }
   }
 
-  /** The watcher's items have changed. */
+  /** Applies the watcher's items after they have changed. */
   void refresh(String source) {
-    // Read before the lock is taken, which the timer and other nodes' requests for state wait for.
+    // Parsed before taking the lock, which the timer and state requests of peers wait for.
     configurationItem().ifPresent(configurations::read);
     applyItems(source);
   }
@@ -229,7 +233,7 @@
     BackendDirectory backends = view.backends();
     Believed resolved = resolveBackends(new Shown(watcher.at(), entries, evacuated), source);
     if (!backends.isBuiltFrom(resolved.entries(), resolved.evacuatedZones())) {
-      // Else what others made of the directory, such as who reports to whom, stays as it is.
+      // An unchanged directory is kept, and with it what is derived from it, such as peer views.
       backends = new BackendDirectory(resolved.entries(), resolved.evacuatedZones());
       events.backendsChanged(view.backends(), backends, watcher.at(), source);
     }
@@ -252,7 +256,7 @@
     return accepted == null || accepted.services().containsKey(name);
   }
 
-  /** The store shows a configuration: it is in force unless a newer one was accepted before. */
+  /** Handles the store's configuration, which is applied unless a newer one was accepted. */
   private void handleStoreConfiguration(StoreItem item, String source) {
     if (item.equals(storeConfigurationItem)) {
       return;
@@ -266,9 +270,9 @@
   }
 
   /**
-   * Takes an item's configuration if it is newer than the accepted one.
+   * Accepts the configuration of an item if it is newer than the accepted one.
    *
-   * @return its version; empty if it cannot be read
+   * @return its version; empty if it cannot be parsed
    */
   private OptionalLong acceptIfNewer(StoreItem item, String source) {
     Either<String, RoutingConfiguration> parsed = configurations.read(item);
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshView.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshView.java
@@ -5,12 +5,12 @@
 import io.umberpath.traffic.routing.RoutingTable;
 
 /**
- * What a node believes at one moment. Immutable.
+ * A snapshot of what a node knows. Immutable.
  *
  * @param configuration the configuration in force, or null before the first
- * @param table its routes, or null before the first
- * @param backends the back ends
- * @param position the store's position of the back ends
+ * @param table its routing table, or null before the first
+ * @param backends the backends
+ * @param position the store's position of {@code backends}
  * @param heldPosition the newest position whose items this node holds; they may not be in force yet
  */
 record MeshView(
@@ -28,24 +28,24 @@
     return configuration != null;
   }
 
-  /** The same at a newer position. */
+  /** Returns this view at a newer position, with everything applied. */
   MeshView withPosition(StorePosition newPosition) {
     return new MeshView(configuration, table, backends, newPosition, newPosition);
   }
 
-  /** The same with newer items at hand. */
+  /** Returns this view with newer held items that are not applied yet. */
   MeshView withHeldPosition(StorePosition newHeldPosition) {
     return new MeshView(configuration, table, backends, position, newHeldPosition);
   }
 
-  /** Whether all that is held is in force. */
+  /** Whether all held items are in force. */
   boolean isFullyApplied() {
     return heldPosition.equals(position);
   }
 
-  /** Whether a node that states a version and a position holds something that this one lacks. */
+  /** Whether a node that advertises a version and a position has something newer. */
   boolean isBehind(long advertisedVersion, StorePosition advertisedPosition) {
-    // Until it is in force, the version of what is held is not known.
+    // The version of held items is unknown until they are applied.
     return advertisedPosition.isAfter(heldPosition)
         || isFullyApplied() && advertisedVersion > version();
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerDatagram.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerDatagram.java
@@ -7,21 +7,21 @@
 import java.util.List;
 import java.util.function.Function;
 
-/** A datagram between nodes: a CBOR list that begins with a number for what it holds. */
+/** A datagram between nodes: a CBOR list that begins with the number of its kind. */
 sealed interface PeerDatagram permits PeerMessage, SuspectMessage {
-  /** Largest datagram, bytes: passes every link whole. */
+  /** Largest datagram, bytes: passes every link unfragmented. */
   int MAX_BYTES = 1_400;
 
   CBORFactory CBOR = new CBORFactory();
 
   /**
-   * Reads a datagram.
+   * Decodes a datagram.
    *
-   * @throws IOException if it is none
+   * @throws IOException if it is malformed
    */
   static PeerDatagram decode(byte[] bytes, int length) throws IOException {
     try (JsonParser in = CBOR.createParser(bytes, 0, length)) {
-      require(in.nextToken() == JsonToken.START_ARRAY, "is no list");
+      require(in.nextToken() == JsonToken.START_ARRAY, "is not a list");
       require(in.nextToken() == JsonToken.VALUE_NUMBER_INT, "has no kind");
       int kind = in.getIntValue();
       return kind == SuspectMessage.KIND
@@ -31,10 +31,11 @@
   }
 
   /**
-   * Writes entries as datagrams short enough to pass whole: halves what is too long.
+   * Encodes entries as datagrams of at most {@link #MAX_BYTES}, halving the list while it is too
+   * long. A single entry is never split.
    *
-   * @param write encodes some of the entries
-   * @param into takes the datagrams in the order of the entries
+   * @param encoder encodes some of the entries
+   * @param datagrams receives the datagrams in the order of the entries
    */
   static <T> void split(
       List<T> entries, Function<List<T>, byte[]> encoder, List<byte[]> datagrams) {
@@ -49,9 +50,9 @@
   }
 
   /**
-   * Checks a part of a datagram.
+   * Checks a condition on a datagram.
    *
-   * @throws IOException that names the problem
+   * @throws IOException with the problem if the condition is false
    */
   static void require(boolean isWellFormed, String problem) throws IOException {
     if (!isWellFormed) {
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerExchange.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerExchange.java
@@ -19,17 +19,17 @@
 import java.util.function.Supplier;
 
 /**
- * Reports between nodes: each tells the others its load, what it holds and that it is there, within
- * its zone by gossip and to other zones by digests (see {@link ReportSchedule}). Reports are
- * datagrams; one that is lost is made good by the next. Thread-safe.
+ * Exchanges reports between nodes. Each node reports its load, the version and position of its
+ * state, and that it is alive: by gossip within its zone and by digests to other zones (see {@link
+ * ReportSchedule}). Reports are datagrams; the next one makes up for a lost one. Thread-safe.
  */
 final class PeerExchange implements AutoCloseable {
-  /** Rounds in which a leaving node tells all others itself, so that nobody waits for digests. */
+  /** Rounds in which a draining node reports to all nodes directly, rather than by digests. */
   private static final int DRAINING_ROUNDS = 2;
 
-  /** Hears of a node that holds something newer. */
+  /** Is notified of nodes with a newer state. */
   interface NewerStateListener {
-    /** A node, of the own zone or not, states a version and a position. */
+    /** Called when a node advertises a newer version or position. */
     void onNewerState(String host, boolean isNear, long version, StorePosition position);
   }
 
@@ -51,7 +51,7 @@
   private volatile NewerStateListener newerStateListener = (host, near, version, position) -> {};
   private int drainingRounds;
 
-  /** Tells the reports of this process from those of the one before it. */
+  /** Distinguishes the reports of this process from those before a restart. */
   private final int incarnation = ThreadLocalRandom.current().nextInt();
 
   private final AtomicInteger reportSequence = new AtomicInteger();
@@ -90,22 +90,22 @@
     newerStateListener = listener;
   }
 
-  /** Listens for reports. */
+  /** Starts listening for reports. */
   void start() throws IOException {
     socket.open();
   }
 
-  /** What all nodes together know of requests under which back ends end. */
+  /** The quarantine of requests that crash backends, as known to all nodes. */
   RequestQuarantine quarantine() {
     return quarantine;
   }
 
-  /** Tells the other nodes at once under which requests back ends ended. */
+  /** Sends the other nodes the requests during which backends crashed. */
   void sendSuspects() {
     suspects.tick();
   }
 
-  /** One round: looks who has been silent, and sends reports. */
+  /** Runs a round: detects silent nodes and sends reports. */
   void tick(PeerReport report) {
     long now = clockMillis.getAsLong();
     failureDetector.tick(now);
@@ -131,7 +131,7 @@
     }
   }
 
-  /** Tells the own zone at once what this node holds now, and by a relay each other zone. */
+  /** Reports immediately to this node's zone, and through a relay to each other zone. */
   void announce(PeerReport report) {
     PeerView current = failureDetector.peers();
     List<String> relays;
@@ -148,7 +148,7 @@
     return new PeerMessage.Entry(self, 0, stamp, EncodedReport.of(report));
   }
 
-  /** This node's report and the latest that it holds of the others of its zone in reach. */
+  /** This node's report and the latest reports of the reachable nodes of its zone. */
   private List<PeerMessage.Entry> zoneEntries(long nowMillis, PeerMessage.Entry own) {
     List<PeerMessage.Entry> entries = new ArrayList<>();
     entries.add(own);
@@ -213,30 +213,30 @@
   }
 
   /**
-   * Whether this node is one of those of its zone that call the store.
+   * Decides whether this node is elected as a reader of the store for its zone.
    *
-   * @param refused whether the store did not answer this node lately
+   * @param isRefused whether the store recently failed to answer this node
    */
   ReaderElection.Decision electReader(boolean isRefused) {
     return readers.decide(clockMillis.getAsLong(), isRefused);
   }
 
-  /** Whether enough others call the store promptly, see {@link ZoneReaders#isStandby}. */
+  /** Whether enough other nodes call the store promptly, see {@link ZoneReaders#isStandby}. */
   boolean isStandbyReader() {
     return readers.isStandby();
   }
 
-  /** The contact with the store that nodes of the own zone state; empty if none calls it. */
+  /** The contact with the store reported by nodes of this zone; empty if none calls the store. */
   Optional<StoreContact> zoneStoreContact() {
     return readers.storeContact();
   }
 
-  /** The back ends of a service that take new work. */
+  /** The backends of a service that take new requests, listed and attested ones. */
   List<BackendEntry> readyBackends(String service) {
     return attested.readyBackends(clockMillis.getAsLong(), view.get().backends(), contact, service);
   }
 
-  /** Those of the back ends whose node is out of reach or takes no new work. */
+  /** Ids of the candidates whose node is silent or draining. */
   Set<String> silentBackends(List<BackendEntry> candidates) {
     Set<String> silentHosts = failureDetector.peers().silent();
     if (silentHosts.isEmpty() && drainingHosts.isEmpty()) {
@@ -252,22 +252,22 @@
     return ids;
   }
 
-  /** Whether a node has been silent for too long. */
+  /** Whether a node has sent no reports for too long. */
   boolean isSilent(String host) {
     return failureDetector.peers().silent().contains(host);
   }
 
-  /** Nodes that have been silent for too long. */
+  /** Number of nodes that have sent no reports for too long. */
   int silentNodeCount() {
     return failureDetector.peers().silent().size();
   }
 
-  /** Whether, of the nodes in reach, this one comes first for a task that one of them does. */
+  /** Whether this is the one reachable node that is responsible for a task. */
   boolean isResponsibleFor(String task) {
     return failureDetector.isResponsibleFor(task);
   }
 
-  /** Nodes known, this one included. */
+  /** Number of known nodes, this one included. */
   int nodes() {
     return failureDetector.peers().others().size() + 1;
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerFailureDetector.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerFailureDetector.java
@@ -10,12 +10,12 @@
 import java.util.Set;
 import java.util.function.Supplier;
 
-/** Which other nodes there are, and which of them have been silent for too long. Thread-safe. */
+/** Tracks the other nodes and detects those that have been silent for too long. Thread-safe. */
 final class PeerFailureDetector {
-  /** How long a node that is not listed counts after its last report, milliseconds. */
+  /** How long an unlisted node is kept after its last report, milliseconds. */
   private static final long UNLISTED_RETENTION_MILLIS = 10_000;
 
-  /** Gap between two rounds from which on this node itself stood still, milliseconds. */
+  /** Gap between two rounds from which on this process counts as paused, milliseconds. */
   private static final long PROCESS_PAUSE_MILLIS = 600;
 
   private final String self;
@@ -24,7 +24,7 @@
   private final MeshEvents events;
   private final KnownPeers knownPeers;
 
-  /** Back ends that {@link #known} was made of; guarded by it. */
+  /** Backends that {@link #knownPeers} was built from; guarded by it. */
   private BackendDirectory listedBackends;
 
   private volatile PeerView peers = PeerView.EMPTY;
@@ -38,17 +38,17 @@
     this.knownPeers = new KnownPeers(self, UNLISTED_RETENTION_MILLIS, PROCESS_PAUSE_MILLIS);
   }
 
-  /** The other nodes, as the last round saw them. */
+  /** The other nodes as of the last round. */
   PeerView peers() {
     return peers;
   }
 
-  /** After how much silence a node counts as out of reach now. */
+  /** The current silence timeouts. */
   SilenceTimes silenceTimes() {
     return silenceTimes;
   }
 
-  /** One round: looks who has been silent. */
+  /** Runs a round: updates the peers and logs which became silent or were heard again. */
   void tick(long nowMillis) {
     PeerView before = peers;
     peers = computeView(nowMillis);
@@ -103,7 +103,7 @@
     }
   }
 
-  /** A node was there at a time; where the store does not list it, it may state its zone. */
+  /** Records a report of a node, which states its zone if the store does not list it. */
   void recordReport(long atMillis, String host, Optional<String> statedZone) {
     synchronized (knownPeers) {
       knownPeers.heard(atMillis, host);
@@ -111,21 +111,21 @@
     }
   }
 
-  /** Nodes of the own zone through which no report travels any more. */
+  /** Nodes of this zone that have been unheard for so long that no gossip goes through them. */
   Set<String> quietPeers(long nowMillis) {
     synchronized (knownPeers) {
       return knownPeers.unheard(peers.near(), nowMillis, silenceTimes.quietMillis());
     }
   }
 
-  /** Whether a node is in the own zone; one whose zone is not known may be. */
+  /** Whether a node is in this node's zone; one of unknown zone counts as such. */
   boolean isNear(String host) {
     synchronized (knownPeers) {
       return knownPeers.zoneOf(host).map(zone::equals).orElse(true);
     }
   }
 
-  /** Whether, of the nodes in reach, this one comes first for a task that one of them does. */
+  /** Whether this node ranks first for a task by rendezvous hashing over the reachable nodes. */
   boolean isResponsibleFor(String task) {
     PeerView current = peers;
     Set<String> reachable = new HashSet<>(current.others());
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerMessage.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerMessage.java
@@ -9,45 +9,45 @@
 import java.util.List;
 
 /**
- * One datagram between nodes.
+ * A datagram with reports of nodes.
  *
- * @param kind what the receiver does with it
+ * @param kind how the receiver handles it
  * @param entries reports of one or more nodes
  */
 record PeerMessage(Kind kind, List<Entry> entries) implements PeerDatagram {
-  /** What a receiver does with a message. */
+  /** How a receiver handles a message. */
   enum Kind {
-    /** Reports of the sender, or of several nodes, for the receiver alone. */
+    /** Reports of one or more nodes, for the receiver only. */
     REPORTS,
-    /** Reports of the sender's zone, for the whole zone of the receiver: it relays them. */
+    /** Reports of the sender's zone, which the receiver relays to its own zone. */
     DIGEST
   }
 
   /**
-   * The report of a node, as the sender heard it.
+   * The report of a node, as the sender received it.
    *
    * @param host address of the node
-   * @param ageMillis time since the sender heard it, milliseconds; no clock of another node is
-   *     needed to tell how long ago it was there
-   * @param stamp names the report, whichever way it takes
+   * @param ageMillis time since the sender received it, milliseconds; an age needs no clock
+   *     synchronized between nodes
+   * @param stamp identifies the report, by whichever path it arrives
    */
   record Entry(String host, long ageMillis, Stamp stamp, EncodedReport report) {}
 
   /**
-   * Which report of a node it is.
+   * Identifies a report of a node.
    *
-   * @param incarnation drawn at each start of the node
-   * @param sequence rises with each report of that run
+   * @param incarnation random number, drawn at each start of the node
+   * @param sequence rises with each report of the incarnation
    */
   record Stamp(int incarnation, int sequence) {}
 
-  /** Reports in one datagram; one without an attested back end takes 45 to 50 bytes. */
+  /** Reports in one datagram; one without an attested backend takes 45 to 50 bytes. */
   static final int MAX_ENTRIES = 28;
 
   private static final int INITIAL_BYTES_PER_ENTRY = 96;
   private static final Kind[] KINDS = Kind.values();
 
-  /** Datagrams that hold all entries, each short enough to pass whole. */
+  /** Encodes entries as datagrams of at most {@link #MAX_BYTES}. */
   static List<byte[]> encode(Kind kind, List<Entry> entries) {
     List<byte[]> datagrams = new ArrayList<>();
     for (int from = 0; from < entries.size(); from += MAX_ENTRIES) {
@@ -73,7 +73,7 @@
       }
       out.writeEndArray();
     } catch (IOException impossible) {
-      throw new IllegalStateException("a message cannot be written", impossible);
+      throw new IllegalStateException("failed to encode a message", impossible);
     }
     return bytes.toByteArray();
   }
@@ -81,7 +81,7 @@
   /**
    * Reads the entries of a datagram whose kind has been read.
    *
-   * @throws IOException if they are none
+   * @throws IOException if an entry is malformed
    */
   static PeerMessage readEntries(int kind, JsonParser in) throws IOException {
     PeerDatagram.require(kind >= 0 && kind < KINDS.length, "is of an unknown kind");
@@ -94,19 +94,19 @@
   }
 
   private static Entry readEntry(JsonToken token, JsonParser in) throws IOException {
-    PeerDatagram.require(token == JsonToken.VALUE_STRING, "has no address where one is due");
+    PeerDatagram.require(token == JsonToken.VALUE_STRING, "has an entry without an address");
     String host = in.getText();
     PeerDatagram.require(
-        in.nextToken() == JsonToken.VALUE_NUMBER_INT, "has no age where one is due");
+        in.nextToken() == JsonToken.VALUE_NUMBER_INT, "has an entry without an age");
     long ageMillis = Math.max(0, in.getLongValue());
     PeerDatagram.require(
-        in.nextToken() == JsonToken.VALUE_NUMBER_INT, "has no run where one is due");
+        in.nextToken() == JsonToken.VALUE_NUMBER_INT, "has an entry without an incarnation");
     int incarnation = in.getIntValue();
     PeerDatagram.require(
-        in.nextToken() == JsonToken.VALUE_NUMBER_INT, "has no count where one is due");
+        in.nextToken() == JsonToken.VALUE_NUMBER_INT, "has an entry without a sequence number");
     Stamp stamp = new Stamp(incarnation, in.getIntValue());
     PeerDatagram.require(
-        in.nextToken() == JsonToken.VALUE_EMBEDDED_OBJECT, "has no report where one is due");
+        in.nextToken() == JsonToken.VALUE_EMBEDDED_OBJECT, "has an entry without a report");
     return new Entry(host, ageMillis, stamp, EncodedReport.read(in));
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerReport.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerReport.java
@@ -11,17 +11,17 @@
 import java.util.Optional;
 
 /**
- * What a node regularly tells the others.
+ * The periodic report of a node to the others.
  *
- * @param load load of the back end beside it
- * @param isDraining whether it takes no new work for that back end
- * @param version its configuration's version; -1 before the first
- * @param position the store's position of its back ends
- * @param storeContact how its calls to the store go
- * @param unlistedZone its zone, where the store does not list it as far as it knows; empty else, as
- *     that would be told in each report between zones
- * @param suspectsDigest digest of what it knows of requests under which back ends end, 0 if nothing
- * @param attested entry of the back end beside it, which lives though the store lists it no more
+ * @param load load of the local backend
+ * @param isDraining whether the node takes no new requests for the local backend
+ * @param version version of its configuration; -1 before the first
+ * @param position the store's position of the items that it holds
+ * @param storeContact outcome of its calls to the store
+ * @param unlistedZone zone of the node if the store, as far as the node knows, does not list it;
+ *     empty otherwise, since each report between zones would carry it
+ * @param suspectsDigest digest of the known requests that crash backends, 0 if there are none
+ * @param attested entry of the local backend if it is alive but no longer listed by the store
  */
 record PeerReport(
     GateLoad load,
@@ -34,7 +34,7 @@
     Optional<BackendEntry> attested) {
   private static final ReportedContact.State[] CONTACT_STATES = ReportedContact.State.values();
 
-  /** The zone that it states, itself or in the entry that it attests. */
+  /** The zone of the node, stated directly or in the attested entry. */
   Optional<String> statedZone() {
     return unlistedZone.isPresent() ? unlistedZone : attested.map(BackendEntry::zone);
   }
@@ -66,7 +66,7 @@
   /**
    * Reads a report whose list has begun.
    *
-   * @throws IOException if it is none
+   * @throws IOException if it is malformed
    */
   static PeerReport read(JsonParser in) throws IOException {
     int running = (int) readNumber(in);
@@ -99,7 +99,7 @@
   private static ReportedContact readContact(JsonParser in) throws IOException {
     long state = readNumber(in);
     if (state < 0 || state >= CONTACT_STATES.length) {
-      throw new IOException("report has an unknown state of contact: " + state);
+      throw new IOException("report has an unknown store contact state: " + state);
     }
     return new ReportedContact(CONTACT_STATES[(int) state], readNumber(in));
   }
@@ -114,7 +114,7 @@
     out.writeNumber(entry.bornMillis());
   }
 
-  /** Reads an entry whose identity has been read, and which stands on its service. */
+  /** Reads an entry whose id has been read; the parser is at its service. */
   private static BackendEntry readAttested(String id, JsonParser in) throws IOException {
     String service = currentText(in);
     PeerAddress address = new PeerAddress(readText(in), (int) readNumber(in));
@@ -122,7 +122,7 @@
     int slots = Math.max(1, (int) readNumber(in));
     long born = readNumber(in);
     if (in.nextToken() != JsonToken.END_ARRAY) {
-      throw new IOException("report does not end where it is due");
+      throw new IOException("report has trailing data");
     }
     return new BackendEntry(id, service, address, zone, slots, BackendEntry.State.READY, 0, born);
   }
@@ -134,14 +134,14 @@
 
   private static String currentText(JsonParser in) throws IOException {
     if (in.currentToken() != JsonToken.VALUE_STRING) {
-      throw new IOException("report has no text where one is due");
+      throw new IOException("report lacks an expected string");
     }
     return in.getText();
   }
 
   private static long readNumber(JsonParser in) throws IOException {
     if (in.nextToken() != JsonToken.VALUE_NUMBER_INT) {
-      throw new IOException("report has no number where one is due");
+      throw new IOException("report lacks an expected number");
     }
     return in.getLongValue();
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerReports.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerReports.java
@@ -9,21 +9,21 @@
 
 /** The latest report of each other node. Thread-safe. */
 final class PeerReports {
-  /** Reports older than this say nothing any more, milliseconds: well past all silence times. */
+  /** Age at which reports expire, milliseconds; well above all silence timeouts. */
   private static final long MAX_AGE_MILLIS = 10_000;
 
   /**
-   * A report and when the node made it, on this node's clock.
+   * A report and when it was made, on this node's clock.
    *
-   * @param encoded the same, to be passed on
-   * @param stamp which report of the node it is
-   * @param madeAtMillis when it was made, as far as known
+   * @param encoded the encoded report, for forwarding
+   * @param stamp identifies the report
+   * @param madeAtMillis when it was made, estimated from its age
    */
   record ReceivedReport(
       PeerReport report, EncodedReport encoded, PeerMessage.Stamp stamp, long madeAtMillis) {
     /**
-     * Whether another report of the node is later. The same one may come several ways, each with a
-     * delay of its own, so that within a run of the node only its own count tells.
+     * Whether another report of the node is newer. A report may arrive by several paths with
+     * different delays, so that within an incarnation only the sequence number decides.
      */
     private boolean isOlderThan(PeerMessage.Stamp otherStamp, long otherMadeAtMillis) {
       return stamp.incarnation() == otherStamp.incarnation()
@@ -35,11 +35,11 @@
   private final Map<String, ReceivedReport> byHost = new HashMap<>();
 
   /**
-   * Takes a report, unless it or a later one is known.
+   * Stores a report unless it or a newer one is known.
    *
-   * @param madeAtMillis when it was made, as far as known
-   * @return the report if it is news
-   * @throws IOException if it cannot be read
+   * @param madeAtMillis when it was made, estimated from its age
+   * @return the report if it is new
+   * @throws IOException if it cannot be decoded
    */
   synchronized Optional<PeerReport> accept(PeerMessage.Entry entry, long madeAtMillis)
       throws IOException {
@@ -53,7 +53,7 @@
     return Optional.of(report);
   }
 
-  /** Drops what is too old. */
+  /** Removes expired reports. */
   synchronized void removeExpired(long nowMillis) {
     byHost.values().removeIf(received -> received.madeAtMillis() + MAX_AGE_MILLIS < nowMillis);
   }
@@ -69,7 +69,7 @@
     return chosen;
   }
 
-  /** The contact with the store that nodes state: none, unless one of them calls it. */
+  /** The best contact with the store among some nodes; empty if none of them calls the store. */
   synchronized Optional<StoreContact> storeContact(Predicate<String> includesHost) {
     StoreContact best = null;
     for (Map.Entry<String, ReceivedReport> entry : byHost.entrySet()) {
@@ -83,8 +83,8 @@
   }
 
   /**
-   * One that reaches the store before one that does not; of two alike the later, so that entries
-   * may be missing for as long as either of them says.
+   * Prefers a contact that reaches the store. Of two in the same state it takes the later one, so
+   * that entries count as possibly missing for as long as either contact allows.
    */
   private static StoreContact preferred(StoreContact first, StoreContact second) {
     if (first.reachable() != second.reachable()) {
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerView.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerView.java
@@ -10,14 +10,14 @@
 import java.util.function.Function;
 
 /**
- * The other nodes as one round of reports sees them. Immutable.
+ * The other nodes as of one round of reports. Immutable.
  *
- * @param others all of them
- * @param near those of the own zone, and those whose zone is not known
- * @param farByZone those of each other zone
- * @param silent those that have been silent for too long
- * @param ineligible those to whom nothing is left that one node does for its zone: the silent ones,
- *     and those whose zone is not known, which may be counted in each zone
+ * @param others all other nodes
+ * @param near nodes of this node's zone and nodes of unknown zone
+ * @param farByZone nodes of each other zone
+ * @param silent nodes that have sent no reports for too long
+ * @param ineligible nodes that get no task of a zone: the silent ones, and those of unknown zone,
+ *     which every zone might count as its own
  */
 record PeerView(
     Set<String> others,
@@ -27,7 +27,7 @@
     Set<String> ineligible) {
   static final PeerView EMPTY = new PeerView(Set.of(), Set.of(), Map.of(), Set.of(), Set.of());
 
-  /** Sorts nodes by zone. */
+  /** Groups nodes by zone. */
   static PeerView of(
       Set<String> others,
       Set<String> silent,
@@ -50,21 +50,21 @@
     return new PeerView(others, near, far, silent, ineligible);
   }
 
-  /** Nodes of the own zone, and those whose zone is not known, that are not silent. */
+  /** Nodes of this node's zone or of unknown zone that are not silent. */
   Set<String> reachableNear() {
     Set<String> reachable = new HashSet<>(near);
     reachable.removeAll(silent);
     return reachable;
   }
 
-  /** Nodes known to be of the own zone that are not silent. */
+  /** Nodes known to be in this node's zone that are not silent. */
   Set<String> reachableInZone() {
     Set<String> reachable = new HashSet<>(near);
     reachable.removeAll(ineligible);
     return reachable;
   }
 
-  /** Zones that have nodes, the own one included. */
+  /** Number of zones with nodes, this node's own included. */
   int zones() {
     return farByZone.size() + 1;
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/ReadDecision.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/ReadDecision.java
@@ -3,10 +3,10 @@
 import java.util.function.Supplier;
 
 /**
- * Whether this node calls the store itself.
+ * Whether this node reads the store itself.
  *
- * @param shouldRead whether it does
- * @param isStandby whether enough others call it promptly, so that this one may call more rarely
- * @param inputs what that was decided from, for a log line
+ * @param shouldRead whether it reads the store
+ * @param isStandby whether enough other nodes read promptly, so that this one may call less often
+ * @param inputs the inputs of the decision, for a log line
  */
 record ReadDecision(boolean shouldRead, boolean isStandby, Supplier<String> inputs) {}
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/ReportSocket.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/ReportSocket.java
@@ -12,12 +12,12 @@
 
 /** Sends and receives the datagrams between nodes. Thread-safe. */
 final class ReportSocket implements AutoCloseable {
-  /** Takes a message that has arrived. */
+  /** Handles received messages. */
   interface Receiver {
     /**
-     * Takes it.
+     * Handles a message.
      *
-     * @throws IOException if what it holds cannot be read
+     * @throws IOException if its content is malformed
      */
     void handle(PeerDatagram message) throws IOException;
   }
@@ -26,16 +26,16 @@
   private final Receiver receiver;
   private final MeshEvents events;
 
-  /** Addresses that were parsed once. */
+  /** Resolved socket addresses by host. */
   private final Map<String, InetSocketAddress> addresses = new ConcurrentHashMap<>();
 
   private final Thread thread = new Thread(this::receive, "umberpath-reports");
   private volatile DatagramSocket socket;
 
   /**
-   * Creates a socket that is not open yet.
+   * Creates a socket without opening it.
    *
-   * @param own where to listen; other nodes listen at the same port
+   * @param own where to listen; other nodes listen on the same port
    */
   ReportSocket(PeerAddress listenAddress, Receiver receiver, MeshEvents events) {
     this.listenAddress = listenAddress;
@@ -44,7 +44,7 @@
   }
 
   /**
-   * Listens.
+   * Starts listening.
    *
    * @throws IOException if the address cannot be bound
    */
@@ -54,14 +54,14 @@
     thread.start();
   }
 
-  /** Sends reports to nodes. */
+  /** Sends reports to each host. */
   void send(PeerMessage.Kind kind, List<PeerMessage.Entry> entries, Collection<String> hosts) {
     if (!hosts.isEmpty()) {
       send(PeerMessage.encode(kind, entries), hosts);
     }
   }
 
-  /** Sends each datagram to each node. */
+  /** Sends each datagram to each host. */
   void send(List<byte[]> datagrams, Collection<String> hosts) {
     for (byte[] bytes : datagrams) {
       send(bytes, hosts);
@@ -73,7 +73,7 @@
       try {
         socket.send(new DatagramPacket(bytes, bytes.length, addressOf(host)));
       } catch (IOException unreachable) {
-        // The next report makes it good; who hears none for long treats this node as out of reach.
+        // The next report makes up for it; a node that receives none treats this one as silent.
         events.reportUnsent(host, unreachable);
       }
     }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/ReportedContact.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/ReportedContact.java
@@ -1,35 +1,35 @@
 package io.umberpath.node.mesh;
 
 /**
- * What a node says of its own calls to the store.
+ * The contact with the store that a node reports.
  *
- * @param state how they go
- * @param durationMillis for how long, milliseconds
+ * @param state outcome of its calls
+ * @param durationMillis how long the state has lasted, milliseconds
  */
 record ReportedContact(State state, long durationMillis) {
-  /** How the calls of a node go. */
+  /** Outcome of a node's calls to the store. */
   enum State {
-    /** It makes none, and none failed lately. */
+    /** It makes no calls, and none failed recently. */
     NONE,
-    /** They are answered. */
+    /** Its calls are answered. */
     REACHABLE,
-    /** The last one failed. */
+    /** The last call failed. */
     LOST
   }
 
   static final ReportedContact NO_CALLS = new ReportedContact(State.NONE, 0);
 
-  /** Longest time that is stated, milliseconds. */
+  /** Upper limit of the reported duration, milliseconds. */
   private static final long MAX_DURATION_MILLIS = 1_000_000;
 
-  /** States a contact that holds since a time. */
+  /** Creates the report of a contact. */
   static ReportedContact of(StoreContact contact, long nowMillis) {
     long durationMillis = Math.min(MAX_DURATION_MILLIS, nowMillis - contact.sinceMillis());
     return new ReportedContact(
         contact.reachable() ? State.REACHABLE : State.LOST, Math.max(0, durationMillis));
   }
 
-  /** The contact on this node's clock. */
+  /** Converts to a contact on this node's clock. */
   StoreContact toStoreContact(long reportedAtMillis) {
     return new StoreContact(state == State.REACHABLE, reportedAtMillis - durationMillis);
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/StateChangesCodec.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/StateChangesCodec.java
@@ -30,15 +30,15 @@
 import java.util.zip.InflaterInputStream;
 
 /**
- * Changes of the store's items as they go from one node to another: CBOR, compressed, since a
- * configuration repeats itself (600 routes of 200 bytes each shrink to about a tenth).
+ * Encodes state transfers between nodes: CBOR, compressed, since a configuration is repetitive (600
+ * routes of 200 bytes each shrink to about a tenth).
  */
 final class StateChangesCodec {
   private static final CBORFactory CBOR = new CBORFactory();
   private static final Departure[] DEPARTURES = Departure.values();
   private static final int MAX_ITEMS = 100_000;
 
-  /** Longest text that a patch may make, characters: a store's item has a megabyte at most. */
+  /** Longest text that a patch may produce, characters; an item has a megabyte at most. */
   private static final int MAX_TEXT_LENGTH = 4 * 1024 * 1024;
 
   private StateChangesCodec() {}
@@ -63,14 +63,14 @@
       }
       out.writeEndArray();
     } catch (IOException impossible) {
-      throw new IllegalStateException("changes cannot be written", impossible);
+      throw new IllegalStateException("failed to encode changes", impossible);
     } finally {
       deflater.end();
     }
     return bytes.toByteArray();
   }
 
-  /** Writes a request: four numbers of eight bytes and a byte. */
+  /** Writes a request: four 8-byte numbers and a byte. */
   static void write(TransferRequest request, OutputStream stream) throws IOException {
     DataOutputStream out = new DataOutputStream(stream);
     out.writeLong(request.state().after().era());
@@ -83,7 +83,7 @@
   /**
    * Reads a request.
    *
-   * @throws IOException if it does not come whole
+   * @throws IOException if it is incomplete
    */
   static TransferRequest readRequest(InputStream stream) throws IOException {
     DataInputStream in = new DataInputStream(stream);
@@ -196,9 +196,9 @@
   }
 
   /**
-   * Reads changes.
+   * Reads a state transfer.
    *
-   * @throws IOException if they are not whole
+   * @throws IOException if it is truncated or malformed
    */
   static StateTransfer read(InputStream stream) throws IOException {
     JsonParser in = CBOR.createParser(new InflaterInputStream(stream));
@@ -223,7 +223,7 @@
         items.add(new StoreItem(key, text, readNumber(in)));
       }
     }
-    // Reads on to the checksum of the compression.
+    // Reads to the end of the stream, so that the checksum of the compression is verified.
     require(in.nextToken() == null);
     return new StateTransfer(new StoreChanges(after, at, items, gone, patches), facts);
   }
@@ -235,7 +235,7 @@
 
   private static void require(boolean isWellFormed) throws IOException {
     if (!isWellFormed) {
-      throw new IOException("changes of another node are malformed");
+      throw new IOException("state transfer of a peer is malformed");
     }
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/StatePuller.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/StatePuller.java
@@ -17,19 +17,19 @@
 import java.util.function.Predicate;
 
 /**
- * Takes changes from other nodes: as soon as one of the own zone is ahead where this node does not
- * read the store itself, and after a while where it does, since the store may refuse, throttle or
- * drop this node alone. Other zones come last, because their bytes cost. A transfer that takes long
- * is let run while another is begun: over a full link, packets of all nodes wait alike, and one
- * that is given up has to wait again.
+ * Pulls changes from other nodes. A node that does not read the store pulls as soon as a node of
+ * its zone is ahead. A reader does so after a delay, since the store may refuse, throttle or drop
+ * this node alone. Other zones are the last choice, because traffic between zones is expensive. A
+ * slow transfer continues while another one starts: over a saturated link the packets of all nodes
+ * wait alike, and a transfer that is aborted has to wait again.
  */
 final class StatePuller implements AutoCloseable {
-  /** How often this node looks whether it is behind, while it is, milliseconds. */
+  /** Time between checks for a due transfer while this node is behind, milliseconds. */
   static final long CHECK_INTERVAL_MILLIS = 50;
 
   /**
-   * Bound of each step of a transfer, milliseconds: packets that wait for two seconds at a link are
-   * of no use within the time in which a change is to be in force.
+   * Timeout of connecting and of each read, milliseconds: packets that are queued for two seconds
+   * at a link come too late for the time within which a change is to be in force.
    */
   private static final int TIMEOUT_MILLIS = 2_000;
 
@@ -42,7 +42,7 @@
   private final ExecutorService workers = Executors.newCachedThreadPool(StatePuller::daemon);
   private volatile boolean closed;
 
-  /** Whether changes of another node did not fit what this one holds. */
+  /** Whether a patch of another node did not apply to an item of this one. */
   private volatile boolean needsFullState;
 
   private volatile boolean hasAttemptedTransfer;
@@ -85,17 +85,17 @@
     thread.start();
   }
 
-  /** Whether another node has been asked, with whatever outcome. */
+  /** Whether a transfer has ended, successfully or not. */
   boolean hasAttemptedTransfer() {
     return hasAttemptedTransfer;
   }
 
-  /** Nodes that are not asked, since they are out of reach. */
+  /** Sets the nodes that are not asked because they are silent. */
   void excludeSources(Predicate<String> condition) {
     isSilent = condition;
   }
 
-  /** Another node holds something newer. */
+  /** Notifies of a node with a newer state. */
   synchronized void onNewerState(
       String host, boolean isNear, long version, StorePosition position) {
     schedule.recordNewerState(clockMillis.getAsLong(), host, isNear, version, position);
@@ -122,7 +122,7 @@
     }
   }
 
-  /** Begins a transfer if one is due. */
+  /** Starts a transfer if one is due. */
   private synchronized void startDueTransfer() {
     schedule
         .nextSource(clockMillis.getAsLong(), state.view(), isReadingStore.getAsBoolean(), isSilent)
@@ -189,7 +189,7 @@
     BufferedInputStream response = new BufferedInputStream(socket.getInputStream());
     response.mark(1);
     if (response.read() < 0) {
-      throw new EOFException("no answer");
+      throw new EOFException("no response");
     }
     times.responseStarted();
     response.reset();
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/StateServer.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/StateServer.java
@@ -12,15 +12,15 @@
 import java.util.function.Function;
 
 /**
- * Gives what this node holds to each node that connects: that one sends what it holds (see {@link
- * StateChangesCodec#write}), and gets the encoded changes since.
+ * Serves the state of this node to other nodes. A client sends the position of its own state (see
+ * {@link StateChangesCodec#write}) and receives the encoded changes since then.
  */
 final class StateServer implements AutoCloseable {
   private static final int BACKLOG = 64;
   private static final int MAX_WORKERS = 2;
   private static final int MAX_QUEUED = 64;
 
-  /** How long a connected node may take to send its revision, milliseconds. */
+  /** How long a client may take to send its request, milliseconds. */
   private static final int REQUEST_TIMEOUT_MILLIS = 500;
 
   private final ServerSocket server;
@@ -40,7 +40,7 @@
     this.transferFor = transferFor;
   }
 
-  /** Listens. */
+  /** Starts listening. */
   static StateServer open(PeerAddress address, Function<TransferRequest, byte[]> transferFor)
       throws IOException {
     ServerSocket socket = new ServerSocket();
@@ -51,7 +51,7 @@
     return server;
   }
 
-  /** Port on which it listens. */
+  /** The port that it listens on. */
   int port() {
     return server.getLocalPort();
   }
@@ -81,7 +81,7 @@
       TransferRequest request = StateChangesCodec.readRequest(peer.getInputStream());
       peer.getOutputStream().write(transferFor.apply(request));
     } catch (IOException disconnected) {
-      // The other node logs why its transfer failed, and tries again, here or elsewhere.
+      // The client logs the failed transfer and retries it, here or at another node.
       return;
     }
   }
@@ -91,7 +91,7 @@
     try {
       server.close();
     } catch (IOException ignored) {
-      // Nothing depends on how the listener ends.
+      // A failure to close the listener has no effect on the shutdown.
       return;
     } finally {
       workers.shutdownNow();
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/StateSources.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/StateSources.java
@@ -15,11 +15,12 @@
 import java.util.function.Supplier;
 
 /**
- * Nodes that stated something newer than this node holds, and which of them is to be asked next:
- * one after the other, so that one that does not answer costs its turn only. Owner synchronizes.
+ * The nodes that advertised a newer state than this node's, and the order in which they are asked:
+ * in turn, so that one that does not respond costs only its own turn. Not thread-safe; the owner
+ * synchronizes.
  */
 final class StateSources {
-  /** What a node stated last. */
+  /** The state that a node advertised last. */
   private record AdvertisedState(String host, long version, StorePosition position) {
     boolean isAheadOf(MeshView view) {
       return view.isBehind(version, position);
@@ -34,12 +35,12 @@
     this.random = random;
   }
 
-  /** A node states what it holds. */
+  /** Records the state that a node advertises. */
   void recordAdvertised(String host, long version, StorePosition position) {
     advertisedByHost.put(host, new AdvertisedState(host, version, position));
   }
 
-  /** Whether a node holds something newer. */
+  /** Whether any node has a newer state. */
   boolean hasNewer(MeshView view) {
     removeOutdated(view);
     return !advertisedByHost.isEmpty();
@@ -50,11 +51,11 @@
   }
 
   /**
-   * The node to ask next: first those that were not asked since {@link #resetTried}, of these the
-   * one that is furthest, of equals the last source, whose patches lead on from what it gave. Else
-   * one is drawn, so that not all nodes go to the same one.
+   * The node to ask next. Nodes that were not asked since {@link #resetTried} come first; of these
+   * the one with the newest state; of equals the last source, whose patches continue from the items
+   * that it sent. Remaining ties are broken at random, to spread the load over the sources.
    *
-   * @param isSilent whether a node is out of reach
+   * @param isSilent whether a node is unreachable
    */
   Optional<String> next(MeshView view, String lastSource, Predicate<String> isSilent) {
     removeOutdated(view);
@@ -73,12 +74,12 @@
         .map(AdvertisedState::host);
   }
 
-  /** A node is being asked. */
+  /** Marks a node as asked. */
   void markTried(String host) {
     triedHosts.add(host);
   }
 
-  /** All may be asked again: a transfer gave something, or this node is level with them. */
+  /** Lets all nodes be asked again, after a useful transfer or once this node is up to date. */
   void resetTried() {
     triedHosts.clear();
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/StateTransfer.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/StateTransfer.java
@@ -4,9 +4,9 @@
 import io.umberpath.control.store.StoreFacts;
 
 /**
- * What one node gives another of its state.
+ * A transfer of state from one node to another.
  *
- * @param changes of the store's items
- * @param facts what holds whatever the store shows
+ * @param changes changes of the store's items
+ * @param facts facts that remain valid even if the store returns to an older copy
  */
 record StateTransfer(StoreChanges changes, StoreFacts facts) {}
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/StoreContact.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/StoreContact.java
@@ -1,29 +1,29 @@
 package io.umberpath.node.mesh;
 
 /**
- * Whether the store answers this node.
+ * Whether the store is reachable from this node.
  *
  * @param reachable whether its last call was answered
- * @param sinceMillis since when, on the proxy's clock
+ * @param sinceMillis start of that state on the node's clock, milliseconds
  */
 record StoreContact(boolean reachable, long sinceMillis) {
-  /** Contact from the start on. */
+  /** Contact since the start of the process. */
   static final StoreContact FROM_START = new StoreContact(true, Long.MIN_VALUE / 2);
 
-  /** Time after which entries are back that lapsed while there was no contact, milliseconds. */
+  /** Time after reconnection by which entries that expired meanwhile are renewed, milliseconds. */
   private static final long ENTRIES_RENEWED_MILLIS = 2_000;
 
-  /** The same for this node's own back end, whose heartbeats take the same way. */
+  /** The same for the local backend, whose heartbeats use the same path. */
   private static final long OWN_ENTRY_RENEWED_MILLIS = 2_500;
 
-  /** Whether an entry may be missing because there was no contact. */
+  /** Whether an entry may be missing because contact was lost. */
   boolean mayMissEntries(long nowMillis) {
     return !reachable || nowMillis < sinceMillis + OWN_ENTRY_RENEWED_MILLIS;
   }
 
   /**
-   * Whether a back end is gone whose entry has been missing since before the store came back: those
-   * that live and reach it are listed again by then.
+   * Whether a backend is gone whose entry was missing before the store was reachable again: those
+   * that are alive and reach the store have been listed again by now.
    */
   boolean confirmsRemoval(long missingSinceMillis, long nowMillis) {
     long renewedByMillis = sinceMillis + ENTRIES_RENEWED_MILLIS;
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/StoreDocuments.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/StoreDocuments.java
@@ -7,29 +7,29 @@
 import io.vavr.control.Either;
 import java.util.Optional;
 
-/** Reads the store's items, and what back ends say of themselves. Thread-safe. */
+/** Parses the store's items and the statements of backends. Thread-safe. */
 public interface StoreDocuments {
-  /** Beginning of the keys to follow. */
+  /** Prefix of the keys to follow. */
   String prefix();
 
-  /** Whether the item is the configuration. */
+  /** Whether this is the key of the configuration. */
   boolean isConfiguration(String key);
 
-  /** Whether the item is a back end's entry. */
+  /** Whether this is the key of a backend's entry. */
   boolean isBackend(String key);
 
-  /** The zone whose evacuation the item is; empty if it is none. */
+  /** The zone of an evacuation key; empty for other keys. */
   Optional<String> evacuatedZone(String key);
 
-  /** The configuration, or what is wrong with it: field and value. */
+  /** Parses the configuration; the left side names the invalid field and its value. */
   Either<String, RoutingConfiguration> configuration(StoreItem item);
 
-  /** Reads an example of a configuration with as many rules, as one from the store. */
+  /** Parses an example configuration with a number of rules, as if it came from the store. */
   RoutingConfiguration readExample(int rules);
 
-  /** A back end's entry, or what is wrong with it: field and value. */
+  /** Parses a backend's entry; the left side names the invalid field and its value. */
   Either<String, BackendEntry> backend(StoreItem item);
 
-  /** What a back end says of itself with an answer, or what is wrong with it. */
+  /** Parses the statement that a backend adds to a response; the left side is the error. */
   Either<String, BackendStatement> statement(String text);
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/StoreFollower.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/StoreFollower.java
@@ -8,37 +8,35 @@
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
 
-/**
- * The thread that carries out what the watcher wants, while this node is to read the store itself.
- */
+/** The thread that makes the watcher's store calls while this node reads the store itself. */
 final class StoreFollower implements AutoCloseable {
   private static final long MAX_SLEEP_MILLIS = 1_000;
 
   /**
-   * How soon a node that does not read notices that it is to, milliseconds: readers are elected
-   * once a round of reports.
+   * Time between checks of a node that does not read, milliseconds: readers are elected once a
+   * round of reports.
    */
   private static final long IDLE_CHECK_MILLIS = SilenceTimes.ROUND_MILLIS;
 
-  /** The same while it holds nothing: until then it refuses callers, milliseconds. */
+  /** The same while it has no state and therefore refuses requests, milliseconds. */
   private static final long START_CHECK_MILLIS = 25;
 
-  /** How long a node that stopped reading passes the last failure of its calls on, milliseconds. */
+  /** How long a node that stopped reading reports its last failed call, milliseconds. */
   private static final long FAILURE_RETENTION_MILLIS = 5_000;
 
   /**
-   * Calls in a row that the store may throttle before it counts as not answering this node: with
-   * the pauses between them 0.5 to 1 s, past a rush of many nodes at once.
+   * Consecutive throttled calls from which on the store counts as unreachable from this node: 0.5
+   * to 1 s with the pauses between them, longer than a burst of calls by many nodes.
    */
   private static final int MAX_CONSECUTIVE_THROTTLED = 4;
 
   /**
-   * Time beyond the longest that a watch may take from which on it counts as not answered,
-   * milliseconds: the store takes some milliseconds, a full link some hundred.
+   * Time beyond the longest wait of a watch after which it counts as unanswered, milliseconds: the
+   * store takes some milliseconds, a saturated link some hundred.
    */
   private static final long WATCH_GRACE_MILLIS = 600;
 
-  /** Pause after a fault in the program, so that it is not met as fast as a core runs. */
+  /** Pause after an unexpected exception, so that a recurring one does not cause a busy loop. */
   private static final long FAULT_PAUSE_MILLIS = 1_000;
 
   private static final long NEVER = -1;
@@ -56,12 +54,12 @@
   private volatile boolean reading = true;
   private boolean isStandby;
 
-  /** How the call that is under way, or was last, is timed. */
+  /** Timings of the current or last call. */
   private volatile StoreWatcherSettings timings = StoreWatchTimings.PROMPT;
 
   private int consecutiveThrottled;
 
-  /** When a call was last answered since this node began to read; NEVER before the first. */
+  /** Time of the last response since this node began to read; NEVER before the first. */
   private volatile long lastResponseMillis = NEVER;
 
   StoreFollower(MeshState state, StoreClient client, MeshEvents events, LongSupplier clockMillis) {
@@ -71,12 +69,12 @@
     this.clockMillis = clockMillis;
   }
 
-  /** Decides whether this node calls the store itself; until then it does. */
+  /** Sets the policy that decides whether this node calls the store; without one it does. */
   void setReadPolicy(Supplier<ReadDecision> policy) {
     readPolicy = policy;
   }
 
-  /** Is told when the store's changes were taken. */
+  /** Sets a listener that is called after changes were received from the store. */
   void onChange(Runnable listener) {
     changeListener = listener;
   }
@@ -86,7 +84,7 @@
     thread.start();
   }
 
-  /** Whether the store answers, as of this node's last call. */
+  /** The contact with the store as of this node's last call. */
   StoreContact contact() {
     return contact;
   }
@@ -96,7 +94,7 @@
     return reading;
   }
 
-  /** How this node's calls go, for the others. */
+  /** The contact with the store as reported to other nodes. */
   ReportedContact reportedContact() {
     long now = clockMillis.getAsLong();
     long respondedAt = lastResponseMillis;
@@ -157,14 +155,14 @@
     recordOutcome(now, response);
     boolean hasAdvanced = state.handleResponse(now, response);
     if (hasAdvanced) {
-      // Others need not wait until it is in force here.
+      // Called before the changes are applied here, so that other nodes need not wait.
       changeListener.run();
       state.refresh("store");
     }
     events.storeCalled(response, state.view().heldPosition());
   }
 
-  /** An answer of an era that is over is none: of a late one, or of one from an old instance. */
+  /** Replaces a response of an earlier era: a late one, or one of an old store instance. */
   private StoreAnswer rejectOutdated(StoreAnswer response) {
     synchronized (state) {
       return state.watcher().isOutdated(response)
@@ -196,7 +194,7 @@
     if (response instanceof StoreAnswer.Throttled) {
       consecutiveThrottled++;
       if (consecutiveThrottled >= MAX_CONSECUTIVE_THROTTLED) {
-        // Others of the zone are to read: the store may throttle this node alone.
+        // Lets other nodes of the zone read, since the store may throttle this node alone.
         recordLost(nowMillis, "throttled " + consecutiveThrottled + " times in a row");
       }
       return;
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/StoreReadPolicy.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/StoreReadPolicy.java
@@ -3,24 +3,24 @@
 import io.umberpath.control.store.ReaderElection;
 import java.util.function.LongSupplier;
 
-/** Whether this node calls the store itself, from what it holds and what the others say. */
+/** Decides whether this node reads the store itself, from its state and the peers' reports. */
 final class StoreReadPolicy {
   /**
-   * How long a node that starts again waits for the answer of another node before it reads the
-   * store, milliseconds; one that holds nothing, or is not there, answers at once.
+   * How long a restarted node waits for the state of another node before it reads the store,
+   * milliseconds; a node without a state, or an absent one, fails the transfer immediately.
    */
   private static final long RESTART_WAIT_MILLIS = 250;
 
   /**
-   * The same at the first start of the whole system, where only the nodes that others are told to
-   * ask read the store, milliseconds; traffic begins 13 s after the machines at the earliest.
+   * The same at the first start of the whole system, when only the seeds read the store,
+   * milliseconds; traffic begins 13 s after the start of the machines at the earliest.
    */
   private static final long FIRST_START_WAIT_MILLIS = 3_000;
 
   /**
-   * How long a node that holds a state and knows no other node leaves reading to those it is about
-   * to hear of, milliseconds: a few rounds of reports. Each start called the store one to three
-   * times in that time for nothing, as it took itself for the only node.
+   * How long a node with a state that knows no other node does not read the store, milliseconds: a
+   * few rounds of reports, in which it discovers its peers. Without this wait, each starting node
+   * took itself for the only one and made one to three unnecessary calls.
    */
   private static final long PEER_DISCOVERY_MILLIS = 1_000;
 
@@ -53,8 +53,8 @@
   }
 
   /**
-   * Whether this node calls the store: as one of its zone's readers, while it holds nothing yet, or
-   * to find out why the entry of the back end beside it is missing.
+   * Whether this node calls the store: as a reader of its zone, while it has no state, or to find
+   * out why the entry of the local backend is missing.
    */
   ReadDecision decide() {
     if (!state.view().isComplete()) {
@@ -73,8 +73,8 @@
   }
 
   /**
-   * Whether the state is to come from another node first: compressed, it takes a tenth of the bytes
-   * of the store's pages and no calls to the store, three a start; and the store may show only an
+   * Whether to wait for the state of another node first: compressed, it takes a tenth of the bytes
+   * of the store's pages and saves the three store calls of a start; and the store may have only an
    * older copy.
    */
   private boolean shouldWaitForPeers() {
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/StoreWatchTimings.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/StoreWatchTimings.java
@@ -2,42 +2,43 @@
 
 import io.umberpath.control.store.StoreWatcherSettings;
 
-/** How the nodes that call the store time their calls. */
+/** Timings of the calls of nodes that read the store. */
 final class StoreWatchTimings {
   /**
-   * Mean wait of a watch, milliseconds. A watch may hear nothing while changes are made, and then
-   * just stand: how long it does so is part of {@link ChangeBudget}. Two nodes of all call so
-   * often.
+   * Mean wait of a watch, milliseconds. A watch may hang without receiving the changes that are
+   * made, so that its wait is part of {@link ChangeBudget}. Two of all nodes call this often.
    */
   private static final long PROMPT_WATCH_MILLIS = 500;
 
-  /** Share by which a wait differs from that, so that not all nodes find out at once. */
+  /** Random variation of a wait, as a share of it, so that not all nodes notice a fault at once. */
   private static final double WATCH_JITTER = 0.2;
 
   /**
-   * The same for a node that hears of changes from others that call the store promptly. Its watch
-   * stands in for theirs; that it hears nothing just when both are lost is not worth its calls.
+   * The same for a standby reader, which learns of changes from nodes that call the store promptly.
+   * Its watch is the fallback if both of them are lost; that it should hang at the same time is too
+   * unlikely to justify more calls.
    */
   private static final long STANDBY_WATCH_MILLIS = 2_300;
 
-  /** Pause of such a node after changes, milliseconds: it hears of the next ones from others. */
+  /** Pause of a standby reader after changes, milliseconds: others tell it of the next ones. */
   private static final long STANDBY_PAUSE_MILLIS = 1_000;
 
-  /** Pause after changes, in which those of a quick succession gather, milliseconds. */
+  /** Pause after changes, which batches those in quick succession, milliseconds. */
   private static final long PROMPT_PAUSE_MILLIS = 200;
 
-  /** The same for the first few changes after a quiet time, such as a restart of many nodes. */
+  /** The same for the first few changes after a quiet time, e.g. when many nodes restart. */
   private static final long FAST_POLL_PAUSE_MILLIS = 60;
 
   private static final int FAST_POLLS = 5;
   private static final long FAST_POLL_REFILL_MILLIS = 2_000;
 
-  /** Pause after a failed call: from the first to the last of a succession, milliseconds. */
+  /** Backoff after the first of consecutive failed calls, milliseconds. */
   private static final long MIN_BACKOFF_MILLIS = 150;
 
+  /** Upper limit of the backoff, milliseconds. */
   private static final long MAX_BACKOFF_MILLIS = 1_000;
 
-  /** For the nodes from which the others hear of changes. */
+  /** For the readers that notify all other nodes of changes. */
   static final StoreWatcherSettings PROMPT =
       new StoreWatcherSettings(
           PROMPT_WATCH_MILLIS,
@@ -49,7 +50,7 @@
           MIN_BACKOFF_MILLIS,
           MAX_BACKOFF_MILLIS);
 
-  /** For a node that hears of changes from others that call the store promptly. */
+  /** For a standby reader. */
   static final StoreWatcherSettings STANDBY =
       new StoreWatcherSettings(
           STANDBY_WATCH_MILLIS,
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/TransferRequest.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/TransferRequest.java
@@ -3,10 +3,10 @@
 import io.umberpath.control.store.StateRequest;
 
 /**
- * What a node asks of another one's state.
+ * A request for the state of another node.
  *
- * @param state what it holds of the store's items
- * @param version its configuration's version; -1 before the first
- * @param wantsFacts whether it wants to know what an older copy of the store may not show
+ * @param state position of the store's items that the requesting node holds
+ * @param version version of its configuration; -1 before the first
+ * @param wantsFacts whether it requests the facts that an older copy of the store may lack
  */
 record TransferRequest(StateRequest state, long version, boolean wantsFacts) {}
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/TransferSchedule.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/TransferSchedule.java
@@ -11,40 +11,43 @@
 import java.util.function.Supplier;
 
 /**
- * When this node takes changes from another one, and from which: as soon as one of the own zone is
- * ahead where this node does not read the store, a little later where it does, and from other zones
- * last, because their bytes cost. Time and chance are given; owner synchronizes.
+ * Decides when this node pulls changes from another node, and from which: as soon as a node of its
+ * zone is ahead if this node does not read the store, a little later if it does, and from other
+ * zones last, because traffic between zones is expensive. Time and randomness are passed in. Not
+ * thread-safe; the owner synchronizes.
  */
 final class TransferSchedule {
   /**
-   * How long a node that reads the store waits for it before it takes changes from another,
-   * milliseconds: the store answers its readers within some ten of each other, so that one that has
-   * not been told by then hears nothing, or pauses, and a patch is smaller than the store's item.
+   * How long a reader of the store waits for it before it pulls changes from another node,
+   * milliseconds: the store notifies its readers within some ten milliseconds of each other. A
+   * reader that has received nothing by then has a watch that hears nothing, or pauses between
+   * calls, and a patch is smaller than the store's item.
    */
   static final long READER_WAIT_MILLIS = 150;
 
   /**
-   * How long a node that does not read waits for its own zone before it goes to another one: a
-   * reader there would have had its own wait, a transfer and a round of reports.
+   * How long a node that does not read the store waits for its own zone before it asks another one,
+   * milliseconds: enough for the wait of the zone's reader, a transfer and a round of reports.
    */
   static final long OTHER_ZONE_WAIT_MILLIS = 800;
 
   /**
-   * Pause between two transfers, in which quick successions of changes gather, milliseconds. A
-   * configuration travels as a patch of some hundred bytes, so that the pause bounds connections
-   * between nodes, not bytes; that a back end leaves must be known within 2 s.
+   * Pause between two transfers, which batches changes in quick succession, milliseconds. A
+   * configuration is transferred as a patch of some hundred bytes, so that the pause limits the
+   * number of connections between nodes rather than bytes. The draining of a backend must be known
+   * within 2 s.
    */
   static final long TRANSFER_PAUSE_MILLIS = 100;
 
-  /** How long a transfer may take before another is begun beside it, milliseconds. */
+  /** How long a transfer may take before another one starts in parallel, milliseconds. */
   static final long SLOW_TRANSFER_MILLIS = 500;
 
   private static final int MAX_CONCURRENT_TRANSFERS = 3;
 
-  /** Nodes that one asks for facts alone: what it was given as seeds may be three that are down. */
+  /** Nodes asked for facts alone: as many as three seeds may be down. */
   private static final int MAX_FACT_REQUESTS = 3;
 
-  /** Pause between two transfers while this node holds no configuration yet, milliseconds. */
+  /** Pause between two transfers while this node has no configuration, milliseconds. */
   private static final long START_PAUSE_MILLIS = 200;
 
   private static final long UP_TO_DATE = -1;
@@ -56,30 +59,30 @@
   private final StateSources near;
   private final StateSources far;
 
-  /** Since when this node is behind; {@link #UP_TO_DATE} while it is not. */
+  /** When this node fell behind; {@link #UP_TO_DATE} while it is not behind. */
   private long behindSinceMillis = UP_TO_DATE;
 
   private long nextTransferMillis;
   private int activeTransfers;
 
-  /** The node that changes were last taken from; empty before the first. */
+  /** The host that changes were last pulled from; empty before the first. */
   private String lastSource = "";
 
-  /** The source of the last transfer since this node is behind; null before the first. */
+  /** The last source asked since this node fell behind; null before the first. */
   private PeerAddress lastTried;
 
-  /** Whether another node has told what an older copy of the store may not show. */
+  /** Whether another node has sent the facts that an older copy of the store may lack. */
   private boolean hasFacts;
 
-  /** Nodes asked for that alone, while this one held a state. */
+  /** Number of nodes asked for facts alone while this one had a state. */
   private int factRequests;
 
   /**
-   * Creates the schedule of a node that holds nothing.
+   * Creates the schedule of a node without a state.
    *
    * @param seeds nodes to ask while no other is known
-   * @param exchangePort port at which nodes give their state
-   * @param isFirstStart whether no other node holds anything yet
+   * @param exchangePort port on which nodes serve their state
+   * @param isFirstStart whether no other node has a state yet
    */
   TransferSchedule(
       List<PeerAddress> seeds, int exchangePort, boolean isFirstStart, Supplier<Random> random) {
@@ -91,12 +94,12 @@
     this.far = new StateSources(random);
   }
 
-  /** The node starts: it is behind. */
+  /** Marks this node as behind when it starts. */
   void start(long nowMillis) {
     behindSinceMillis = nowMillis;
   }
 
-  /** Another node holds something newer. */
+  /** Records a node with a newer state. */
   void recordNewerState(
       long nowMillis, String host, boolean isNear, long version, StorePosition position) {
     if (!isActive()) {
@@ -105,7 +108,7 @@
     (isNear ? near : far).recordAdvertised(host, version, position);
   }
 
-  /** Whether {@link #nextSource} may have something to do. */
+  /** Whether {@link #nextSource} may return a source. */
   boolean isActive() {
     return behindSinceMillis != UP_TO_DATE;
   }
@@ -115,12 +118,12 @@
     return isActive() ? nowMillis - behindSinceMillis : 0;
   }
 
-  /** Whether the next answer is to tell what an older copy of the store may not show. */
+  /** Whether the next request is to ask for facts that an older copy of the store may lack. */
   boolean wantsFacts() {
     return !hasFacts;
   }
 
-  /** The node to take changes from now, which counts as asked; empty if none is due. */
+  /** The node to pull changes from now, which is marked as asked; empty if none is due. */
   Optional<PeerAddress> nextSource(
       long nowMillis, MeshView view, boolean isReadingStore, Predicate<String> isSilent) {
     boolean isBehind = near.hasNewer(view) | far.hasNewer(view);
@@ -134,7 +137,7 @@
         || activeTransfers == MAX_CONCURRENT_TRANSFERS) {
       return Optional.empty();
     }
-    // One that does not answer must not take the turn of another that could.
+    // A source that does not respond must not delay another one that could.
     PeerAddress source =
         sources.stream()
             .filter(candidate -> !candidate.equals(lastTried))
@@ -159,8 +162,8 @@
   }
 
   /**
-   * Whether a node that read the store by itself is to be told what an older copy may not show: by
-   * one of the nodes that it was given, tried a few times.
+   * Whether a node that read the store by itself should ask a seed for the facts that an older copy
+   * of the store may lack; tried a few times.
    */
   private boolean shouldRequestFacts(long nowMillis) {
     return !hasFacts
@@ -202,31 +205,31 @@
     return new PeerAddress(host, exchangePort);
   }
 
-  /** Another node has given what it holds. */
+  /** Records a response; the source may itself be without a state. */
   void recordResponse(StorePosition sourcePosition) {
     hasFacts |= sourcePosition.isKnown();
   }
 
   /**
-   * A transfer has ended.
+   * Records the end of a transfer.
    *
-   * @param view what this node holds now
+   * @param view the current view of this node
    * @param taken whether it brought something newer
    */
   void recordEnd(long nowMillis, MeshView view, PeerAddress source, boolean isAdopted) {
     activeTransfers--;
-    // Other nodes that start too hold nothing yet, and are asked again a little later.
+    // Other starting nodes have no state yet and are asked again a little later.
     nextTransferMillis = view.isComplete() ? nowMillis : nowMillis + START_PAUSE_MILLIS;
     if (isAdopted) {
       lastSource = source.host();
-      // The own zone delivers: what is newer still gets the whole time to come from there.
+      // The wait for the own zone restarts, since it delivers.
       nextTransferMillis = nowMillis + TRANSFER_PAUSE_MILLIS;
       behindSinceMillis = nowMillis;
       resetTried();
     }
   }
 
-  /** All sources may be asked again. */
+  /** Lets all sources be asked again. */
   private void resetTried() {
     lastTried = null;
     near.resetTried();
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/TransferTimes.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/TransferTimes.java
@@ -3,17 +3,17 @@
 import java.util.function.LongSupplier;
 
 /**
- * Where the time of one transfer of state went, milliseconds.
+ * Durations of the phases of a state transfer, milliseconds.
  *
- * @param behind from when this node heard that it is behind until the transfer began
+ * @param behind from when this node learned that it is behind until the transfer started
  * @param connect until the connection was open
- * @param answer until the first byte of the answer
- * @param read until the answer was read whole
+ * @param answer until the first byte of the response
+ * @param read until the response was read completely
  * @param take until it was in force
  */
 record TransferTimes(long behind, long connect, long answer, long read, long take) {
 
-  /** Measures the steps of one transfer as they end. */
+  /** Measures the phases of a transfer. */
   static final class Stopwatch {
     private final LongSupplier clockMillis;
     private final long behindMillis;
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/ZoneReaders.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/ZoneReaders.java
@@ -10,11 +10,12 @@
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
 
-/** Which nodes of the own zone call the store, as their reports tell. Thread-safe. */
+/** Elects the nodes of this zone that read the store, based on their reports. Thread-safe. */
 final class ZoneReaders {
   /**
-   * Nodes of all zones that call the store promptly: the loss of one is not felt, and until that of
-   * both is noticed, within 3.7 s, the standing watches of the others still hear changes at once.
+   * Nodes of all zones that call the store promptly: the loss of one has no effect. Until the loss
+   * of both is detected, within 3.7 s, the pending watches of the others still receive changes at
+   * once.
    */
   private static final int PROMPT_READERS = 2;
 
@@ -23,7 +24,7 @@
   private final LongSupplier silenceMillis;
   private final PeerReports reports;
 
-  /** Nodes that take no new work; shared with who hears of it. */
+  /** Nodes that take no new requests; shared with {@link PeerExchange}, which updates it. */
   private final Set<String> drainingHosts;
 
   private final long roundMillis;
@@ -33,11 +34,11 @@
   private LastElection lastElection;
 
   /**
-   * The last decision about reading the store, and from what it was made.
+   * The last election and its inputs.
    *
-   * @param peers the other nodes as they were seen
-   * @param isRefused whether the store did not answer this node lately
-   * @param atMillis when it was made
+   * @param peers the other nodes at that time
+   * @param isRefused whether the store recently failed to answer this node
+   * @param atMillis time of the election
    */
   private record LastElection(
       PeerView peers, boolean isRefused, long atMillis, ReaderElection.Decision decision) {
@@ -47,10 +48,12 @@
   }
 
   /**
-   * Creates one that has not decided.
+   * Creates the election of a node.
    *
-   * @param silenceMillis after how much silence a node of the own zone is out of reach
-   * @param roundMillis time between two rounds of reports: nothing is decided twice in it
+   * @param silenceMillis silence after which a node of this zone counts as unreachable,
+   *     milliseconds
+   * @param roundMillis time between two rounds of reports, in which a decision is reused,
+   *     milliseconds
    */
   ZoneReaders(
       String self,
@@ -69,10 +72,10 @@
   }
 
   /**
-   * Whether this node is one of those of its zone that call the store; decided once a round of
-   * reports at most, since nothing else changes it.
+   * Decides whether this node reads the store for its zone; at most once a round of reports unless
+   * the inputs change.
    *
-   * @param isRefused whether the store did not answer this node lately
+   * @param isRefused whether the store recently failed to answer this node
    */
   synchronized ReaderElection.Decision decide(long nowMillis, boolean isRefused) {
     PeerView current = peers.get();
@@ -113,8 +116,8 @@
   }
 
   /**
-   * Whether enough nodes that rank before this one, of any zone, say that the store answers them:
-   * what changes, this node hears from them within some hundred milliseconds.
+   * Whether enough higher-ranked nodes, of any zone, report that the store answers them: this node
+   * learns of changes from them within some hundred milliseconds.
    */
   boolean isStandby() {
     PeerView current = peers.get();
@@ -132,7 +135,7 @@
     return received.report().storeContact().state() == ReportedContact.State.REACHABLE;
   }
 
-  /** The contact with the store that nodes of the own zone state; empty if none calls it. */
+  /** The contact with the store reported by nodes of this zone; empty if none calls the store. */
   Optional<StoreContact> storeContact() {
     return reports.storeContact(peers.get().reachableInZone()::contains);
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/package-info.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A node whose configuration and back ends come from an external ordered store: follows the store,
- * shares what it knows with other nodes, and carries requests by it.
+ * A mesh node whose configuration and backends come from an external ordered store: it follows the
+ * store, exchanges state with other nodes, and proxies requests.
  */
 package io.umberpath.node.mesh;
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/AttestedBackendsTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/AttestedBackendsTest.java
@@ -43,7 +43,7 @@
     assertThat(ready(5_000, StoreContact.FROM_START, later)).containsExactly(later);
   }
 
-  /** The users: one that is still missing two seconds after the store's return is gone. */
+  /** Required by the users: a backend still missing two seconds after reconnection is gone. */
   @Test
   void backendStillUnlistedTwoSecondsAfterReconnectionIsDropped() {
     StoreContact regained = new StoreContact(true, 5_200);
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/ChangeBudgetTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/ChangeBudgetTest.java
@@ -11,11 +11,12 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * A pause of 600 ms after changes and a watch that heard nothing for 1,320 ms left 80 ms of the two
- * seconds for the answer, two reports and two transfers. No test added them up.
+ * Guards against timings that add up to more than the bound. A pause of 600 ms after changes and a
+ * watch that hung for 1,320 ms once left 80 ms of the two seconds for the store's response, two
+ * reports and two transfers.
  */
 final class ChangeBudgetTest {
-  /** Within this an acknowledged configuration is in force, and no work reaches who leaves. */
+  /** Time within which a configuration is in force and a draining backend gets no requests. */
   private static final long BOUND_MILLIS = 2_000;
 
   private static final Path DESIGN_NOTE =
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/FakeStoreDocuments.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/FakeStoreDocuments.java
@@ -14,9 +14,10 @@
 import java.util.Optional;
 
 /**
- * Entries of back ends whose key is the id and whose value is the port, or port, start, service and
- * state joined by {@code @}; evacuations whose key is {@code evacuate/} and the zone;
- * configurations that hold the one service that is their value, and after an {@code @} the version.
+ * A simple format of store items. A backend's entry has the id as key, and as value the port, or
+ * port, start time, service and state joined by {@code @}. An evacuation has the key {@code
+ * evacuate/} and the zone. A configuration has the name of its only service as value, optionally
+ * followed by {@code @} and the version.
  */
 class FakeStoreDocuments implements StoreDocuments {
   private static final String CONFIGURATION = "configuration";
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/FleetModel.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/FleetModel.java
@@ -17,9 +17,9 @@
 import java.util.TreeSet;
 
 /**
- * Nodes with the decisions that run in the process, a store that comes back from older copies, and
- * messages that are late, lost or reordered. What must never happen is checked after each step, and
- * that all nodes hold what the store holds after {@link #assertConverged}.
+ * A model of nodes with the production state logic, a store that is restored from older copies, and
+ * messages that are late, lost or reordered. Invariants are checked after each step, and {@link
+ * #assertConverged} checks that all nodes hold the content of the store.
  */
 final class FleetModel {
   private static final StoreWatcherSettings TIMINGS = new StoreWatcherSettings(500, 0, 1, 1);
@@ -29,17 +29,17 @@
   private static final String REPLACEMENT = "c";
   private static final int SETTLING_ROUNDS = 12;
 
-  /** Of all models, on a clock that stands, so that the bounds of its lines hold over all. */
+  /** Shared by all models, with a stopped clock, so that its log line budget covers all of them. */
   private static final MeshEvents EVENTS = new MeshEvents(() -> 0);
 
-  /** What is on its way to a node. */
+  /** A message in flight to a node. */
   private sealed interface Message {
     record FromStore(StoreAnswer answer) implements Message {}
 
     record FromPeer(StateTransfer transfer) implements Message {}
   }
 
-  /** One life of a node. */
+  /** One process of a node, from its start to its restart. */
   private final class Node {
     private final MeshState state =
         new MeshState(
@@ -60,13 +60,15 @@
 
     void checkInvariants() {
       MeshView view = state.view();
-      assertThat(view.version()).as("version in a life").isGreaterThanOrEqualTo(highestVersion);
+      assertThat(view.version())
+          .as("version within one process")
+          .isGreaterThanOrEqualTo(highestVersion);
       highestVersion = view.version();
       for (String id : List.of(DRAINING, REPLACED)) {
         Optional<BackendEntry> entry = view.backends().byId(id);
         boolean isReady = ready().contains(id);
         if (seenDeparted.contains(id)) {
-          assertThat(isReady).as("%s takes work again", id).isFalse();
+          assertThat(isReady).as("departed backend %s gets requests again", id).isFalse();
         }
         if (entry.filter(each -> each.state() == BackendEntry.State.DRAINING).isPresent()) {
           seenDeparted.add(id);
@@ -106,13 +108,13 @@
     store.put(CONFIGURATION, "booking@" + acceptedVersion);
   }
 
-  /** One back end says that it leaves. */
+  /** One backend starts draining. */
   void drain() {
     isDraining = true;
     putIfDifferent(DRAINING, "80@0@booking@DRAINING");
   }
 
-  /** Another one ends, and its address goes to a back end that starts. */
+  /** Another backend ends, and a new one starts at its address. */
   void replace() {
     if (isReplaced) {
       return;
@@ -122,7 +124,7 @@
     store.put(REPLACEMENT, "81");
   }
 
-  /** The back end at the address used again ends too, perhaps before it is written again. */
+  /** The replacement ends too, possibly before its lost entry is rewritten. */
   void endReplacement() {
     hasReplacementEnded = isReplaced;
     if (hasReplacementEnded && store.items().containsKey(REPLACEMENT)) {
@@ -138,7 +140,7 @@
     store.forgetHistory();
   }
 
-  /** The operator and the back ends write what the store has lost. */
+  /** The operator and the backends rewrite what the store has lost. */
   void rewriteLost() {
     putIfDifferent(CONFIGURATION, "booking@" + acceptedVersion);
     putIfDifferent(DRAINING, isDraining ? "80@0@booking@DRAINING" : "80");
@@ -163,7 +165,7 @@
     }
   }
 
-  /** A node calls the store, whose answer is on its way from now on. */
+  /** A node calls the store; the response is in flight from now on. */
   void callStore(int index) {
     Node node = nodes.get(index);
     synchronized (node.state) {
@@ -177,7 +179,7 @@
     }
   }
 
-  /** A node asks another one, whose answer is on its way from now on. */
+  /** A node requests the state of another one; the response is in flight from now on. */
   void requestTransfer(int index, int other) {
     Node node = nodes.get(index);
     TransferRequest request =
@@ -185,7 +187,7 @@
     node.inFlight.add(new Message.FromPeer(nodes.get(other).state.transferFor(request)));
   }
 
-  /** The first or the last message on its way to a node arrives. */
+  /** Delivers the first or the last message in flight to a node. */
   void deliver(int index, boolean isFirst) {
     Node node = nodes.get(index);
     if (node.inFlight.isEmpty()) {
@@ -194,7 +196,7 @@
     Message message = node.inFlight.remove(isFirst ? 0 : node.inFlight.size() - 1);
     if (message instanceof Message.FromPeer fromPeer) {
       if (node.state.adopt(fromPeer.transfer(), "peer") == MeshState.Adoption.PATCH_MISMATCH) {
-        throw new AssertionError("a patch was made from other content");
+        throw new AssertionError("a patch did not apply to the held item");
       }
     } else if (message instanceof Message.FromStore fromStore) {
       synchronized (node.state) {
@@ -207,7 +209,7 @@
     node.checkInvariants();
   }
 
-  /** A node's process ends and another one begins, which asks the others before it reads. */
+  /** Restarts a node, which then pulls the state of all others before it reads the store. */
   void restart(int index) {
     nodes.set(index, new Node());
     for (int other = 0; other < nodes.size(); other++) {
@@ -218,7 +220,7 @@
     }
   }
 
-  /** A node calls the store until it has read all that there is. */
+  /** A node calls the store until it has read everything. */
   void readStoreFully(int index) {
     for (int round = 0; round < SETTLING_ROUNDS; round++) {
       callStore(index);
@@ -234,7 +236,7 @@
     }
   }
 
-  /** All is written again and every node reaches the store: all hold the same, and what is true. */
+  /** Rewrites what was lost, lets every node read the store, and checks that all have its state. */
   void assertConverged() {
     rewriteLost();
     readStoreFullyOnAll();
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/MeshStateLockTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/MeshStateLockTest.java
@@ -18,7 +18,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Reading a large configuration takes long where the processor is short. */
+/**
+ * Parsing a large configuration takes long on a slow processor. No other operation of the state may
+ * wait for it.
+ */
 @Timeout(value = 20, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 final class MeshStateLockTest {
   private static final StorePosition AT = new StorePosition(1, 5);
@@ -74,7 +77,7 @@
     assertThat(state.view().position()).isEqualTo(AT);
   }
 
-  /** Each node on the way of a change would add the time that it takes to read it. */
+  /** Otherwise each node on the path of a change would add its parse time. */
   @Test
   void adoptedConfigurationIsServedToPeersWhileItIsParsed() throws Exception {
     state.onAdopted(announced::countDown);
@@ -88,7 +91,7 @@
     assertAppliedAfterParse(adopted);
   }
 
-  /** The same where the store has told of it. */
+  /** The same for a configuration from the store. */
   @Test
   void storeConfigurationIsServedToPeersWhileItIsParsed() throws Exception {
     StoreAnswer.Page page = new StoreAnswer.Page(List.of(CONFIGURATION), false, AT);
@@ -101,7 +104,7 @@
     assertAppliedAfterParse(refreshed);
   }
 
-  /** The timer keeps deadlines and sends reports. */
+  /** The timer enforces deadlines and sends reports. */
   @Test
   void timerIsNotBlockedWhileAConfigurationIsParsed() throws Exception {
     CompletableFuture<Void> adopted = startAdoption();
@@ -110,7 +113,7 @@
     assertAppliedAfterParse(adopted);
   }
 
-  /** It has all that the others hold, and would ask them in vain. */
+  /** It already holds what the others have, so that asking them would be useless. */
   @Test
   void nodeIsNotBehindPeersWhoseConfigurationItParses() throws Exception {
     CompletableFuture<Void> adopted = startAdoption();
@@ -120,7 +123,7 @@
     assertAppliedAfterParse(adopted);
   }
 
-  /** A node that starts would go by the copy alone. */
+  /** Otherwise a starting node would use the older copy alone. */
   @Test
   void newerConfigurationIsServedWithAnOlderCopyThatIsParsed() throws Exception {
     StoreItem newer = new StoreItem("configuration", "booking@9", 8);
@@ -134,7 +137,7 @@
     assertThat(state.view().version()).isEqualTo(9);
   }
 
-  /** Its entry is replaced by that of the copy before it was in force. */
+  /** The copy replaces the draining entry before that one was applied. */
   @Test
   void departureNotYetAppliedSurvivesAnOlderCopy() throws Exception {
     StoreItem ready = new StoreItem("a", "80@1000", 4);
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/MeshStateTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/MeshStateTest.java
@@ -34,7 +34,7 @@
     return state.view().backends().ready("booking").stream().map(BackendEntry::id).toList();
   }
 
-  /** The store lists a start that has ended until its lease runs out. */
+  /** The store lists a terminated backend until its lease expires. */
   @Test
   void onlyTheLaterOfTwoStartsAtOneAddressIsListed() {
     state.adopt(
@@ -58,7 +58,7 @@
     assertThat(ready()).containsExactly("c");
   }
 
-  /** The clock of a back end's machine may have been set back: the store's order holds. */
+  /** The clock of a backend's machine may have been set back: the store's order decides. */
   @Test
   void lastWrittenOfTwoStartsUnderOneIdIsListedWhateverItsStartTime() {
     state.adopt(whole(3, List.of(new StoreItem("a", "80@9000", 3))), "peer");
@@ -76,7 +76,7 @@
     assertThat(ready()).containsExactly("b");
   }
 
-  /** Another writer's entry may name the address of a back end that serves. */
+  /** An entry of another writer may name the address of a running backend. */
   @Test
   void entryOfAnUnknownServiceReplacesNoBackend() {
     List<StoreItem> items =
@@ -107,12 +107,12 @@
     state.adopt(whole(4, List.of(backend)), "peer");
     BackendDirectory before = state.view().backends();
 
-    // An earlier start at the same address, which is not listed.
+    // An earlier start at the same address, which the directory does not list.
     state.adopt(whole(5, List.of(backend, new StoreItem("old", "80", 2))), "peer");
     assertThat(state.view().position().revision()).isEqualTo(5);
     assertThat(state.view().backends()).isSameAs(before);
 
-    // Written anew, though with the same text.
+    // Rewritten with the same value.
     state.adopt(whole(6, List.of(new StoreItem("a", "80", 6))), "peer");
     assertThat(state.view().backends()).isNotSameAs(before);
   }
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/PeerMessagesTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/PeerMessagesTest.java
@@ -31,7 +31,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What nodes say to each other: reports, transfers, the hop header. */
+/** The messages between nodes: reports, transfers, the hop header. */
 final class PeerMessagesTest {
   private static final BackendEntry ENTRY =
       new BackendEntry(
@@ -93,7 +93,7 @@
     byte[] bytes = SuspectMessage.encode(100_000, List.of(first, second)).get(0);
     SuspectMessage read = (SuspectMessage) PeerDatagram.decode(bytes, bytes.length);
 
-    // The receiver's clock is another one.
+    // The receiver's clock differs from the sender's.
     CrashMark moved = new CrashMark(-7, 490_000, false);
     CrashMark clearedMoved = new CrashMark(1_234_567_890, 499_750, true);
     assertThat(read.asOf(500_000))
@@ -131,7 +131,7 @@
     assertThat(bytes.length).isLessThan(58);
   }
 
-  /** A zone of 25 nodes, as many as the largest deployments have, gossips in single datagrams. */
+  /** A zone of 25 nodes, the size in the largest deployments, gossips in single datagrams. */
   @Test
   void reportsOfAZoneFitOneDatagram() {
     PeerMessage zone = message(PeerMessage.Kind.REPORTS, 25, report(false, Optional.empty()));
@@ -169,11 +169,11 @@
     assertThat(read).isEqualTo(whole.entries());
   }
 
-  /** What a message holds in place of a report is refused when it is read. */
+  /** Reports are not validated when a message is decoded, but when they are decoded themselves. */
   @Test
   void malformedReportIsRejectedWhenDecoded() throws IOException {
     byte[] bytes = message(PeerMessage.Kind.REPORTS, 1, report(false, Optional.empty())).encode();
-    // The last byte ends the message, the one before it the report's list.
+    // The last byte ends the message; the one before it ends the report's list.
     bytes[bytes.length - 2] = 0;
     PeerMessage read = (PeerMessage) PeerDatagram.decode(bytes, bytes.length);
 
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/PeerReportsTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/PeerReportsTest.java
@@ -18,7 +18,7 @@
         load, false, 1, new StorePosition(1, 1), contact, 0, Optional.empty(), Optional.empty());
   }
 
-  /** Stamps of one run whose counts are the times. */
+  /** Uses a stamp of one incarnation with the time as sequence number. */
   private boolean accept(String host, PeerReport report, int atMillis) throws IOException {
     return accept(host, new PeerMessage.Stamp(7, atMillis), report, atMillis);
   }
@@ -29,7 +29,7 @@
     return reports.accept(entry, atMillis).isPresent();
   }
 
-  /** Digests overtake each other: an older report of a node does not replace a later one. */
+  /** Digests may arrive out of order: an older report does not replace a newer one. */
   @Test
   void latestReportOfANodeIsKept() throws IOException {
     assertThat(accept("a", report(ReportedContact.NO_CALLS, 3), 1_000)).isTrue();
@@ -62,7 +62,7 @@
         .contains(new StoreContact(false, 700));
   }
 
-  /** Passed on and on, the report of a node that has died would keep it alive for ever. */
+  /** Otherwise a forwarded report would keep a dead node alive forever. */
   @Test
   void duplicateReportIsIgnored() throws IOException {
     PeerReport report = report(ReportedContact.NO_CALLS, 3);
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/PeerViewTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/PeerViewTest.java
@@ -26,7 +26,7 @@
     assertThat(view.zones()).isEqualTo(2);
   }
 
-  /** Digests of a zone were left to nodes that each zone took for its own. */
+  /** A zone once left its digests to nodes of unknown zone, which every zone took for its own. */
   @Test
   void nodesOfUnknownZoneAreNotDelegates() {
     Set<String> unplaced = Set.of("u1", "u2", "u3", "u4", "u5", "u6", "u7", "u8");
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/ReaderFailoverTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/ReaderFailoverTest.java
@@ -18,14 +18,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * No configuration reached any node for 5 s after one machine was lost. Symptom: a route that had
- * been acknowledged 2.1 s before was answered with 404. Sequence: the machine of the node that
- * ranks first as a reader loses power; its zone takes it for silent after 1 s and another node
- * reads; 3.7 s later the lease of its back end's entry runs out, and each node, on taking that
- * removal, took the dead one for heard again, for a node of its own zone, and for the reader there.
- * So all four zones stopped reading, until the dead node was forgotten 10 s after its last report.
- * It showed in the lines "peer-heard" of a machine without power and "store-reader ends" of all
- * zones within a second, and in no call to the store by any node for 5 s.
+ * Guards against a loss of all readers after one machine fails. The node that ranks first as a
+ * reader loses power, its zone detects it as silent after 1 s, and another node reads. 3.7 s later
+ * the lease of the dead node's backend expires. On that removal each node once took the dead node
+ * for heard again, for a node of its own zone, and for the reader there. All four zones stopped
+ * reading, and no configuration reached any node for 5 s, until the dead node was removed 10 s
+ * after its last report, and a route acknowledged 2.1 s before was answered with 404. In the log,
+ * "peer-heard" named a machine without power, and "store-reader ends" appeared in all zones within
+ * a second.
  */
 final class ReaderFailoverTest {
   private static final long UNLISTED_RETENTION_MILLIS = 10_000;
@@ -34,10 +34,10 @@
   private static final long LEASE_MILLIS = 4_500;
   private static final long END_MILLIS = 30_000;
 
-  /** From this number of zones on each has one reader. */
+  /** Number of zones from which on each zone has one reader. */
   private static final int ONE_READER_ZONES = 4;
 
-  /** What a node knows of the others, as in a round of reports. */
+  /** A node with its known peers. */
   private static final class Node {
     private final String host;
     private final String zone;
@@ -64,7 +64,7 @@
     }
   }
 
-  /** The node that ranks before all others. */
+  /** The node that ranks first as a reader. */
   private String firstRanked() {
     return nodes.keySet().stream().filter(host -> ranksFirst(host, nodes.keySet())).findAny().get();
   }
@@ -75,7 +75,7 @@
     return reads(host, new HashSet<>(others), ONE_READER_ZONES);
   }
 
-  /** By the rank alone: all that rank before it are believed to call the store. */
+  /** Decides by rank alone: all other nodes are taken to call the store. */
   private static boolean reads(String host, Set<String> others, int zones) {
     ReaderElection election = new ReaderElection(host, SilenceTimes.ROUND_MILLIS);
     return election.decide(0, others, others, Set.of(), zones, 0).reads();
@@ -105,7 +105,7 @@
     return reads(node.host, view.reachableInZone(), view.zones());
   }
 
-  /** Each round every living node is heard of by all others. */
+  /** Runs a round in which all nodes receive a report of each living node. */
   private void runRound(long now, Set<String> dead, Set<String> listed) {
     for (Node node : nodes.values()) {
       for (String host : nodes.keySet()) {
@@ -149,7 +149,7 @@
     return served;
   }
 
-  /** A node whose back end's entry has lapsed lives on, and reads on for its zone. */
+  /** A node whose backend's entry has expired is still alive and reads for its zone. */
   @Test
   void unlistedReaderKeepsReadingWhileItReports() {
     buildFleet(ONE_READER_ZONES, 3);
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/SilentWatchTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/SilentWatchTest.java
@@ -11,12 +11,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A store that forgets its history first leaves watches standing that hear nothing. */
+/** A store that discards its history leaves pending watches without events until they time out. */
 final class SilentWatchTest {
-  /** An accepted configuration is in force after this, milliseconds. */
+  /** Time within which an accepted configuration is in force, milliseconds. */
   private static final long BOUND_MILLIS = 2_000;
 
-  /** For two calls after the watch: one that hears that history is gone, one that reads. */
+  /** Reserved for two calls after the watch: one reports that history is gone, one reads. */
   private static final long TWO_CALLS_MILLIS = 500;
 
   @ParameterizedTest
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/SimulatedFleet.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/SimulatedFleet.java
@@ -14,10 +14,10 @@
 import java.util.function.Predicate;
 
 /**
- * Nodes in virtual time with the decisions of the process about what they hold, when they call the
- * store and from whom they take changes; a network and a store with delays. Each zone has one
- * reader that the store answers, two of all call it promptly. Reports go out when a reader has news
- * and every round to three nodes of the zone; digests once a second.
+ * A fleet in virtual time. Nodes use the production code for their state, for the timing of store
+ * calls and for the choice of transfer sources; the network and the store have delays. Each zone
+ * has one reader that the store answers, and two readers of the fleet call it promptly. Reports are
+ * sent when a reader has changes and to three nodes of the zone every round, digests once a second.
  */
 final class SimulatedFleet {
   private static final int EXCHANGE_PORT = 7_000;
@@ -34,10 +34,9 @@
 
   private record ScheduledTask(long atMillis, long order, Runnable task) {}
 
-  /** A watch that waits at the store. */
+  /** A watch that is pending at the store. */
   private record PendingWatch(Node node, long after, long untilMillis) {}
 
-  /** One node. */
   final class Node {
     final int index;
     final int zone;
@@ -47,7 +46,7 @@
     private boolean isAnnouncing;
     private boolean isPulling;
 
-    /** Whether the back end that has left gets new work from here. */
+    /** Whether this node sends new requests to the draining backend. */
     boolean sendsToDrainingBackend() {
       return state.view().backends().ready("booking").stream()
           .anyMatch(entry -> entry.id().equals("b-0"));
@@ -94,7 +93,7 @@
     for (int index = 0; index < size; index++) {
       nodes.add(new Node(index, index % zones));
     }
-    // The store refuses a third of the nodes, of each zone alike.
+    // The store refuses a third of the nodes of each zone.
     this.isRefused = node -> node.index / zones % 3 == 0;
     for (Node node : nodes) {
       node.schedule.start(0);
@@ -129,7 +128,7 @@
     return (int) nodes.stream().filter(this::isReader).count();
   }
 
-  /** Runs a task at a time. */
+  /** Schedules a task at a time. */
   void schedule(long millis, Runnable task) {
     queue.add(new ScheduledTask(millis, order++, task));
   }
@@ -147,7 +146,7 @@
     now = millis;
   }
 
-  /** The store is away, or back. */
+  /** Takes the store down, or up again. */
   void setStoreDown(boolean isDown) {
     isStoreDown = isDown;
     List<PendingWatch> failed = List.copyOf(pendingWatches);
@@ -156,12 +155,12 @@
         pending -> deliverAfterDelay(pending.node(), new StoreAnswer.Unavailable("cut")));
   }
 
-  /** Cuts a zone off from the store and the others; -1 for none. */
+  /** Partitions a zone from the store and the other zones; -1 for none. */
   void isolateZone(int zone) {
     isolatedZone = zone;
   }
 
-  /** The store has changed: watches that wait are answered. */
+  /** Answers pending watches after a change of the store. */
   void onStoreChange() {
     List<PendingWatch> notified = new ArrayList<>(pendingWatches);
     pendingWatches.clear();
@@ -183,7 +182,7 @@
     return one.zone == other.zone || (one.zone != isolatedZone && other.zone != isolatedZone);
   }
 
-  /** The first node of each zone that the store answers. */
+  /** Whether the node is the first of its zone that the store answers. */
   private boolean isReader(Node node) {
     return !isRefused.test(node)
         && nodes.stream()
@@ -275,7 +274,7 @@
     deliverReport(from, to, view.version(), view.position(), DATAGRAM_MILLIS);
   }
 
-  /** One node of another zone hears, and passes it on to its zone. */
+  /** Sends a digest to one node of another zone, which relays it to its zone. */
   private void sendDigest(Node from, int zone) {
     List<Node> candidates = nodes.stream().filter(each -> each.zone == zone).toList();
     Node relay = candidates.get(random.nextInt(candidates.size()));
@@ -323,7 +322,9 @@
     scheduleAfter(ROUND_MILLIS, () -> runRound(node));
   }
 
-  /** Runs the schedule of a node now and every few milliseconds while it has something to do. */
+  /**
+   * Starts the transfer schedule of a node, which runs every few milliseconds while it is active.
+   */
   private void startPulling(Node node) {
     if (node.isPulling) {
       return;
@@ -375,7 +376,7 @@
     node.schedule.recordEnd(now, node.state.view(), source, isAdopted);
   }
 
-  /** Items that a store of back ends has at the start: a configuration and their entries. */
+  /** Writes the initial items to a store: a configuration and the entries of backends. */
   static void populate(StoreModel store, int backends) {
     store.put("configuration", "booking@1");
     for (int index = 0; index < backends; index++) {
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/StatePullerTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/StatePullerTest.java
@@ -49,7 +49,7 @@
         null);
   }
 
-  /** Answers each transfer only after a while, as over a link that others keep full. */
+  /** Responds to each transfer with a delay, like a saturated link. */
   private static void serveSlowly(ServerSocket server) {
     while (!server.isClosed()) {
       try (Socket peer = server.accept()) {
@@ -57,7 +57,7 @@
         Thread.sleep(SLOW_MILLIS);
         peer.getOutputStream().write(StateChangesCodec.encode(CHANGES));
       } catch (IOException closedOrGone) {
-        // The puller gave the transfer up, or the test has ended.
+        // The puller aborted the transfer, or the test has ended.
         continue;
       } catch (InterruptedException ended) {
         return;
@@ -66,8 +66,8 @@
   }
 
   /**
-   * On a full link each step of a transfer took more than half a second; each transfer was given up
-   * then and begun anew, so that no change ever arrived.
+   * On a saturated link each step of a transfer took more than half a second. Transfers were
+   * aborted by then and restarted, so that no change ever arrived.
    */
   @Test
   void transferOverASaturatedLinkCompletes() throws Exception {
@@ -116,8 +116,9 @@
   }
 
   /**
-   * In a quick succession of changes a node is never level with all others. It counted as behind
-   * since the first one, and took all of them from other zones although its own delivered.
+   * During changes in quick succession a node is never up to date with all others. It counted as
+   * behind since the first change, and pulled all of them from other zones although its own zone
+   * delivered them.
    */
   @Test
   void waitForOtherZonesRestartsAfterEachTransferFromTheOwnZone() throws Exception {
@@ -156,23 +157,23 @@
   }
 
   /**
-   * A reader announced a change and died. Its zone's nodes tried it a third time when the turn of
-   * another zone had come, and had no transfer left to begin until the first one timed out: a
-   * change took 2.2 s in place of one.
+   * A reader announced a change and died. The nodes of its zone asked it a third time when they
+   * should have asked another zone, and could start no further transfer until the first one timed
+   * out: a change took 2.2 s instead of one.
    */
   @Test
   void unresponsiveSourceDoesNotDelayASourceOfAnotherZone() throws Exception {
     assertPullsAfterAnUnresponsiveSource(false, 2);
   }
 
-  /** The node that stated the newest version was killed; it alone was asked, though others live. */
+  /** Only the node that advertised the newest version was asked, though it had been killed. */
   @Test
   void anotherSourceOfTheSameZoneIsAskedAfterAnUnresponsiveOne() throws Exception {
     assertPullsAfterAnUnresponsiveSource(true, 1);
   }
 
   /**
-   * A node of the own zone states the newest version and does not answer; another one does.
+   * A node of the own zone advertises the newest version but does not respond; another node does.
    *
    * @param otherIsNear whether the other one is of the own zone too
    * @param deadTurns how often the dead one is asked before it, each half a second
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/StateSourcesTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/StateSourcesTest.java
@@ -7,9 +7,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A route was served 2.0 to 2.7 s after it had been added: the node that had stated the newest
- * version was killed, and nodes of other zones asked it again and again, though others lived that
- * were a little less far. Of all statements only the furthest was kept.
+ * Guards against repeated requests to a dead source. Only the newest advertised state was kept:
+ * when the node that had advertised it was killed, nodes of other zones asked it again and again,
+ * though others with a slightly older state were alive. A new route was served only after 2.0 to
+ * 2.7 s.
  */
 final class StateSourcesTest {
   private final StateSources sources = new StateSources(ThreadLocalRandom::current);
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/StoreFollowerTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/StoreFollowerTest.java
@@ -24,7 +24,7 @@
   private static final long TIMEOUT_SECONDS = 20;
   private static final int POLICY_CHECKS = 4;
 
-  /** Answers each call at once, and counts them. */
+  /** Answers each call immediately and counts the calls. */
   private static final class CountingClient implements StoreClient {
     private final AtomicInteger calls = new AtomicInteger();
 
@@ -77,8 +77,8 @@
   }
 
   /**
-   * The store answers one machine "too many" for seconds and serves the others. The node there went
-   * on as its zone's reader, said that its calls are answered, and nobody else read.
+   * The store throttled one machine for seconds and served the others. The node there remained the
+   * reader of its zone and reported its calls as answered, so that no other node read.
    */
   @Test
   void persistentlyThrottledReaderReportsLostContact() throws Exception {
@@ -107,7 +107,7 @@
     }
   }
 
-  /** Each call hangs until the test gives its answer. */
+  /** Blocks each call until the test supplies its response. */
   private static StoreClient blockingClient(SynchronousQueue<StoreAnswer> answers) {
     return new StoreClient() {
       @Override
@@ -124,7 +124,7 @@
     };
   }
 
-  /** A node said that its calls are answered before the first was, and while one hung for good. */
+  /** A node reported its calls as answered before the first response and while a call hung. */
   @Test
   void reportsReachableOnlyWhileCallsAreAnswered() throws Exception {
     AtomicLong now = new AtomicLong();
@@ -147,8 +147,8 @@
   }
 
   /**
-   * A reader that others stand in for calls more rarely. Its zone took it for refused whenever its
-   * watch stood for long, and another node began to call in its place.
+   * A standby reader calls less often. Its zone took it for refused whenever its watch was pending
+   * for long, and another node began to read in its place.
    */
   @ParameterizedTest
   @CsvSource({
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/StoreModel.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/StoreModel.java
@@ -9,12 +9,12 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** An ordered store in virtual time that can come back from an older copy. */
+/** An ordered store in virtual time that can be restored from an older copy. */
 final class StoreModel {
   private final List<StoreEvent> events = new ArrayList<>();
   private long era = 1;
 
-  /** Revision below which no changes are kept. */
+  /** Revision before which no changes are kept. */
   private long oldestHistoryRevision;
 
   void put(String key, String value) {
@@ -25,7 +25,7 @@
     events.add(new StoreEvent.Gone(key, revision() + 1));
   }
 
-  /** Comes back without the latest changes, whose revisions are given out again. */
+  /** Restores the store without the latest changes, whose revisions are then reused. */
   void restore(int lostChanges) {
     int left = Math.max(1, events.size() - lostChanges);
     events.subList(left, events.size()).clear();
@@ -58,14 +58,14 @@
     return items;
   }
 
-  /** Answers at once; a watch that has nothing to tell comes back empty. */
+  /** Answers immediately; a watch without new events returns an empty list. */
   StoreAnswer answer(StoreCall call) {
     if (call instanceof StoreCall.Watch watch) {
       return changes(watch.afterRevision());
     }
     String after = ((StoreCall.Read) call).after().orElse("");
     List<StoreItem> left = List.copyOf(items().tailMap(after, false).values());
-    // Pages of two items, so that the store may come back in the middle of a read.
+    // Pages of two items, so that a restore can happen in the middle of a read.
     int size = Math.min(2, left.size());
     return new StoreAnswer.Page(left.subList(0, size), size < left.size(), position());
   }
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/StoreRestoreFleetTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/StoreRestoreFleetTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * In the middle of a storm of changes the store is away for a second and comes back from a copy a
- * second old, while a third of the nodes are refused by it and one zone is cut off for 1.5 s.
- * {@code UMBERPATH_FLEET_SIZES=300,1000} runs larger fleets.
+ * During frequent changes the store is down for a second and is restored from a copy a second old,
+ * while it refuses a third of the nodes and one zone is partitioned off for 1.5 s. {@code
+ * UMBERPATH_FLEET_SIZES=300,1000} runs larger fleets.
  */
 final class StoreRestoreFleetTest {
   private static final long SEED = 90_801;
@@ -29,7 +29,7 @@
   private static final long END = 17_000;
 
   /**
-   * Calls of a reader in the ten seconds from the loss on: its watches, and a failed one a while.
+   * Limit of the store calls of a reader after the loss of the store: its watches and failed calls.
    */
   private static final int CALLS_PER_READER = 40;
 
@@ -61,7 +61,7 @@
   }
 
   private void restoreStore(SimulatedFleet fleet) {
-    // The leaving is among what is lost.
+    // The draining entry is among the lost changes.
     store.restore(changesSince(STORE_LOST - 1_000) + 1);
     fleet.setStoreDown(false);
   }
@@ -106,7 +106,7 @@
       slowest = Math.max(slowest, oldestMissingMillis(fleet, now));
       if (now >= BACKEND_DRAINS + BOUND_MILLIS / 2) {
         assertThat(fleet.nodes())
-            .as("the back end that leaves, at %d ms", now)
+            .as("the draining backend, at %d ms", now)
             .noneMatch(SimulatedFleet.Node::sendsToDrainingBackend);
       }
     }
@@ -123,7 +123,7 @@
         .allMatch(node -> node.state.view().position().equals(store.position()));
   }
 
-  /** Age of the oldest change that a node in touch lacks, milliseconds; 0 if all have all. */
+  /** Age of the oldest change that a connected node lacks, milliseconds; 0 if none is missing. */
   private long oldestMissingMillis(SimulatedFleet fleet, long now) {
     boolean isOutage = now >= STORE_LOST && now < LOST_CHANGES_REWRITTEN;
     if (isOutage) {
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/StoreRestoreModelTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/StoreRestoreModelTest.java
@@ -9,9 +9,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * All orders of few steps with two nodes, and many orders of more steps drawn at random with three:
- * changes, returns of the store from older copies, calls and transfers whose answers are late, lost
- * or reordered, nodes that restart. {@code UMBERPATH_MODEL_WALKS} sets the number of drawn orders.
+ * Runs the fleet model through all short sequences of steps with two nodes, and through random long
+ * ones with three. Steps are changes, restores of the store from older copies, calls and transfers
+ * whose responses are late, lost or reordered, and restarts of nodes. {@code UMBERPATH_MODEL_WALKS}
+ * sets the number of random sequences.
  */
 final class StoreRestoreModelTest {
   private static final int EXHAUSTIVE_STEPS = 4;
@@ -28,7 +29,7 @@
     actions.add(new Action("replace", FleetModel::replace));
     actions.add(new Action("restore 1", fleet -> fleet.restore(1)));
     actions.add(new Action("restore 2", fleet -> fleet.restore(2)));
-    actions.add(new Action("write again", FleetModel::rewriteLost));
+    actions.add(new Action("rewrite lost", FleetModel::rewriteLost));
     for (int node = 0; node < nodes; node++) {
       int index = node;
       actions.add(new Action("follow " + index, fleet -> fleet.readStoreFully(index)));
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/ZoneReadersTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/ZoneReadersTest.java
@@ -14,7 +14,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Of two nodes of a zone, which one calls the store. */
+/** Which of two nodes of a zone reads the store, and which readers are on standby. */
 final class ZoneReadersTest {
   private static final String ONE = "10.0.0.1";
   private static final String OTHER = "10.0.0.2";
@@ -55,7 +55,7 @@
     return readers.decide(now, refused).reads();
   }
 
-  /** The node of the two that is due; the other leaves it to that one. */
+  /** The one of the two nodes that is elected as reader, and the other one. */
   private Map.Entry<String, String> electedAndOther() throws IOException {
     addReport(OTHER, ReportedContact.State.REACHABLE);
     peers = viewOf(OTHER, Set.of());
