--- a/umberpath-node/src/main/java/io/umberpath/node/clock/BootClock.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/clock/BootClock.java
@@ -10,7 +10,7 @@
  * then, and whatever was heard before a suspension would look as young after it. Thread-safe.
  *
  * <p>It is the steady clock, and the system's clock that counts suspensions ({@code
- * CLOCK_BOOTTIME}, clock_gettime(2)) is looked at each {@value #LOOK_MILLIS} ms: a call of that
+ * CLOCK_BOOTTIME}, clock_gettime(2)) is looked at each {@value #BOOT_CLOCK_INTERVAL_MILLIS} ms: a call of that
  * takes 0.4 to 0.9 microseconds, one of this clock 0.06 (means of a million calls, first compiler
  * only, beside other work). Opening takes 10 ms.
  */
@@ -18,7 +18,7 @@
   /**
    * Time on the steady clock after which the other one is looked at: so late a suspension shows.
    */
-  private static final long LOOK_MILLIS = 5;
+  private static final long BOOT_CLOCK_INTERVAL_MILLIS = 5;
 
   /** Smaller differences of the two clocks are of rounding, milliseconds. */
   private static final long MIN_SUSPENSION_MILLIS = 20;
@@ -38,9 +38,9 @@
   private final LongSupplier bootMillis;
 
   /** What the steady clock lacks; changes only by a suspension. */
-  private volatile long aheadMillis;
+  private volatile long offsetMillis;
 
-  private volatile long lookedMillis;
+  private volatile long lastReadMillis;
 
   /**
    * Creates a clock.
@@ -52,8 +52,8 @@
     this.source = source;
     this.steadyMillis = steadyMillis;
     this.bootMillis = bootMillis;
-    this.lookedMillis = steadyMillis.getAsLong();
-    this.aheadMillis = bootMillis.getAsLong() - lookedMillis;
+    this.lastReadMillis = steadyMillis.getAsLong();
+    this.offsetMillis = bootMillis.getAsLong() - lastReadMillis;
   }
 
   /** The best clock that the system offers. */
@@ -74,25 +74,25 @@
   @Override
   public long getAsLong() {
     long steady = steadyMillis.getAsLong();
-    if (steady - lookedMillis >= LOOK_MILLIS) {
-      look(steady);
+    if (steady - lastReadMillis >= BOOT_CLOCK_INTERVAL_MILLIS) {
+      readBootClock(steady);
     }
-    return steady + aheadMillis;
+    return steady + offsetMillis;
   }
 
-  private synchronized void look(long steady) {
-    lookedMillis = steady;
-    long ahead = bootMillis.getAsLong() - steadyMillis.getAsLong();
-    if (ahead - aheadMillis >= MIN_SUSPENSION_MILLIS) {
-      aheadMillis = ahead;
+  private synchronized void readBootClock(long steady) {
+    lastReadMillis = steady;
+    long offset = bootMillis.getAsLong() - steadyMillis.getAsLong();
+    if (offset - offsetMillis >= MIN_SUSPENSION_MILLIS) {
+      offsetMillis = offset;
     }
   }
 
   /** The system's clock that counts suspensions, through its C library. */
   private static final class SystemClock {
     private static final int CLOCK_BOOTTIME = 7;
-    private static final String UNPACK_FOLDER = "jna.tmpdir";
-    private static final String SEARCH_FOLDERS = "jna.platform.library.path";
+    private static final String JNA_TEMP_DIRECTORY = "jna.tmpdir";
+    private static final String JNA_LIBRARY_PATH = "jna.platform.library.path";
     private static final long MILLIS_PER_SECOND = 1_000;
     private static final Function CLOCK_GET_TIME;
 
@@ -102,10 +102,10 @@
     private static final Object[] ARGUMENTS = {CLOCK_BOOTTIME, TIME};
 
     static {
-      setIfAbsent(UNPACK_FOLDER, System.getProperty("java.io.tmpdir"));
+      setIfAbsent(JNA_TEMP_DIRECTORY, System.getProperty("java.io.tmpdir"));
       // The function is in the process already. Else the library asks the linker's own program for
       // its folders, a process more at each start.
-      setIfAbsent(SEARCH_FOLDERS, "");
+      setIfAbsent(JNA_LIBRARY_PATH, "");
       // Called by name: a class bound to the library takes the layout of all types at each start.
       CLOCK_GET_TIME = NativeLibrary.getProcess().getFunction("clock_gettime");
     }
--- a/umberpath-node/src/main/java/io/umberpath/node/platform/DocumentFilter.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/platform/DocumentFilter.java
@@ -21,7 +21,7 @@
 /** Gathers one bounded answer per connection; runs on the transport's selector thread. */
 final class DocumentFilter extends BaseFilter {
   private static final int OK = 200;
-  private static final Attribute<Answer> ANSWER =
+  private static final Attribute<PendingResponse> PENDING_RESPONSE =
       Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("umberpath.platform.answer");
 
   private final int maxBytes;
@@ -33,7 +33,7 @@
   /** Sends the request; the future completes with the whole body or the cause of failure. */
   static void send(
       Connection<?> connection, URI url, String userAgent, CompletableFuture<byte[]> body) {
-    ANSWER.set(connection, new Answer(body));
+    PENDING_RESPONSE.set(connection, new PendingResponse(body));
     HttpRequestPacket request =
         HttpRequestPacket.builder()
             .method(Method.GET)
@@ -50,10 +50,10 @@
 
   @Override
   public NextAction handleRead(FilterChainContext context) {
-    Answer answer = ANSWER.get(context.getConnection());
+    PendingResponse response = PENDING_RESPONSE.get(context.getConnection());
     HttpContent content = context.getMessage();
-    if (answer != null && !answer.body.isDone()) {
-      collect(answer, content);
+    if (response != null && !response.body.isDone()) {
+      appendContent(response, content);
     }
     content.recycle();
     return context.getStopAction();
@@ -65,50 +65,51 @@
     return context.getInvokeAction();
   }
 
-  private void collect(Answer answer, HttpContent content) {
-    HttpResponsePacket head = (HttpResponsePacket) content.getHttpHeader();
-    if (head.getStatus() != OK) {
-      answer.body.completeExceptionally(
-          new PlatformReadException("status " + head.getStatus() + " instead of " + OK));
+  private void appendContent(PendingResponse response, HttpContent content) {
+    HttpResponsePacket header = (HttpResponsePacket) content.getHttpHeader();
+    if (header.getStatus() != OK) {
+      response.body.completeExceptionally(
+          new PlatformReadException("status " + header.getStatus() + " instead of " + OK));
       return;
     }
     Buffer part = content.getContent();
-    if (head.getContentLength() > maxBytes || answer.bytes.size() + part.remaining() > maxBytes) {
-      answer.body.completeExceptionally(
+    if (header.getContentLength() > maxBytes
+        || response.bytes.size() + part.remaining() > maxBytes) {
+      response.body.completeExceptionally(
           new PlatformReadException("document is larger than " + maxBytes + " bytes"));
       return;
     }
     byte[] bytes = new byte[part.remaining()];
     part.get(bytes);
-    answer.bytes.writeBytes(bytes);
+    response.bytes.writeBytes(bytes);
     if (content.isLast()) {
-      complete(answer, head.getContentLength());
+      complete(response, header.getContentLength());
     }
   }
 
-  private static void complete(Answer answer, long announced) {
-    if (announced >= 0 && answer.bytes.size() != announced) {
-      answer.body.completeExceptionally(
+  private static void complete(PendingResponse response, long contentLength) {
+    if (contentLength >= 0 && response.bytes.size() != contentLength) {
+      response.body.completeExceptionally(
           new PlatformReadException(
-              "answer has " + answer.bytes.size() + " bytes of " + announced + " announced"));
+              "answer has " + response.bytes.size() + " bytes of " + contentLength + " announced"));
       return;
     }
-    answer.body.complete(answer.bytes.toByteArray());
+    response.body.complete(response.bytes.toByteArray());
   }
 
   /** Fails the read of this connection unless it is already decided. */
   static void fail(FilterChainContext context, IOException cause) {
-    Answer answer = ANSWER.get(context.getConnection());
-    if (answer != null) {
-      answer.body.completeExceptionally(cause);
+    PendingResponse response = PENDING_RESPONSE.get(context.getConnection());
+    if (response != null) {
+      response.body.completeExceptionally(cause);
     }
   }
 
-  private static final class Answer {
+  private static final class PendingResponse {
     private final CompletableFuture<byte[]> body;
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
 
-    private Answer(CompletableFuture<byte[]> body) {
+    private PendingResponse(CompletableFuture<byte[]> body) {
       this.body = body;
     }
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/platform/FieldReader.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/platform/FieldReader.java
@@ -25,15 +25,15 @@
   }
 
   /** Checks that the node is an object whose fields are the given ones, optional ones apart. */
-  boolean hasExactly(JsonNode node, String path, Set<String> names, String... optional) {
+  boolean hasFields(JsonNode node, String path, Set<String> names, String... optional) {
     if (!node.isObject()) {
-      return refuse(path, node, "must be an object");
+      return addViolation(path, node, "must be an object");
     }
     int before = violations.size();
     for (Iterator<String> fields = node.fieldNames(); fields.hasNext(); ) {
       String name = fields.next();
       if (!names.contains(name) && !List.of(optional).contains(name)) {
-        refuse(join(path, name), node.get(name), "unknown field");
+        addViolation(join(path, name), node.get(name), "unknown field");
       }
     }
     for (String name : names) {
@@ -45,16 +45,16 @@
   }
 
   boolean isArray(JsonNode node, String path) {
-    return node.isArray() || refuse(path, node, "must be an array");
+    return node.isArray() || addViolation(path, node, "must be an array");
   }
 
-  long positive(JsonNode parent, String path, String name, long most) {
+  long positive(JsonNode parent, String path, String name, long max) {
     JsonNode node = parent.get(name);
     boolean isNumber = node.isIntegralNumber() && node.canConvertToLong();
-    if (isNumber && node.longValue() > 0 && node.longValue() <= most) {
+    if (isNumber && node.longValue() > 0 && node.longValue() <= max) {
       return node.longValue();
     }
-    refuse(join(path, name), node, "must be an integer of at least 1 and at most " + most);
+    addViolation(join(path, name), node, "must be an integer of at least 1 and at most " + max);
     return 1;
   }
 
@@ -63,16 +63,17 @@
     if (node.isInt() && node.intValue() >= 1 && node.intValue() <= PeerAddress.MAX_PORT) {
       return node.intValue();
     }
-    refuse(join(path, name), node, "must be an integer between 1 and " + PeerAddress.MAX_PORT);
+    addViolation(
+        join(path, name), node, "must be an integer between 1 and " + PeerAddress.MAX_PORT);
     return 1;
   }
 
   String text(JsonNode parent, String path, String name) {
     JsonNode node = parent.get(name);
-    if (isName(node)) {
+    if (isValidText(node)) {
       return node.textValue();
     }
-    refuse(join(path, name), node, "must be a string of 1 to " + MAX_TEXT_CHARACTERS);
+    addViolation(join(path, name), node, "must be a string of 1 to " + MAX_TEXT_CHARACTERS);
     return "";
   }
 
@@ -81,11 +82,11 @@
     if (node.isTextual() && InetAddresses.isInetAddress(node.textValue())) {
       return node.textValue();
     }
-    refuse(join(path, name), node, "must be an IP address");
+    addViolation(join(path, name), node, "must be an IP address");
     return "";
   }
 
-  boolean refuse(String path, JsonNode value, String message) {
+  boolean addViolation(String path, JsonNode value, String message) {
     String shown = value.toString();
     if (shown.length() > MAX_SHOWN_CHARACTERS) {
       shown = shown.substring(0, MAX_SHOWN_CHARACTERS) + "...";
@@ -98,7 +99,7 @@
     return path.isEmpty() ? name : path + "." + name;
   }
 
-  private static boolean isName(JsonNode node) {
+  private static boolean isValidText(JsonNode node) {
     return node.isTextual()
         && !node.textValue().isBlank()
         && node.textValue().length() <= MAX_TEXT_CHARACTERS;
--- a/umberpath-node/src/main/java/io/umberpath/node/platform/HttpPlatformReader.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/platform/HttpPlatformReader.java
@@ -74,7 +74,7 @@
     CompletableFuture<byte[]> body = new CompletableFuture<>();
     transport.connect(address, new ConnectHandler(body));
     return body.orTimeout(timeoutMillis, TimeUnit.MILLISECONDS)
-        .handle(this::documentOf)
+        .handle(this::parseDocument)
         .thenCompose(result -> result);
   }
 
@@ -87,9 +87,9 @@
     }
   }
 
-  private CompletionStage<PlatformDocument> documentOf(byte[] body, Throwable failure) {
+  private CompletionStage<PlatformDocument> parseDocument(byte[] body, Throwable failure) {
     if (failure != null) {
-      return CompletableFuture.failedStage(explain(failure));
+      return CompletableFuture.failedStage(toReadException(failure));
     }
     return PlatformDocumentCodec.parse(body)
         .<CompletionStage<PlatformDocument>>fold(
@@ -99,7 +99,7 @@
             CompletableFuture::completedStage);
   }
 
-  private PlatformReadException explain(Throwable failure) {
+  private PlatformReadException toReadException(Throwable failure) {
     if (failure instanceof PlatformReadException already) {
       return already;
     }
@@ -115,7 +115,7 @@
     FilterChainBuilder chain =
         FilterChainBuilder.stateless()
             .add(new TransportFilter())
-            .add(new AnswerCodecFilter(MAX_HEADER_BYTES))
+            .add(new ResponseCodecFilter(MAX_HEADER_BYTES))
             .add(new DocumentFilter(maxDocumentBytes));
     TCPNIOTransport transport =
         TCPNIOTransportBuilder.newInstance()
--- a/umberpath-node/src/main/java/io/umberpath/node/platform/PlatformDocumentCodec.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/platform/PlatformDocumentCodec.java
@@ -57,10 +57,10 @@
     }
     FieldReader reader = new FieldReader();
     PlatformDocument document = PlatformDocument.NONE;
-    if (reader.hasExactly(root, "", DOCUMENT_FIELDS, ERA)) {
-      long revision = position(reader, root).packed();
-      SortedMap<String, List<BackendAddress>> services = services(reader, root.get("services"));
-      List<Machine> machines = machines(reader, root.get("machines"));
+    if (reader.hasFields(root, "", DOCUMENT_FIELDS, ERA)) {
+      long revision = readPosition(reader, root).packed();
+      SortedMap<String, List<BackendAddress>> services = readServices(reader, root.get("services"));
+      List<Machine> machines = readMachines(reader, root.get("machines"));
       document = new PlatformDocument(revision, services, machines);
     }
     return reader.violations().isEmpty()
@@ -87,7 +87,7 @@
     }
   }
 
-  private static StorePosition position(FieldReader reader, JsonNode root) {
+  private static StorePosition readPosition(FieldReader reader, JsonNode root) {
     long era =
         root.has(ERA)
             ? reader.positive(root, "", ERA, StorePosition.MAX_PACKED_ERA)
@@ -96,11 +96,11 @@
         era, reader.positive(root, "", "revision", StorePosition.MAX_PACKED_REVISION));
   }
 
-  private static SortedMap<String, List<BackendAddress>> services(
+  private static SortedMap<String, List<BackendAddress>> readServices(
       FieldReader reader, JsonNode map) {
     SortedMap<String, List<BackendAddress>> services = new TreeMap<>();
     if (!map.isObject()) {
-      reader.refuse("services", map, "must be an object");
+      reader.addViolation("services", map, "must be an object");
       return services;
     }
     Set<String> ids = new HashSet<>();
@@ -109,7 +109,7 @@
       List<BackendAddress> backends = new ArrayList<>();
       if (reader.isArray(service.getValue(), path)) {
         for (JsonNode item : service.getValue()) {
-          backend(reader, item, path + "[" + backends.size() + "]", ids, backends);
+          readBackend(reader, item, path + "[" + backends.size() + "]", ids, backends);
         }
       }
       services.put(service.getKey(), backends);
@@ -117,16 +117,20 @@
     return services;
   }
 
-  private static void backend(
-      FieldReader reader, JsonNode item, String path, Set<String> ids, List<BackendAddress> into) {
-    if (!reader.hasExactly(item, path, BACKEND_FIELDS)) {
+  private static void readBackend(
+      FieldReader reader,
+      JsonNode item,
+      String path,
+      Set<String> ids,
+      List<BackendAddress> backends) {
+    if (!reader.hasFields(item, path, BACKEND_FIELDS)) {
       return;
     }
     String id = reader.text(item, path, "id");
     if (!ids.add(id)) {
-      reader.refuse(path + ".id", item.get("id"), "must be unique in the document");
+      reader.addViolation(path + ".id", item.get("id"), "must be unique in the document");
     }
-    into.add(
+    backends.add(
         new BackendAddress(
             id,
             reader.ipAddress(item, path, "host"),
@@ -136,7 +140,7 @@
             reader.port(item, path, "nodeHopPort")));
   }
 
-  private static List<Machine> machines(FieldReader reader, JsonNode list) {
+  private static List<Machine> readMachines(FieldReader reader, JsonNode list) {
     List<Machine> machines = new ArrayList<>();
     if (!reader.isArray(list, "machines")) {
       return machines;
@@ -144,36 +148,36 @@
     int index = 0;
     for (JsonNode item : list) {
       String path = "machines[" + index++ + "]";
-      if (reader.hasExactly(item, path, MACHINE_FIELDS)) {
+      if (reader.hasFields(item, path, MACHINE_FIELDS)) {
         machines.add(
             new Machine(
-                control(reader, item, path),
+                readControlAddress(reader, item, path),
                 reader.text(item, path, "zone"),
                 reader.text(item, path, "region"),
-                state(reader, item, path)));
+                readState(reader, item, path)));
       }
     }
     return machines;
   }
 
-  private static PeerAddress control(FieldReader reader, JsonNode item, String path) {
+  private static PeerAddress readControlAddress(FieldReader reader, JsonNode item, String path) {
     String text = reader.text(item, path, "control");
     try {
       return PeerAddress.parse(text);
     } catch (IllegalArgumentException failure) {
-      reader.refuse(path + ".control", item.get("control"), "must be host:port");
+      reader.addViolation(path + ".control", item.get("control"), "must be host:port");
       return new PeerAddress("", 1);
     }
   }
 
-  private static MachineState state(FieldReader reader, JsonNode item, String path) {
+  private static MachineState readState(FieldReader reader, JsonNode item, String path) {
     String text = reader.text(item, path, "state");
     for (MachineState state : MachineState.values()) {
       if (name(state).equals(text)) {
         return state;
       }
     }
-    reader.refuse(path + ".state", item.get("state"), "must be live or leaving");
+    reader.addViolation(path + ".state", item.get("state"), "must be live or leaving");
     return MachineState.LIVE;
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/platform/AnswerCodecFilter.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/platform/ResponseCodecFilter.java
@@ -8,8 +8,8 @@
 import org.glassfish.grizzly.http.HttpHeader;
 
 /** Grizzly's HTTP codec, with every parse error turned into a failed read. */
-final class AnswerCodecFilter extends HttpClientFilter {
-  AnswerCodecFilter(int maxHeaderBytes) {
+final class ResponseCodecFilter extends HttpClientFilter {
+  ResponseCodecFilter(int maxHeaderBytes) {
     super(maxHeaderBytes);
   }
 
@@ -17,23 +17,23 @@
   public NextAction handleRead(FilterChainContext context) throws IOException {
     try {
       NextAction next = super.handleRead(context);
-      return brokenBody(context) ? refuse(context, "its framing is broken") : next;
+      return hasBrokenBody(context) ? failRead(context, "its framing is broken") : next;
     } catch (RuntimeException failure) {
-      return refuse(context, failure.toString());
+      return failRead(context, failure.toString());
     }
   }
 
   @Override
   protected void onHttpHeaderError(
       HttpHeader header, FilterChainContext context, Throwable failure) {
-    refuse(context, failure.toString());
+    failRead(context, failure.toString());
   }
 
-  private static boolean brokenBody(FilterChainContext context) {
+  private static boolean hasBrokenBody(FilterChainContext context) {
     return context.getMessage() instanceof HttpContent content && HttpContent.isBroken(content);
   }
 
-  private static NextAction refuse(FilterChainContext context, String detail) {
+  private static NextAction failRead(FilterChainContext context, String detail) {
     DocumentFilter.fail(context, new PlatformReadException("answer is not valid HTTP: " + detail));
     context.getConnection().terminateSilently();
     return context.getStopAction();
--- a/umberpath-node/src/test/java/io/umberpath/node/clock/BootClockTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/clock/BootClockTest.java
@@ -9,24 +9,24 @@
 final class BootClockTest {
   private long steady = 40_000;
   private long boot = 90_000;
-  private int looks;
+  private int bootClockReads;
 
   private BootClock clock() {
-    return new BootClock(BootClock.Source.BOOT_TIME, () -> steady, this::lookAtBoot);
+    return new BootClock(BootClock.Source.BOOT_TIME, () -> steady, this::readBootClock);
   }
 
-  private long lookAtBoot() {
-    looks++;
+  private long readBootClock() {
+    bootClockReads++;
     return boot;
   }
 
-  private void run(long millis) {
+  private void advance(long millis) {
     steady += millis;
     boot += millis;
   }
 
   @Test
-  void itRisesWithTheSteadyClockWhileTheMachineIsNotSuspended() throws InterruptedException {
+  void followsTheMonotonicClockWhileTheMachineIsNotSuspended() throws InterruptedException {
     BootClock clock = BootClock.open();
     assertThat(clock.source()).isEqualTo(BootClock.Source.BOOT_TIME);
     long steadyBefore = System.nanoTime();
@@ -40,20 +40,20 @@
 
   @ParameterizedTest
   @ValueSource(longs = {30, 1_000, 3_000, 10_000})
-  void aSuspensionCountsOnceAFewMillisecondsHavePassed(long suspended) {
+  void suspensionIsCountedAfterAFewMilliseconds(long suspended) {
     BootClock clock = clock();
     long before = clock.getAsLong();
     // The steady clock stands still.
     boot += suspended;
-    run(5);
+    advance(5);
 
     assertThat(clock.getAsLong() - before).isEqualTo(suspended + 5);
-    run(100);
+    advance(100);
     assertThat(clock.getAsLong() - before).isEqualTo(suspended + 105);
   }
 
   @Test
-  void whatRoundingMakesOfTheTwoClocksNeverMovesItBack() {
+  void roundingDifferencesOfTheTwoClocksAreIgnored() {
     BootClock clock = clock();
     long last = clock.getAsLong();
     for (int step = 0; step < 100; step++) {
@@ -66,15 +66,15 @@
   }
 
   @Test
-  void theSystemsClockIsLookedAtOnceInAWhile() {
+  void bootClockIsReadOncePerInterval() {
     BootClock clock = clock();
     for (int call = 0; call < 1_000; call++) {
       clock.getAsLong();
     }
-    assertThat(looks).isEqualTo(1);
-    run(5);
+    assertThat(bootClockReads).isEqualTo(1);
+    advance(5);
     clock.getAsLong();
     clock.getAsLong();
-    assertThat(looks).isEqualTo(2);
+    assertThat(bootClockReads).isEqualTo(2);
   }
 }
--- a/umberpath-node/src/test/java/io/umberpath/node/platform/HttpPlatformReaderTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/platform/HttpPlatformReaderTest.java
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void aDocumentOfANewerEraComesAfterAllOfTheOneBefore() throws Exception {
+  void documentOfANewerEraFollowsAllOfTheEarlierEra() throws Exception {
     PlatformDocument before = read(ok(DOCUMENT), GENEROUS_MILLIS);
     PlatformDocument read =
         read(ok(DOCUMENT.replace("'revision':7", "'revision':3,'era':2")), GENEROUS_MILLIS);
@@ -66,7 +66,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"0", "-1", "1.5", "'2'", "4194304"})
-  void anEraThatIsNoneRefusesTheDocument(String era) {
+  void documentWithAnInvalidEraIsRejected(String era) {
     byte[] json =
         DOCUMENT
             .replace("'revision':7", "'revision':3,'era':" + era)
@@ -89,7 +89,7 @@
     assertThat(read(chunked, GENEROUS_MILLIS).revision()).isEqualTo(7);
   }
 
-  static Stream<Arguments> badAnswers() {
+  static Stream<Arguments> badResponses() {
     String truncated = ok(DOCUMENT).substring(0, ok(DOCUMENT).length() - 20);
     String cutChunk = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(DOCUMENT);
     return Stream.of(
@@ -125,8 +125,8 @@
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("badAnswers")
-  void refusesABadAnswer(String name, String answer, String message) {
-    assertThatThrownBy(() -> read(answer, GENEROUS_MILLIS))
+  void rejectsABadResponse(String name, String response, String message) {
+    assertThatThrownBy(() -> read(response, GENEROUS_MILLIS))
         .hasRootCauseInstanceOf(PlatformReadException.class)
         .rootCause()
         .hasMessageContaining(message);
@@ -175,7 +175,7 @@
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("badDocuments")
-  void refusesABadDocumentNamingFieldAndValue(String name, String json, String message) {
+  void rejectsABadDocumentNamingFieldAndValue(String name, String json, String message) {
     assertThatThrownBy(() -> read(ok(json), GENEROUS_MILLIS))
         .rootCause()
         .isInstanceOf(PlatformReadException.class)
@@ -194,7 +194,7 @@
         .hasMessageContaining("reading from");
   }
 
-  static Stream<Arguments> stalledAnswers() {
+  static Stream<Arguments> stalledResponses() {
     return Stream.of(
         Arguments.of("silence", ""),
         Arguments.of("stalls in the header", "HTTP/1.1 200 OK\r\nContent-"),
@@ -203,9 +203,9 @@
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("stalledAnswers")
-  void givesUpOnAStalledAnswer(String name, String answer) throws Exception {
+  void timesOutOnAStalledResponse(String name, String response) throws Exception {
     try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      Thread thread = new Thread(() -> answerAndHold(server, answer));
+      Thread thread = new Thread(() -> respondAndHold(server, response));
       thread.start();
       assertThatThrownBy(() -> readFrom(server.getLocalPort(), SHORT_MILLIS))
           .cause()
@@ -217,16 +217,16 @@
   }
 
   @Test
-  void refusesAHostNameInTheUrl() {
+  void rejectsAHostNameInTheUrl() {
     assertThatThrownBy(
             () -> HttpPlatformReader.open(new NodeSettings.Platform("http://platform/", 1), SELF))
         .isInstanceOf(IllegalArgumentException.class)
         .hasMessageContaining("http://platform/");
   }
 
-  private static PlatformDocument read(String answer, long timeoutMillis) throws Exception {
+  private static PlatformDocument read(String response, long timeoutMillis) throws Exception {
     try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      Thread thread = new Thread(() -> answerAndClose(server, answer));
+      Thread thread = new Thread(() -> respondAndClose(server, response));
       thread.start();
       return readFrom(server.getLocalPort(), timeoutMillis);
     }
@@ -240,11 +240,11 @@
     }
   }
 
-  private static void answerAndClose(ServerSocket server, String answer) {
+  private static void respondAndClose(ServerSocket server, String response) {
     try (Socket socket = server.accept()) {
       awaitRequest(socket);
       OutputStream out = socket.getOutputStream();
-      out.write(answer.getBytes(StandardCharsets.ISO_8859_1));
+      out.write(response.getBytes(StandardCharsets.ISO_8859_1));
       out.flush();
       socket.shutdownOutput();
       awaitClose(socket);
@@ -253,10 +253,10 @@
     }
   }
 
-  private static void answerAndHold(ServerSocket server, String answer) {
+  private static void respondAndHold(ServerSocket server, String response) {
     try (Socket socket = server.accept()) {
       awaitRequest(socket);
-      socket.getOutputStream().write(answer.getBytes(StandardCharsets.ISO_8859_1));
+      socket.getOutputStream().write(response.getBytes(StandardCharsets.ISO_8859_1));
       socket.getOutputStream().flush();
       awaitClose(socket);
     } catch (IOException closed) {
