--- a/umberpath-node/src/main/java/io/umberpath/node/clock/BootClock.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/clock/BootClock.java
@@ -5,31 +5,32 @@
 import java.util.function.LongSupplier;
 
 /**
- * Milliseconds on a clock that rises steadily, does not follow changes of the time of day, and also
- * counts the time in which the machine is suspended. The runtime's own steady clock stands still
- * then, and whatever was heard before a suspension would look as young after it. Thread-safe.
+ * A monotonic clock in milliseconds that is independent of changes of the time of day and also
+ * counts the time in which the machine is suspended. {@link System#nanoTime} stops during a
+ * suspension, so that data received before it would look fresh after it. Thread-safe.
  *
- * <p>It is the steady clock, and the system's clock that counts suspensions ({@code
- * CLOCK_BOOTTIME}, clock_gettime(2)) is looked at each {@value #BOOT_CLOCK_INTERVAL_MILLIS} ms: a call of that
- * takes 0.4 to 0.9 microseconds, one of this clock 0.06 (means of a million calls, first compiler
- * only, beside other work). Opening takes 10 ms.
+ * <p>It combines {@code nanoTime} with the system's clock that counts suspensions ({@code
+ * CLOCK_BOOTTIME}, clock_gettime(2)), which is read every {@value #BOOT_CLOCK_INTERVAL_MILLIS} ms:
+ * reading that one takes 0.4 to 0.9 microseconds, reading this one 0.06 (means of a million calls,
+ * C1 compiler only, with other load on the machine). Opening takes 10 ms.
  */
 public final class BootClock implements LongSupplier {
   /**
-   * Time on the steady clock after which the other one is looked at: so late a suspension shows.
+   * Time on the monotonic clock between two reads of the boot clock, milliseconds: the delay after
+   * which a suspension is noticed.
    */
   private static final long BOOT_CLOCK_INTERVAL_MILLIS = 5;
 
-  /** Smaller differences of the two clocks are of rounding, milliseconds. */
+  /** Smaller differences of the two clocks are rounding errors, milliseconds. */
   private static final long MIN_SUSPENSION_MILLIS = 20;
 
   private static final long NANOS_PER_MILLI = 1_000_000;
 
-  /** Where the clock comes from. */
+  /** The underlying clock. */
   public enum Source {
-    /** It counts suspended time. */
+    /** A clock that counts suspended time. */
     BOOT_TIME,
-    /** The system offers no such clock: the runtime's steady one, which does not. */
+    /** The runtime's monotonic clock, which does not; used if the system has no boot clock. */
     STEADY
   }
 
@@ -37,7 +38,7 @@
   private final LongSupplier steadyMillis;
   private final LongSupplier bootMillis;
 
-  /** What the steady clock lacks; changes only by a suspension. */
+  /** Offset of the boot clock from the monotonic one; changes only by a suspension. */
   private volatile long offsetMillis;
 
   private volatile long lastReadMillis;
@@ -45,8 +46,8 @@
   /**
    * Creates a clock.
    *
-   * @param steadyMillis may stand still while the machine is suspended
-   * @param bootMillis counts that time
+   * @param steadyMillis monotonic clock that may stop while the machine is suspended
+   * @param bootMillis clock that counts that time
    */
   BootClock(Source source, LongSupplier steadyMillis, LongSupplier bootMillis) {
     this.source = source;
@@ -56,7 +57,7 @@
     this.offsetMillis = bootMillis.getAsLong() - lastReadMillis;
   }
 
-  /** The best clock that the system offers. */
+  /** Opens the best clock that the system provides. */
   public static BootClock open() {
     LongSupplier steady = () -> System.nanoTime() / NANOS_PER_MILLI;
     try {
@@ -66,7 +67,7 @@
     }
   }
 
-  /** Where it comes from. */
+  /** The underlying clock. */
   public Source source() {
     return source;
   }
@@ -103,16 +104,17 @@
 
     static {
       setIfAbsent(JNA_TEMP_DIRECTORY, System.getProperty("java.io.tmpdir"));
-      // The function is in the process already. Else the library asks the linker's own program for
-      // its folders, a process more at each start.
+      // The function is already loaded. Otherwise JNA would start a process of the linker to query
+      // its library directories.
       setIfAbsent(JNA_LIBRARY_PATH, "");
-      // Called by name: a class bound to the library takes the layout of all types at each start.
+      // Looked up by name: JNA would compute the layout of all types of a mapped class at each
+      // start.
       CLOCK_GET_TIME = NativeLibrary.getProcess().getFunction("clock_gettime");
     }
 
     private SystemClock() {}
 
-    /** The library's own choice of a folder to unpack is one of the user's, maybe read-only. */
+    /** Sets a default: JNA would unpack into a directory of the user, which may be read-only. */
     private static void setIfAbsent(String property, String value) {
       if (System.getProperty(property) == null) {
         System.setProperty(property, value);
--- a/umberpath-node/src/main/java/io/umberpath/node/clock/package-info.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/clock/package-info.java
@@ -1,2 +1,2 @@
-/** The node's own clock for ages, deadlines and silence. */
+/** The node's monotonic clock for ages, deadlines and silence timeouts. */
 package io.umberpath.node.clock;
--- a/umberpath-node/src/main/java/io/umberpath/node/platform/DocumentFilter.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/platform/DocumentFilter.java
@@ -18,7 +18,9 @@
 import org.glassfish.grizzly.http.Protocol;
 import org.glassfish.grizzly.http.util.Header;
 
-/** Gathers one bounded answer per connection; runs on the transport's selector thread. */
+/**
+ * Collects one response of limited size per connection. Runs on the transport's selector thread.
+ */
 final class DocumentFilter extends BaseFilter {
   private static final int OK = 200;
   private static final Attribute<PendingResponse> PENDING_RESPONSE =
@@ -30,7 +32,7 @@
     this.maxBytes = maxBytes;
   }
 
-  /** Sends the request; the future completes with the whole body or the cause of failure. */
+  /** Sends the request; the future completes with the body or the cause of the failure. */
   static void send(
       Connection<?> connection, URI url, String userAgent, CompletableFuture<byte[]> body) {
     PENDING_RESPONSE.set(connection, new PendingResponse(body));
@@ -97,7 +99,7 @@
     response.body.complete(response.bytes.toByteArray());
   }
 
-  /** Fails the read of this connection unless it is already decided. */
+  /** Fails the read of this connection unless it is already complete. */
   static void fail(FilterChainContext context, IOException cause) {
     PendingResponse response = PENDING_RESPONSE.get(context.getConnection());
     if (response != null) {
--- a/umberpath-node/src/main/java/io/umberpath/node/platform/FieldReader.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/platform/FieldReader.java
@@ -24,7 +24,7 @@
     return violations;
   }
 
-  /** Checks that the node is an object whose fields are the given ones, optional ones apart. */
+  /** Checks that the node is an object with all given fields and no others but optional ones. */
   boolean hasFields(JsonNode node, String path, Set<String> names, String... optional) {
     if (!node.isObject()) {
       return addViolation(path, node, "must be an object");
--- a/umberpath-node/src/main/java/io/umberpath/node/platform/HttpPlatformReader.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/platform/HttpPlatformReader.java
@@ -20,8 +20,8 @@
 import org.glassfish.grizzly.strategies.SameThreadIOStrategy;
 
 /**
- * Reads the platform's document over HTTP/1.1, one connection a read. It neither retries nor
- * remembers: the control side decides when to read again. Thread-safe; never blocks.
+ * Reads the platform's document over HTTP/1.1, with one connection per read. It neither retries nor
+ * caches: the control side decides when to read again. Thread-safe; never blocks.
  */
 public final class HttpPlatformReader implements PlatformReader {
   /** Largest document accepted, bytes. */
@@ -49,7 +49,7 @@
    * Starts a reader.
    *
    * @param settings where the document is and how long one read may take
-   * @param self tells the platform which node reads
+   * @param self address of this node, sent to the platform in the user agent
    * @throws IllegalArgumentException if the URL is not {@code http} with an IP address
    * @throws IOException if the network transport cannot start
    */
@@ -127,7 +127,7 @@
     return transport;
   }
 
-  /** Sends the request once connected; ties the connection's life to the read's. */
+  /** Sends the request once connected, and closes the connection when the read ends. */
   @SuppressWarnings("rawtypes") // Grizzly's connect takes a handler of the raw Connection.
   private final class ConnectHandler extends EmptyCompletionHandler<Connection> {
     private final CompletableFuture<byte[]> body;
--- a/umberpath-node/src/main/java/io/umberpath/node/platform/PlatformDocumentCodec.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/platform/PlatformDocumentCodec.java
@@ -28,7 +28,7 @@
 /**
  * The JSON form of {@link PlatformDocument}; the contract is {@code
  * docs/operations/platform-protocol.md}. Parsing is strict: an unknown, missing, repeated or
- * wrongly typed field refuses the whole document. Thread-safe.
+ * wrongly typed field invalidates the whole document. Thread-safe.
  */
 public final class PlatformDocumentCodec {
   private static final JsonMapper MAPPER =
@@ -45,7 +45,7 @@
 
   private PlatformDocumentCodec() {}
 
-  /** Parses and checks a document; the left side lists every violation found. */
+  /** Parses and validates a document; the left side lists all violations. */
   public static Either<List<Violation>, PlatformDocument> parse(byte[] json) {
     JsonNode root;
     try {
@@ -68,7 +68,7 @@
         : Either.left(List.copyOf(reader.violations()));
   }
 
-  /** Writes a document in the form that {@link #parse} accepts. */
+  /** Writes a document as JSON that {@link #parse} accepts. */
   public static byte[] write(PlatformDocument document) {
     ObjectNode root = MAPPER.createObjectNode();
     StorePosition position = StorePosition.unpacked(document.revision());
@@ -83,7 +83,7 @@
     try {
       return MAPPER.writeValueAsBytes(root);
     } catch (JsonProcessingException failure) {
-      throw new IllegalStateException("a JSON tree could not be written", failure);
+      throw new IllegalStateException("failed to write a JSON tree", failure);
     }
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/platform/PlatformReader.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/platform/PlatformReader.java
@@ -5,7 +5,7 @@
 
 /** Reads the platform's configuration service. */
 public interface PlatformReader extends AutoCloseable {
-  /** Reads once; completes exceptionally with a clear message on any fault. Never blocks. */
+  /** Reads the document once; completes exceptionally on any failure. Never blocks. */
   CompletionStage<PlatformDocument> read();
 
   @Override
--- a/umberpath-node/src/main/java/io/umberpath/node/platform/ResponseCodecFilter.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/platform/ResponseCodecFilter.java
@@ -7,7 +7,7 @@
 import org.glassfish.grizzly.http.HttpContent;
 import org.glassfish.grizzly.http.HttpHeader;
 
-/** Grizzly's HTTP codec, with every parse error turned into a failed read. */
+/** Grizzly's HTTP codec; reports every parse error as a failed read. */
 final class ResponseCodecFilter extends HttpClientFilter {
   ResponseCodecFilter(int maxHeaderBytes) {
     super(maxHeaderBytes);
--- a/umberpath-node/src/test/java/io/umberpath/node/clock/BootClockTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/clock/BootClockTest.java
@@ -43,7 +43,7 @@
   void suspensionIsCountedAfterAFewMilliseconds(long suspended) {
     BootClock clock = clock();
     long before = clock.getAsLong();
-    // The steady clock stands still.
+    // The monotonic clock stops.
     boot += suspended;
     advance(5);
 
--- a/umberpath-node/src/test/java/io/umberpath/node/platform/HttpPlatformReaderTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/platform/HttpPlatformReaderTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Contract of the platform's protocol as the reader sees it: whole documents or a clear error. */
+/** The platform's protocol as seen by the reader: complete documents or a clear error. */
 class HttpPlatformReaderTest {
   private static final PeerAddress SELF = new PeerAddress("127.0.0.1", 7000);
   private static final long GENEROUS_MILLIS = 60_000;
