--- a/umberpath-node/src/test/java/io/umberpath/node/platform/HttpPlatformReaderTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/platform/HttpPlatformReaderTest.java
@@ -124,7 +124,7 @@
   }
 
   @ParameterizedTest(name = "{0}")
-  @MethodSource("badAnswers")
+  @MethodSource("badResponses")
   void rejectsABadResponse(String name, String response, String message) {
     assertThatThrownBy(() -> read(response, GENEROUS_MILLIS))
         .hasRootCauseInstanceOf(PlatformReadException.class)
@@ -202,7 +202,7 @@
   }
 
   @ParameterizedTest(name = "{0}")
-  @MethodSource("stalledAnswers")
+  @MethodSource("stalledResponses")
   void timesOutOnAStalledResponse(String name, String response) throws Exception {
     try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       Thread thread = new Thread(() -> respondAndHold(server, response));
