--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/AttestedBackends.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/AttestedBackends.java
@@ -50,7 +50,7 @@
    */
   List<BackendEntry> readyBackends(
       long nowMillis, BackendDirectory listed, Supplier<StoreContact> contact, String service) {
-    List<BackendEntry> listedBackends = listed.ready(service);
+    List<BackendEntry> listedBackends = listed.readyBackends(service);
     if (byHost.isEmpty()) {
       return listedBackends;
     }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/BackendDirectory.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/BackendDirectory.java
@@ -51,7 +51,7 @@
   }
 
   /** The backends of a service that take new requests, by id. */
-  List<BackendEntry> ready(String service) {
+  List<BackendEntry> readyBackends(String service) {
     return readyByService.getOrDefault(service, List.of());
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshNode.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshNode.java
@@ -76,7 +76,7 @@
   private final ScheduledExecutorService timer =
       Executors.newSingleThreadScheduledExecutor(MeshNode::timerThread);
   private final AtomicBoolean isAnnouncementScheduled = new AtomicBoolean();
-  private final EncodedTransferCache encodedChanges = new EncodedTransferCache();
+  private final EncodedTransferCache transferCache = new EncodedTransferCache();
   // Timer tasks, created once. Creating them for each tick allocated 120 objects a second, slowly
   // until that code was compiled.
   private final Runnable detectPause = this::detectPause;
@@ -308,7 +308,7 @@
   }
 
   private byte[] transferFor(TransferRequest request) {
-    return encodedChanges.encode(state.transferFor(request));
+    return transferCache.encode(state.transferFor(request));
   }
 
   private StatusFilter.Answer metricsPage(String path) {
@@ -401,7 +401,7 @@
 
   /** Number of the listed backends of a service that take new requests. */
   public int readyBackends(String service) {
-    return state.view().backends().ready(service).size();
+    return state.view().backends().readyBackends(service).size();
   }
 
   /** Requests in flight at this node, of clients and of other nodes. */
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshState.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshState.java
@@ -121,8 +121,8 @@
   }
 
   /**
-   * Applies pending items before a new era, since a store restored from an older copy lacks facts
-   * that they contain.
+   * Applies pending items before a new era, since an older copy of the store may lack facts that
+   * they contain.
    */
   private void applyBeforeNewEra(long newEra) {
     if (!view.isFullyApplied() && newEra != watcher.at().era()) {
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerExchange.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerExchange.java
@@ -149,9 +149,9 @@
   }
 
   /** This node's report and the latest reports of the reachable nodes of its zone. */
-  private List<PeerMessage.Entry> zoneEntries(long nowMillis, PeerMessage.Entry own) {
+  private List<PeerMessage.Entry> zoneEntries(long nowMillis, PeerMessage.Entry ownEntry) {
     List<PeerMessage.Entry> entries = new ArrayList<>();
-    entries.add(own);
+    entries.add(ownEntry);
     reports
         .ofHosts(failureDetector.peers().reachableNear())
         .forEach((host, received) -> entries.add(entry(host, received, nowMillis)));
@@ -179,31 +179,31 @@
     long now = clockMillis.getAsLong();
     for (PeerMessage.Entry entry : message.entries()) {
       if (!entry.host().equals(self)) {
-        long atMillis = now - entry.ageMillis();
-        Optional<PeerReport> newReport = reports.accept(entry, atMillis);
+        long madeAtMillis = now - entry.ageMillis();
+        Optional<PeerReport> newReport = reports.accept(entry, madeAtMillis);
         if (newReport.isPresent()) {
-          handle(entry.host(), newReport.get(), atMillis);
+          handle(entry.host(), newReport.get(), madeAtMillis);
         }
       }
     }
   }
 
-  private void handle(String host, PeerReport report, long atMillis) {
-    failureDetector.recordReport(atMillis, host, report.statedZone());
+  private void handle(String host, PeerReport report, long madeAtMillis) {
+    failureDetector.recordReport(madeAtMillis, host, report.statedZone());
     if (report.isDraining()) {
       drainingHosts.add(host);
     } else {
       drainingHosts.remove(host);
     }
-    attested.recordAttestation(atMillis, host, report.attested());
+    attested.recordAttestation(madeAtMillis, host, report.attested());
     suspects.heard(host, report.suspectsDigest());
     MeshView current = view.get();
     synchronized (balancer) {
       if (report.attested().isPresent()) {
-        balancer.stated(atMillis, report.attested().get().id(), report.load());
+        balancer.stated(madeAtMillis, report.attested().get().id(), report.load());
       }
       for (BackendEntry backend : current.backends().atHost(host)) {
-        balancer.stated(atMillis, backend.id(), report.load());
+        balancer.stated(madeAtMillis, backend.id(), report.load());
       }
     }
     if (current.isBehind(report.version(), report.position())) {
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/StateSources.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/StateSources.java
@@ -55,9 +55,9 @@
    * the one with the newest state; of equals the last source, whose patches continue from the items
    * that it sent. Remaining ties are broken at random, to spread the load over the sources.
    *
-   * @param isSilent whether a node is unreachable
+   * @param isSilent whether a node counts as unreachable
    */
-  Optional<String> next(MeshView view, String lastSource, Predicate<String> isSilent) {
+  Optional<String> nextHost(MeshView view, String lastSource, Predicate<String> isSilent) {
     removeOutdated(view);
     List<AdvertisedState> candidates = new ArrayList<>(advertisedByHost.values());
     candidates.removeIf(advertised -> isSilent.test(advertised.host()));
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/TransferSchedule.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/TransferSchedule.java
@@ -44,7 +44,9 @@
 
   private static final int MAX_CONCURRENT_TRANSFERS = 3;
 
-  /** Nodes asked for facts alone: as many as three seeds may be down. */
+  /**
+   * Limit of the nodes asked for facts alone, since the given seeds, say three, may all be down.
+   */
   private static final int MAX_FACT_REQUESTS = 3;
 
   /** Pause between two transfers while this node has no configuration, milliseconds. */
@@ -184,10 +186,12 @@
       MeshView view, long behindMillis, boolean isReadingStore, Predicate<String> isSilent) {
     List<PeerAddress> sources = new ArrayList<>();
     if (behindMillis >= (isReadingStore ? READER_WAIT_MILLIS : 0)) {
-      near.next(view, lastSource, isSilent).ifPresent(host -> sources.add(exchangeAddress(host)));
+      near.nextHost(view, lastSource, isSilent)
+          .ifPresent(host -> sources.add(exchangeAddress(host)));
     }
     if (behindMillis >= (isReadingStore ? READER_WAIT_MILLIS : OTHER_ZONE_WAIT_MILLIS)) {
-      far.next(view, lastSource, isSilent).ifPresent(host -> sources.add(exchangeAddress(host)));
+      far.nextHost(view, lastSource, isSilent)
+          .ifPresent(host -> sources.add(exchangeAddress(host)));
     }
     if (!view.isComplete()) {
       sources.addAll(shuffledSeeds());
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/FleetModel.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/FleetModel.java
@@ -27,7 +27,7 @@
   private static final String DRAINING = "a";
   private static final String REPLACED = "b";
   private static final String REPLACEMENT = "c";
-  private static final int SETTLING_ROUNDS = 12;
+  private static final int READ_ROUNDS = 12;
 
   /** Shared by all models, with a stopped clock, so that its log line budget covers all of them. */
   private static final MeshEvents EVENTS = new MeshEvents(() -> 0);
@@ -54,7 +54,7 @@
 
     Set<String> ready() {
       Set<String> ids = new TreeSet<>();
-      state.view().backends().ready("booking").forEach(entry -> ids.add(entry.id()));
+      state.view().backends().readyBackends("booking").forEach(entry -> ids.add(entry.id()));
       return ids;
     }
 
@@ -222,7 +222,7 @@
 
   /** A node calls the store until it has read everything. */
   void readStoreFully(int index) {
-    for (int round = 0; round < SETTLING_ROUNDS; round++) {
+    for (int round = 0; round < READ_ROUNDS; round++) {
       callStore(index);
       while (!nodes.get(index).inFlight.isEmpty()) {
         deliver(index, true);
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/MeshStateLockTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/MeshStateLockTest.java
@@ -155,7 +155,7 @@
     adopted.join();
     copy.join();
 
-    assertThat(state.view().backends().ready("booking")).isEmpty();
+    assertThat(state.view().backends().readyBackends("booking")).isEmpty();
   }
 
   private void adopt(StorePosition at, StoreItem... items) {
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/MeshStateTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/MeshStateTest.java
@@ -31,7 +31,7 @@
   }
 
   private List<String> ready() {
-    return state.view().backends().ready("booking").stream().map(BackendEntry::id).toList();
+    return state.view().backends().readyBackends("booking").stream().map(BackendEntry::id).toList();
   }
 
   /** The store lists a terminated backend until its lease expires. */
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/ReaderFailoverTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/ReaderFailoverTest.java
@@ -41,13 +41,13 @@
   private static final class Node {
     private final String host;
     private final String zone;
-    private final KnownPeers known;
+    private final KnownPeers knownPeers;
     private Set<String> listed = Set.of();
 
     Node(String host, String zone) {
       this.host = host;
       this.zone = zone;
-      this.known = new KnownPeers(host, UNLISTED_RETENTION_MILLIS, PROCESS_PAUSE_MILLIS);
+      this.knownPeers = new KnownPeers(host, UNLISTED_RETENTION_MILLIS, PROCESS_PAUSE_MILLIS);
     }
   }
 
@@ -72,16 +72,16 @@
   private static boolean ranksFirst(String host, Collection<String> all) {
     List<String> others = new ArrayList<>(all);
     others.remove(host);
-    return reads(host, new HashSet<>(others), ONE_READER_ZONES);
+    return isReader(host, new HashSet<>(others), ONE_READER_ZONES);
   }
 
   /** Decides by rank alone: all other nodes are taken to call the store. */
-  private static boolean reads(String host, Set<String> others, int zones) {
+  private static boolean isReader(String host, Set<String> others, int zones) {
     ReaderElection election = new ReaderElection(host, SilenceTimes.ROUND_MILLIS);
     return election.decide(0, others, others, Set.of(), zones, 0).reads();
   }
 
-  private void list(long now, Node node, Set<String> listed) {
+  private void updateListed(long now, Node node, Set<String> listed) {
     if (listed.equals(node.listed)) {
       return;
     }
@@ -92,17 +92,21 @@
       long silentMillis = isInZoneOf(node).test(host) ? times.nearMillis() : times.farMillis();
       entries.put(host, new KnownPeers.ListedPeer(zones.get(host), silentMillis));
     }
-    node.known.replace(now, entries);
+    node.knownPeers.replace(now, entries);
   }
 
   private Predicate<String> isInZoneOf(Node node) {
     return host -> zones.get(host).equals(node.zone);
   }
 
-  private boolean reads(long now, Node node) {
+  private boolean isReader(long now, Node node) {
     PeerView view =
-        PeerView.of(node.known.others(), node.known.silent(now), node.zone, node.known::zoneOf);
-    return reads(node.host, view.reachableInZone(), view.zones());
+        PeerView.of(
+            node.knownPeers.others(),
+            node.knownPeers.silent(now),
+            node.zone,
+            node.knownPeers::zoneOf);
+    return isReader(node.host, view.reachableInZone(), view.zones());
   }
 
   /** Runs a round in which all nodes receive a report of each living node. */
@@ -110,11 +114,11 @@
     for (Node node : nodes.values()) {
       for (String host : nodes.keySet()) {
         if (!dead.contains(host)) {
-          node.known.heard(now, host);
+          node.knownPeers.heard(now, host);
         }
       }
-      node.known.tick(now);
-      list(now, node, listed);
+      node.knownPeers.tick(now);
+      updateListed(now, node, listed);
     }
   }
 
@@ -142,7 +146,7 @@
   private Set<String> zonesWithReader(long now, Set<String> dead) {
     Set<String> served = new HashSet<>();
     for (Node node : nodes.values()) {
-      if (!dead.contains(node.host) && reads(now, node)) {
+      if (!dead.contains(node.host) && isReader(now, node)) {
         served.add(node.zone);
       }
     }
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/SimulatedFleet.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/SimulatedFleet.java
@@ -35,7 +35,7 @@
   private record ScheduledTask(long atMillis, long order, Runnable task) {}
 
   /** A watch that is pending at the store. */
-  private record PendingWatch(Node node, long after, long untilMillis) {}
+  private record PendingWatch(Node node, long afterRevision, long untilMillis) {}
 
   final class Node {
     final int index;
@@ -48,7 +48,7 @@
 
     /** Whether this node sends new requests to the draining backend. */
     boolean sendsToDrainingBackend() {
-      return state.view().backends().ready("booking").stream()
+      return state.view().backends().readyBackends("booking").stream()
           .anyMatch(entry -> entry.id().equals("b-0"));
     }
 
@@ -169,7 +169,7 @@
         pendingWatches.add(pending);
       } else {
         deliverAfterDelay(
-            pending.node(), store.answer(new StoreCall.Watch("", pending.after(), 0)));
+            pending.node(), store.answer(new StoreCall.Watch("", pending.afterRevision(), 0)));
       }
     }
   }
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/StateSourcesTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/StateSourcesTest.java
@@ -20,7 +20,7 @@
   }
 
   private String next() {
-    String host = sources.next(MeshView.EMPTY, "last", "silent"::equals).orElse("");
+    String host = sources.nextHost(MeshView.EMPTY, "last", "silent"::equals).orElse("");
     sources.markTried(host);
     return host;
   }
