--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/BackendDirectory.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/BackendDirectory.java
@@ -11,19 +11,19 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** The back ends at one revision of the store. Immutable. */
+/** The backends at one revision of the store. Immutable. */
 final class BackendDirectory {
   static final BackendDirectory EMPTY = new BackendDirectory(List.of(), Set.of());
 
   private final Map<String, BackendEntry> byId = new HashMap<>();
-  private final Map<String, List<BackendEntry>> ready = new HashMap<>();
+  private final Map<String, List<BackendEntry>> readyByService = new HashMap<>();
   private final Map<String, List<BackendEntry>> byHost = new HashMap<>();
   private final Set<String> evacuatedZones;
 
   /**
-   * Sorts entries.
+   * Indexes entries by id, host and service.
    *
-   * @param evacuatedZones zones whose back ends take no new work
+   * @param evacuatedZones zones whose backends take no new requests
    */
   BackendDirectory(Collection<BackendEntry> entries, Set<String> evacuatedZones) {
     this.evacuatedZones = Set.copyOf(evacuatedZones);
@@ -31,14 +31,14 @@
       byId.put(entry.id(), entry);
       byHost.computeIfAbsent(entry.address().host(), host -> new ArrayList<>()).add(entry);
       if (entry.state() == BackendEntry.State.READY && !isEvacuated(entry.zone())) {
-        ready.computeIfAbsent(entry.service(), service -> new ArrayList<>()).add(entry);
+        readyByService.computeIfAbsent(entry.service(), service -> new ArrayList<>()).add(entry);
       }
     }
-    ready.values().forEach(list -> list.sort(Comparator.comparing(BackendEntry::id)));
+    readyByService.values().forEach(list -> list.sort(Comparator.comparing(BackendEntry::id)));
   }
 
-  /** Whether it is of these very entries and zones, read once and not read again since. */
-  boolean holds(Collection<BackendEntry> entries, Set<String> evacuated) {
+  /** Whether it was built from these entries, compared by identity, and these zones. */
+  boolean isBuiltFrom(Collection<BackendEntry> entries, Set<String> evacuated) {
     if (entries.size() != byId.size() || !evacuated.equals(evacuatedZones)) {
       return false;
     }
@@ -50,17 +50,17 @@
     return true;
   }
 
-  /** Those of a service that take new work. */
-  List<BackendEntry> ready(String service) {
-    return ready.getOrDefault(service, List.of());
+  /** The backends of a service that take new requests, by id. */
+  List<BackendEntry> readyBackends(String service) {
+    return readyByService.getOrDefault(service, List.of());
   }
 
-  /** Whether the back ends of a zone are to get no new work. */
+  /** Whether the backends of a zone take no new requests. */
   boolean isEvacuated(String zone) {
     return evacuatedZones.contains(zone);
   }
 
-  /** Zones whose back ends are to get no new work. */
+  /** Zones whose backends take no new requests. */
   Set<String> evacuatedZones() {
     return evacuatedZones;
   }
@@ -69,16 +69,16 @@
     return Optional.ofNullable(byId.get(id));
   }
 
-  /** The entries at an address; several while a new start has not replaced the old one. */
+  /** The entries at an address; several until a restarted backend has replaced its old entry. */
   List<BackendEntry> at(PeerAddress address) {
-    List<BackendEntry> there = atHost(address.host());
-    for (BackendEntry entry : there) {
+    List<BackendEntry> atHost = atHost(address.host());
+    for (BackendEntry entry : atHost) {
       if (!entry.address().equals(address)) {
-        return there.stream().filter(each -> each.address().equals(address)).toList();
+        return atHost.stream().filter(candidate -> candidate.address().equals(address)).toList();
       }
     }
-    // As a rule: a machine has one back end.
-    return there;
+    // The usual case: a machine has one backend.
+    return atHost;
   }
 
   /** The entries at an IP address. */
@@ -86,7 +86,7 @@
     return byHost.getOrDefault(host, List.of());
   }
 
-  /** IP addresses of the machines. */
+  /** IP addresses of all backends. */
   Set<String> hosts() {
     return byHost.keySet();
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/ConfigurationReader.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/ConfigurationReader.java
@@ -5,30 +5,30 @@
 import io.umberpath.traffic.routing.RoutingTable;
 import io.vavr.control.Either;
 
-/** Reads configurations, and keeps what it made of the last one. Thread-safe. */
+/** Parses configurations and caches the last result with its routing table. Thread-safe. */
 final class ConfigurationReader {
   private final StoreDocuments documents;
   private StoreItem lastItem;
-  private Either<String, RoutingConfiguration> lastRead;
-  private RoutingTable lastTable;
+  private Either<String, RoutingConfiguration> lastResult;
+  private RoutingTable lastRoutingTable;
 
   ConfigurationReader(StoreDocuments documents) {
     this.documents = documents;
   }
 
-  /** The configuration of an item, or what is wrong with it. */
+  /** The configuration of an item, or the error in it. */
   synchronized Either<String, RoutingConfiguration> read(StoreItem item) {
     if (!item.equals(lastItem)) {
-      lastRead = documents.configuration(item);
-      lastTable = lastRead.map(RoutingTable::of).getOrNull();
+      lastResult = documents.configuration(item);
+      lastRoutingTable = lastResult.map(RoutingTable::of).getOrNull();
       lastItem = item;
     }
-    return lastRead;
+    return lastResult;
   }
 
-  /** The routes of a configuration. */
-  synchronized RoutingTable tableOf(RoutingConfiguration configuration) {
-    boolean isLast = lastRead != null && lastRead.getOrNull() == configuration;
-    return isLast ? lastTable : RoutingTable.of(configuration);
+  /** The routing table of a configuration. */
+  synchronized RoutingTable routingTable(RoutingConfiguration configuration) {
+    boolean isCached = lastResult != null && lastResult.getOrNull() == configuration;
+    return isCached ? lastRoutingTable : RoutingTable.of(configuration);
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/LivenessAttester.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/LivenessAttester.java
@@ -11,17 +11,17 @@
 import java.util.function.Supplier;
 
 /**
- * Attests that the back end beside this node lives although its entry has lapsed: where the store
- * does not answer this machine, it does not hear the back end's heartbeats either. The attestation
- * rests on health probes; a back end that leaves, has ended or was replaced fails them.
+ * Attests that the local backend is alive although its entry in the store has expired: a store that
+ * does not answer this machine does not receive the backend's heartbeats either. The attestation is
+ * based on health probes, which a backend that drains, has terminated or was replaced fails.
  * Thread-safe.
  */
 final class LivenessAttester {
-  private static final long PROBE_MILLIS = 400;
+  private static final long PROBE_INTERVAL_MILLIS = 400;
   private static final long PROBE_TIMEOUT_MILLIS = 1_000;
 
-  /** How long a good probe is believed, from when it was sent. */
-  private static final long VALID_MILLIS = 1_500;
+  /** How long a successful probe is valid, from when it was sent, milliseconds. */
+  private static final long PROBE_VALID_MILLIS = 1_500;
 
   private static final int OK = 200;
 
@@ -34,8 +34,8 @@
   private BackendEntry lastListed;
   private HealthProbe probe;
   private long probeSentMillis;
-  private long goodUntilMillis = Long.MIN_VALUE;
-  private BackendEntry noted;
+  private long healthyUntilMillis = Long.MIN_VALUE;
+  private BackendEntry lastLogged;
 
   LivenessAttester(
       MeshSettings settings,
@@ -52,46 +52,46 @@
     this.clockMillis = clockMillis;
   }
 
-  /** The entry of the back end that lives though the store lists it no more; empty if none. */
-  synchronized Optional<BackendEntry> attested() {
-    boolean attests = isLapsed() && clockMillis.getAsLong() < goodUntilMillis;
-    return attests ? Optional.of(lastListed) : Optional.empty();
+  /** The entry of the local backend if it is alive but no longer listed by the store. */
+  synchronized Optional<BackendEntry> attestedEntry() {
+    boolean isAttested = isEntryMissing() && clockMillis.getAsLong() < healthyUntilMillis;
+    return isAttested ? Optional.of(lastListed) : Optional.empty();
   }
 
-  /** Whether that start of the back end is attested. */
-  boolean attests(String instance) {
-    return attested().filter(entry -> entry.id().equals(instance)).isPresent();
+  /** Whether the instance with this id is attested. */
+  boolean isAttested(String instance) {
+    return attestedEntry().filter(entry -> entry.id().equals(instance)).isPresent();
   }
 
-  /** Looks at the entry, and probes the back end while it is missing for want of contact. */
+  /** Checks the entry, and probes the backend while lost contact may explain its absence. */
   synchronized void tick() {
     long now = clockMillis.getAsLong();
     List<BackendEntry> listed = view.get().backends().at(settings.backend());
     if (!listed.isEmpty()) {
       lastListed = listed.get(0).state() == BackendEntry.State.READY ? listed.get(0) : null;
-      goodUntilMillis = Long.MIN_VALUE;
-    } else if (isLapsed() && contact.get().mayMissEntries(now)) {
+      healthyUntilMillis = Long.MIN_VALUE;
+    } else if (isEntryMissing() && contact.get().mayMissEntries(now)) {
       probe(now);
     }
-    note(attested());
+    logChange(attestedEntry());
   }
 
-  /** Whether the entry of a back end that did not leave is missing. */
-  synchronized boolean isLapsed() {
+  /** Whether the store does not list the local backend although it was last seen ready. */
+  synchronized boolean isEntryMissing() {
     return lastListed != null && view.get().backends().at(settings.backend()).isEmpty();
   }
 
-  private void note(Optional<BackendEntry> attested) {
-    if (attested.isPresent() && noted == null) {
+  private void logChange(Optional<BackendEntry> attested) {
+    if (attested.isPresent() && lastLogged == null) {
       events.attestation(attested.get(), true);
-    } else if (attested.isEmpty() && noted != null) {
-      events.attestation(noted, false);
+    } else if (attested.isEmpty() && lastLogged != null) {
+      events.attestation(lastLogged, false);
     }
-    noted = attested.orElse(null);
+    lastLogged = attested.orElse(null);
   }
 
   private void probe(long nowMillis) {
-    if (nowMillis < probeSentMillis + PROBE_MILLIS) {
+    if (nowMillis < probeSentMillis + PROBE_INTERVAL_MILLIS) {
       return;
     }
     if (probe != null && probe.isUnderWay()) {
@@ -110,31 +110,32 @@
         new HealthProbe(
             pool,
             service.healthPath(),
-            (head, body) -> answered(id, nowMillis, head),
-            () -> failed(id));
+            (head, body) -> onProbeResponse(id, nowMillis, head),
+            () -> withdraw(id));
     probe.start();
   }
 
-  private synchronized void answered(String id, long sentMillis, AnswerHead head) {
-    boolean isSameStart = head.field(settings.headers().instance()).filter(id::equals).isPresent();
-    boolean isGood = head.status() == OK && isSameStart;
-    if (!isGood) {
-      failed(id);
+  private synchronized void onProbeResponse(String id, long sentMillis, AnswerHead head) {
+    boolean isSameInstance =
+        head.field(settings.headers().instance()).filter(id::equals).isPresent();
+    boolean isHealthy = head.status() == OK && isSameInstance;
+    if (!isHealthy) {
+      withdraw(id);
     } else if (lastListed != null && lastListed.id().equals(id)) {
-      goodUntilMillis = sentMillis + VALID_MILLIS;
+      healthyUntilMillis = sentMillis + PROBE_VALID_MILLIS;
     }
   }
 
-  /** That back end ended: one that starts again under its id would pass the same probe. */
-  void ended(String id) {
-    failed(id);
+  /** Ends the attestation: a backend restarted under the same id would pass the same probe. */
+  void onBackendEnded(String id) {
+    withdraw(id);
   }
 
-  /** What has left, ended or been replaced is not attested again before it is listed again. */
-  private synchronized void failed(String id) {
+  /** Withdraws the attestation until the store lists the backend again. */
+  private synchronized void withdraw(String id) {
     if (lastListed != null && lastListed.id().equals(id)) {
       lastListed = null;
-      note(Optional.empty());
+      logChange(Optional.empty());
     }
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshView.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshView.java
@@ -5,21 +5,21 @@
 import io.umberpath.traffic.routing.RoutingTable;
 
 /**
- * What a node believes at one moment. Immutable.
+ * A snapshot of what a node knows. Immutable.
  *
  * @param configuration the configuration in force, or null before the first
- * @param table its routes, or null before the first
- * @param backends the back ends
- * @param position the store's position of the back ends
- * @param held the newest position whose items this node holds; they may not be in force yet
+ * @param table its routing table, or null before the first
+ * @param backends the backends
+ * @param position the store's position of {@code backends}
+ * @param heldPosition the newest position whose items this node holds; they may not be in force yet
  */
 record MeshView(
     RoutingConfiguration configuration,
     RoutingTable table,
     BackendDirectory backends,
     StorePosition position,
-    StorePosition held) {
-  static final MeshView NOTHING =
+    StorePosition heldPosition) {
+  static final MeshView EMPTY =
       new MeshView(
           null, null, BackendDirectory.EMPTY, StorePosition.NOTHING, StorePosition.NOTHING);
 
@@ -28,25 +28,26 @@
     return configuration != null;
   }
 
-  /** The same at a newer position. */
-  MeshView at(StorePosition newPosition) {
+  /** Returns this view at a newer position, with everything applied. */
+  MeshView withPosition(StorePosition newPosition) {
     return new MeshView(configuration, table, backends, newPosition, newPosition);
   }
 
-  /** The same with newer items at hand. */
-  MeshView holding(StorePosition newHeld) {
-    return new MeshView(configuration, table, backends, position, newHeld);
+  /** Returns this view with newer held items that are not applied yet. */
+  MeshView withHeldPosition(StorePosition newHeldPosition) {
+    return new MeshView(configuration, table, backends, position, newHeldPosition);
   }
 
-  /** Whether all that is held is in force. */
-  boolean isSettled() {
-    return held.equals(position);
+  /** Whether all held items are in force. */
+  boolean isFullyApplied() {
+    return heldPosition.equals(position);
   }
 
-  /** Whether a node that states a version and a position holds something that this one lacks. */
-  boolean isBehind(long statedVersion, StorePosition stated) {
-    // Until it is in force, the version of what is held is not known.
-    return stated.isAfter(held) || isSettled() && statedVersion > version();
+  /** Whether a node that advertises a version and a position has something newer. */
+  boolean isBehind(long advertisedVersion, StorePosition advertisedPosition) {
+    // The version of held items is unknown until they are applied.
+    return advertisedPosition.isAfter(heldPosition)
+        || isFullyApplied() && advertisedVersion > version();
   }
 
   /** Version of the configuration; -1 before the first. */
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerExchange.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerExchange.java
@@ -19,18 +19,18 @@
 import java.util.function.Supplier;
 
 /**
- * Reports between nodes: each tells the others its load, what it holds and that it is there, within
- * its zone by gossip and to other zones by digests (see {@link ReportSchedule}). Reports are
- * datagrams; one that is lost is made good by the next. Thread-safe.
+ * Exchanges reports between nodes. Each node reports its load, the version and position of its
+ * state, and that it is alive: by gossip within its zone and by digests to other zones (see {@link
+ * ReportSchedule}). Reports are datagrams; the next one makes up for a lost one. Thread-safe.
  */
 final class PeerExchange implements AutoCloseable {
-  /** Rounds in which a leaving node tells all others itself, so that nobody waits for digests. */
-  private static final int LEAVING_ROUNDS = 2;
+  /** Rounds in which a draining node reports to all nodes directly, rather than by digests. */
+  private static final int DRAINING_ROUNDS = 2;
 
-  /** Hears of a node that holds something newer. */
-  interface AheadListener {
-    /** A node, of the own zone or not, states a version and a position. */
-    void ahead(String host, boolean near, long version, StorePosition position);
+  /** Is notified of nodes with a newer state. */
+  interface NewerStateListener {
+    /** Called when a node advertises a newer version or position. */
+    void onNewerState(String host, boolean isNear, long version, StorePosition position);
   }
 
   private final Supplier<MeshView> view;
@@ -38,23 +38,23 @@
   private final GateBalancer balancer;
   private final LongSupplier clockMillis;
   private final String self;
-  private final PeerWatch watch;
+  private final PeerFailureDetector failureDetector;
   private final ZoneReaders readers;
   private final ReportSchedule schedule;
   private final PeerReports reports = new PeerReports();
   private final AttestedBackends attested = new AttestedBackends();
-  private final Set<String> leaving = ConcurrentHashMap.newKeySet();
+  private final Set<String> drainingHosts = ConcurrentHashMap.newKeySet();
 
   private final RequestQuarantine quarantine;
   private final SuspectExchange suspects;
   private final ReportSocket socket;
-  private volatile AheadListener aheadListener = (host, near, version, position) -> {};
-  private int leavingRounds;
+  private volatile NewerStateListener newerStateListener = (host, near, version, position) -> {};
+  private int drainingRounds;
 
-  /** Tells the reports of this process from those of the one before it. */
-  private final int run = ThreadLocalRandom.current().nextInt();
+  /** Distinguishes the reports of this process from those before a restart. */
+  private final int incarnation = ThreadLocalRandom.current().nextInt();
 
-  private final AtomicInteger reportCount = new AtomicInteger();
+  private final AtomicInteger reportSequence = new AtomicInteger();
 
   PeerExchange(
       MeshSettings settings,
@@ -70,201 +70,206 @@
     this.quarantine = quarantine;
     this.clockMillis = clockMillis;
     this.self = settings.exchange().host();
-    this.watch = new PeerWatch(settings, view, events);
+    this.failureDetector = new PeerFailureDetector(settings, view, events);
     this.readers =
         new ZoneReaders(
             self,
-            watch::peers,
-            () -> watch.silenceTimes().nearMillis(),
+            failureDetector::peers,
+            () -> failureDetector.silenceTimes().nearMillis(),
             reports,
-            leaving,
+            drainingHosts,
             SilenceTimes.ROUND_MILLIS);
     this.schedule = new ReportSchedule(self);
-    this.socket = new ReportSocket(settings.exchange(), this::take, events);
+    this.socket = new ReportSocket(settings.exchange(), this::handle, events);
     this.suspects =
-        new SuspectExchange(quarantine, () -> watch.peers().others(), socket::send, clockMillis);
+        new SuspectExchange(
+            quarantine, () -> failureDetector.peers().others(), socket::send, clockMillis);
   }
 
-  void onAhead(AheadListener listener) {
-    aheadListener = listener;
+  void onNewerState(NewerStateListener listener) {
+    newerStateListener = listener;
   }
 
-  /** Listens for reports. */
+  /** Starts listening for reports. */
   void start() throws IOException {
     socket.open();
   }
 
-  /** What all nodes together know of requests under which back ends end. */
+  /** The quarantine of requests that crash backends, as known to all nodes. */
   RequestQuarantine quarantine() {
     return quarantine;
   }
 
-  /** Tells the other nodes at once under which requests back ends ended. */
-  void tellSuspects() {
+  /** Sends the other nodes the requests during which backends crashed. */
+  void sendSuspects() {
     suspects.tick();
   }
 
-  /** One round: looks who has been silent, and sends reports. */
+  /** Runs a round: detects silent nodes and sends reports. */
   void tick(PeerReport report) {
     long now = clockMillis.getAsLong();
-    watch.tick(now);
-    PeerView current = watch.peers();
-    reports.forget(now);
-    attested.forget(now);
-    attested.heard(now, self, report.attested());
+    failureDetector.tick(now);
+    PeerView current = failureDetector.peers();
+    reports.removeExpired(now);
+    attested.removeExpired(now);
+    attested.recordAttestation(now, self, report.attested());
     ReportSchedule.Round round;
     synchronized (schedule) {
-      Set<String> quiet = watch.quiet(now);
-      round = schedule.next(current.near(), current.farByZone(), current.ineligible(), quiet);
+      Set<String> quietPeers = failureDetector.quietPeers(now);
+      round = schedule.next(current.near(), current.farByZone(), current.ineligible(), quietPeers);
     }
-    boolean toAll = report.leaving() && leavingRounds++ < LEAVING_ROUNDS;
-    PeerMessage.Entry own = stamped(report);
+    boolean sendsToAll = report.isDraining() && drainingRounds++ < DRAINING_ROUNDS;
+    PeerMessage.Entry ownEntry = ownEntry(report);
     socket.send(
-        PeerMessage.Kind.REPORTS, List.of(own), toAll ? current.others() : round.reportTo());
+        PeerMessage.Kind.REPORTS,
+        List.of(ownEntry),
+        sendsToAll ? current.others() : round.reportTo());
     if (!round.gossipTo().isEmpty() || !round.digestTo().isEmpty()) {
-      List<PeerMessage.Entry> zone = reportsOfZone(now, own);
-      socket.send(PeerMessage.Kind.REPORTS, zone, round.gossipTo());
-      socket.send(PeerMessage.Kind.DIGEST, zone, round.digestTo());
+      List<PeerMessage.Entry> zoneEntries = zoneEntries(now, ownEntry);
+      socket.send(PeerMessage.Kind.REPORTS, zoneEntries, round.gossipTo());
+      socket.send(PeerMessage.Kind.DIGEST, zoneEntries, round.digestTo());
     }
   }
 
-  /** Tells the own zone at once what this node holds now, and by a relay each other zone. */
+  /** Reports immediately to this node's zone, and through a relay to each other zone. */
   void announce(PeerReport report) {
-    PeerView current = watch.peers();
+    PeerView current = failureDetector.peers();
     List<String> relays;
     synchronized (schedule) {
       relays = schedule.relays(current.farByZone(), current.silent());
     }
-    List<PeerMessage.Entry> own = List.of(stamped(report));
-    socket.send(PeerMessage.Kind.REPORTS, own, current.near());
-    socket.send(PeerMessage.Kind.DIGEST, own, relays);
+    List<PeerMessage.Entry> ownEntry = List.of(ownEntry(report));
+    socket.send(PeerMessage.Kind.REPORTS, ownEntry, current.near());
+    socket.send(PeerMessage.Kind.DIGEST, ownEntry, relays);
   }
 
-  private PeerMessage.Entry stamped(PeerReport report) {
-    PeerMessage.Stamp stamp = new PeerMessage.Stamp(run, reportCount.incrementAndGet());
+  private PeerMessage.Entry ownEntry(PeerReport report) {
+    PeerMessage.Stamp stamp = new PeerMessage.Stamp(incarnation, reportSequence.incrementAndGet());
     return new PeerMessage.Entry(self, 0, stamp, EncodedReport.of(report));
   }
 
-  /** This node's report and the latest that it holds of the others of its zone in reach. */
-  private List<PeerMessage.Entry> reportsOfZone(long nowMillis, PeerMessage.Entry own) {
+  /** This node's report and the latest reports of the reachable nodes of its zone. */
+  private List<PeerMessage.Entry> zoneEntries(long nowMillis, PeerMessage.Entry ownEntry) {
     List<PeerMessage.Entry> entries = new ArrayList<>();
-    entries.add(own);
+    entries.add(ownEntry);
     reports
-        .of(watch.peers().reachableNear())
-        .forEach((host, heard) -> entries.add(entry(host, heard, nowMillis)));
+        .ofHosts(failureDetector.peers().reachableNear())
+        .forEach((host, received) -> entries.add(entry(host, received, nowMillis)));
     return entries;
   }
 
-  private static PeerMessage.Entry entry(String host, PeerReports.Heard heard, long nowMillis) {
-    long ageMillis = nowMillis - heard.atMillis();
-    return new PeerMessage.Entry(host, ageMillis, heard.stamp(), heard.encoded());
+  private static PeerMessage.Entry entry(
+      String host, PeerReports.ReceivedReport received, long nowMillis) {
+    long ageMillis = nowMillis - received.madeAtMillis();
+    return new PeerMessage.Entry(host, ageMillis, received.stamp(), received.encoded());
   }
 
-  private void take(PeerDatagram message) throws IOException {
-    if (message instanceof SuspectMessage suspected) {
-      quarantine.take(suspected);
-    } else if (message instanceof PeerMessage reported) {
-      take(reported);
+  private void handle(PeerDatagram message) throws IOException {
+    if (message instanceof SuspectMessage suspectMessage) {
+      quarantine.take(suspectMessage);
+    } else if (message instanceof PeerMessage peerMessage) {
+      handle(peerMessage);
     }
   }
 
-  private void take(PeerMessage message) throws IOException {
+  private void handle(PeerMessage message) throws IOException {
     if (message.kind() == PeerMessage.Kind.DIGEST) {
-      socket.send(PeerMessage.Kind.REPORTS, message.entries(), watch.peers().near());
+      socket.send(PeerMessage.Kind.REPORTS, message.entries(), failureDetector.peers().near());
     }
     long now = clockMillis.getAsLong();
     for (PeerMessage.Entry entry : message.entries()) {
       if (!entry.host().equals(self)) {
-        long atMillis = now - entry.ageMillis();
-        Optional<PeerReport> news = reports.take(entry, atMillis);
-        if (news.isPresent()) {
-          take(entry.host(), news.get(), atMillis);
+        long madeAtMillis = now - entry.ageMillis();
+        Optional<PeerReport> newReport = reports.accept(entry, madeAtMillis);
+        if (newReport.isPresent()) {
+          handle(entry.host(), newReport.get(), madeAtMillis);
         }
       }
     }
   }
 
-  private void take(String host, PeerReport report, long atMillis) {
-    watch.heard(atMillis, host, report.statedZone());
-    if (report.leaving()) {
-      leaving.add(host);
+  private void handle(String host, PeerReport report, long madeAtMillis) {
+    failureDetector.recordReport(madeAtMillis, host, report.statedZone());
+    if (report.isDraining()) {
+      drainingHosts.add(host);
     } else {
-      leaving.remove(host);
+      drainingHosts.remove(host);
     }
-    attested.heard(atMillis, host, report.attested());
-    suspects.heard(host, report.suspects());
+    attested.recordAttestation(madeAtMillis, host, report.attested());
+    suspects.heard(host, report.suspectsDigest());
     MeshView current = view.get();
     synchronized (balancer) {
       if (report.attested().isPresent()) {
-        balancer.stated(atMillis, report.attested().get().id(), report.load());
+        balancer.stated(madeAtMillis, report.attested().get().id(), report.load());
       }
       for (BackendEntry backend : current.backends().atHost(host)) {
-        balancer.stated(atMillis, backend.id(), report.load());
+        balancer.stated(madeAtMillis, backend.id(), report.load());
       }
     }
     if (current.isBehind(report.version(), report.position())) {
-      aheadListener.ahead(host, watch.isNear(host), report.version(), report.position());
+      newerStateListener.onNewerState(
+          host, failureDetector.isNear(host), report.version(), report.position());
     }
   }
 
   /**
-   * Whether this node is one of those of its zone that call the store.
+   * Decides whether this node is elected as a reader of the store for its zone.
    *
-   * @param refused whether the store did not answer this node lately
+   * @param isRefused whether the store recently failed to answer this node
    */
-  ReaderElection.Decision electReader(boolean refused) {
-    return readers.decide(clockMillis.getAsLong(), refused);
+  ReaderElection.Decision electReader(boolean isRefused) {
+    return readers.decide(clockMillis.getAsLong(), isRefused);
   }
 
-  /** Whether enough others call the store promptly, see {@link ZoneReaders#isStandby}. */
+  /** Whether enough other nodes call the store promptly, see {@link ZoneReaders#isStandby}. */
   boolean isStandbyReader() {
     return readers.isStandby();
   }
 
-  /** The contact with the store that nodes of the own zone state; empty if none calls it. */
-  Optional<StoreContact> zoneContact() {
-    return readers.contact();
+  /** The contact with the store reported by nodes of this zone; empty if none calls the store. */
+  Optional<StoreContact> zoneStoreContact() {
+    return readers.storeContact();
   }
 
-  /** The back ends of a service that take new work. */
+  /** The backends of a service that take new requests, listed and attested ones. */
   List<BackendEntry> readyBackends(String service) {
-    return attested.ready(clockMillis.getAsLong(), view.get().backends(), contact, service);
+    return attested.readyBackends(clockMillis.getAsLong(), view.get().backends(), contact, service);
   }
 
-  /** Those of the back ends whose node is out of reach or takes no new work. */
+  /** Ids of the candidates whose node is silent or draining. */
   Set<String> silentBackends(List<BackendEntry> candidates) {
-    Set<String> hosts = watch.peers().silent();
-    if (hosts.isEmpty() && leaving.isEmpty()) {
+    Set<String> silentHosts = failureDetector.peers().silent();
+    if (silentHosts.isEmpty() && drainingHosts.isEmpty()) {
       return Set.of();
     }
     Set<String> ids = new HashSet<>();
     for (BackendEntry candidate : candidates) {
       String host = candidate.address().host();
-      if (hosts.contains(host) || leaving.contains(host)) {
+      if (silentHosts.contains(host) || drainingHosts.contains(host)) {
         ids.add(candidate.id());
       }
     }
     return ids;
   }
 
-  /** Whether a node has been silent for too long. */
+  /** Whether a node has sent no reports for too long. */
   boolean isSilent(String host) {
-    return watch.peers().silent().contains(host);
+    return failureDetector.peers().silent().contains(host);
   }
 
-  /** Nodes that have been silent for too long. */
-  int silentNodes() {
-    return watch.peers().silent().size();
+  /** Number of nodes that have sent no reports for too long. */
+  int silentNodeCount() {
+    return failureDetector.peers().silent().size();
   }
 
-  /** Whether, of the nodes in reach, this one comes first for a task that one of them does. */
-  boolean isFirstFor(String task) {
-    return watch.isFirstFor(task);
+  /** Whether this is the one reachable node that is responsible for a task. */
+  boolean isResponsibleFor(String task) {
+    return failureDetector.isResponsibleFor(task);
   }
 
-  /** Nodes known, this one included. */
+  /** Number of known nodes, this one included. */
   int nodes() {
-    return watch.peers().others().size() + 1;
+    return failureDetector.peers().others().size() + 1;
   }
 
   @Override
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerReport.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerReport.java
@@ -11,30 +11,30 @@
 import java.util.Optional;
 
 /**
- * What a node regularly tells the others.
+ * The periodic report of a node to the others.
  *
- * @param load load of the back end beside it
- * @param leaving whether it takes no new work for that back end
- * @param version its configuration's version; -1 before the first
- * @param position the store's position of its back ends
- * @param contact how its calls to the store go
- * @param unlistedZone its zone, where the store does not list it as far as it knows; empty else, as
- *     that would be told in each report between zones
- * @param suspects digest of what it knows of requests under which back ends end, 0 if nothing
- * @param attested entry of the back end beside it, which lives though the store lists it no more
+ * @param load load of the local backend
+ * @param isDraining whether the node takes no new requests for the local backend
+ * @param version version of its configuration; -1 before the first
+ * @param position the store's position of the items that it holds
+ * @param storeContact outcome of its calls to the store
+ * @param unlistedZone zone of the node if the store, as far as the node knows, does not list it;
+ *     empty otherwise, since each report between zones would carry it
+ * @param suspectsDigest digest of the known requests that crash backends, 0 if there are none
+ * @param attested entry of the local backend if it is alive but no longer listed by the store
  */
 record PeerReport(
     GateLoad load,
-    boolean leaving,
+    boolean isDraining,
     long version,
     StorePosition position,
-    ReportedContact contact,
-    long suspects,
+    ReportedContact storeContact,
+    long suspectsDigest,
     Optional<String> unlistedZone,
     Optional<BackendEntry> attested) {
   private static final ReportedContact.State[] CONTACT_STATES = ReportedContact.State.values();
 
-  /** The zone that it states, itself or in the entry that it attests. */
+  /** The zone of the node, stated directly or in the attested entry. */
   Optional<String> statedZone() {
     return unlistedZone.isPresent() ? unlistedZone : attested.map(BackendEntry::zone);
   }
@@ -48,13 +48,13 @@
     out.writeNumber(load.serviceMicros());
     out.writeNumber(load.slownessPercent());
     out.writeNumber(load.failurePercent());
-    out.writeBoolean(leaving);
+    out.writeBoolean(isDraining);
     out.writeNumber(version);
     out.writeNumber(position.era());
     out.writeNumber(position.revision());
-    out.writeNumber(contact.state().ordinal());
-    out.writeNumber(contact.forMillis());
-    out.writeNumber(suspects);
+    out.writeNumber(storeContact.state().ordinal());
+    out.writeNumber(storeContact.durationMillis());
+    out.writeNumber(suspectsDigest);
     if (attested.isPresent()) {
       write(out, attested.get());
     } else if (unlistedZone.isPresent()) {
@@ -66,41 +66,42 @@
   /**
    * Reads a report whose list has begun.
    *
-   * @throws IOException if it is none
+   * @throws IOException if it is malformed
    */
   static PeerReport read(JsonParser in) throws IOException {
-    int running = (int) number(in);
-    int queued = (int) number(in);
-    int slots = Math.max(1, (int) number(in));
-    long serviceMicros = number(in);
-    int slowness = GateLoad.boundedSlowness((int) number(in));
-    int failures = GateLoad.percent(number(in));
+    int running = (int) readNumber(in);
+    int queued = (int) readNumber(in);
+    int slots = Math.max(1, (int) readNumber(in));
+    long serviceMicros = readNumber(in);
+    int slownessPercent = GateLoad.boundedSlowness((int) readNumber(in));
+    int failurePercent = GateLoad.percent(readNumber(in));
     GateLoad load =
-        new GateLoad(running, queued, slots, serviceMicros, slowness, 0).withFailures(failures);
-    boolean leaving = Boolean.TRUE.equals(in.nextBooleanValue());
-    long version = number(in);
-    long era = number(in);
-    StorePosition position = new StorePosition(era, number(in));
-    ReportedContact contact = contact(in);
-    long suspects = number(in);
+        new GateLoad(running, queued, slots, serviceMicros, slownessPercent, 0)
+            .withFailures(failurePercent);
+    boolean isDraining = Boolean.TRUE.equals(in.nextBooleanValue());
+    long version = readNumber(in);
+    long era = readNumber(in);
+    StorePosition position = new StorePosition(era, readNumber(in));
+    ReportedContact storeContact = readContact(in);
+    long suspectsDigest = readNumber(in);
     Optional<String> unlistedZone = Optional.empty();
     Optional<BackendEntry> attested = Optional.empty();
     if (in.nextToken() != JsonToken.END_ARRAY) {
       String first = currentText(in);
       boolean isZone = in.nextToken() == JsonToken.END_ARRAY;
       unlistedZone = isZone ? Optional.of(first) : Optional.empty();
-      attested = isZone ? Optional.empty() : Optional.of(attested(first, in));
+      attested = isZone ? Optional.empty() : Optional.of(readAttested(first, in));
     }
     return new PeerReport(
-        load, leaving, version, position, contact, suspects, unlistedZone, attested);
+        load, isDraining, version, position, storeContact, suspectsDigest, unlistedZone, attested);
   }
 
-  private static ReportedContact contact(JsonParser in) throws IOException {
-    long state = number(in);
+  private static ReportedContact readContact(JsonParser in) throws IOException {
+    long state = readNumber(in);
     if (state < 0 || state >= CONTACT_STATES.length) {
-      throw new IOException("report has an unknown state of contact: " + state);
+      throw new IOException("report has an unknown store contact state: " + state);
     }
-    return new ReportedContact(CONTACT_STATES[(int) state], number(in));
+    return new ReportedContact(CONTACT_STATES[(int) state], readNumber(in));
   }
 
   private static void write(JsonGenerator out, BackendEntry entry) throws IOException {
@@ -113,34 +114,34 @@
     out.writeNumber(entry.bornMillis());
   }
 
-  /** Reads an entry whose identity has been read, and which stands on its service. */
-  private static BackendEntry attested(String id, JsonParser in) throws IOException {
+  /** Reads an entry whose id has been read; the parser is at its service. */
+  private static BackendEntry readAttested(String id, JsonParser in) throws IOException {
     String service = currentText(in);
-    PeerAddress address = new PeerAddress(text(in), (int) number(in));
-    String zone = text(in);
-    int slots = Math.max(1, (int) number(in));
-    long born = number(in);
+    PeerAddress address = new PeerAddress(readText(in), (int) readNumber(in));
+    String zone = readText(in);
+    int slots = Math.max(1, (int) readNumber(in));
+    long born = readNumber(in);
     if (in.nextToken() != JsonToken.END_ARRAY) {
-      throw new IOException("report does not end where it is due");
+      throw new IOException("report has trailing data");
     }
     return new BackendEntry(id, service, address, zone, slots, BackendEntry.State.READY, 0, born);
   }
 
-  private static String text(JsonParser in) throws IOException {
+  private static String readText(JsonParser in) throws IOException {
     in.nextToken();
     return currentText(in);
   }
 
   private static String currentText(JsonParser in) throws IOException {
     if (in.currentToken() != JsonToken.VALUE_STRING) {
-      throw new IOException("report has no text where one is due");
+      throw new IOException("report lacks an expected string");
     }
     return in.getText();
   }
 
-  private static long number(JsonParser in) throws IOException {
+  private static long readNumber(JsonParser in) throws IOException {
     if (in.nextToken() != JsonToken.VALUE_NUMBER_INT) {
-      throw new IOException("report has no number where one is due");
+      throw new IOException("report lacks an expected number");
     }
     return in.getLongValue();
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/ReportSocket.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/ReportSocket.java
@@ -12,56 +12,56 @@
 
 /** Sends and receives the datagrams between nodes. Thread-safe. */
 final class ReportSocket implements AutoCloseable {
-  /** Takes a message that has arrived. */
+  /** Handles received messages. */
   interface Receiver {
     /**
-     * Takes it.
+     * Handles a message.
      *
-     * @throws IOException if what it holds cannot be read
+     * @throws IOException if its content is malformed
      */
-    void take(PeerDatagram message) throws IOException;
+    void handle(PeerDatagram message) throws IOException;
   }
 
-  private final PeerAddress own;
+  private final PeerAddress listenAddress;
   private final Receiver receiver;
   private final MeshEvents events;
 
-  /** Addresses that were parsed once. */
+  /** Resolved socket addresses by host. */
   private final Map<String, InetSocketAddress> addresses = new ConcurrentHashMap<>();
 
   private final Thread thread = new Thread(this::receive, "umberpath-reports");
   private volatile DatagramSocket socket;
 
   /**
-   * Creates a socket that is not open yet.
+   * Creates a socket without opening it.
    *
-   * @param own where to listen; other nodes listen at the same port
+   * @param own where to listen; other nodes listen on the same port
    */
-  ReportSocket(PeerAddress own, Receiver receiver, MeshEvents events) {
-    this.own = own;
+  ReportSocket(PeerAddress listenAddress, Receiver receiver, MeshEvents events) {
+    this.listenAddress = listenAddress;
     this.receiver = receiver;
     this.events = events;
   }
 
   /**
-   * Listens.
+   * Starts listening.
    *
    * @throws IOException if the address cannot be bound
    */
   void open() throws IOException {
-    socket = new DatagramSocket(new InetSocketAddress(own.host(), own.port()));
+    socket = new DatagramSocket(new InetSocketAddress(listenAddress.host(), listenAddress.port()));
     thread.setDaemon(true);
     thread.start();
   }
 
-  /** Sends reports to nodes. */
+  /** Sends reports to each host. */
   void send(PeerMessage.Kind kind, List<PeerMessage.Entry> entries, Collection<String> hosts) {
     if (!hosts.isEmpty()) {
       send(PeerMessage.encode(kind, entries), hosts);
     }
   }
 
-  /** Sends each datagram to each node. */
+  /** Sends each datagram to each host. */
   void send(List<byte[]> datagrams, Collection<String> hosts) {
     for (byte[] bytes : datagrams) {
       send(bytes, hosts);
@@ -73,17 +73,18 @@
       try {
         socket.send(new DatagramPacket(bytes, bytes.length, addressOf(host)));
       } catch (IOException unreachable) {
-        // The next report makes it good; who hears none for long treats this node as out of reach.
+        // The next report makes up for it; a node that receives none treats this one as silent.
         events.reportUnsent(host, unreachable);
       }
     }
   }
 
   private InetSocketAddress addressOf(String host) {
-    InetSocketAddress known = addresses.get(host);
-    return known != null
-        ? known
-        : addresses.computeIfAbsent(host, each -> new InetSocketAddress(each, own.port()));
+    InetSocketAddress cached = addresses.get(host);
+    return cached != null
+        ? cached
+        : addresses.computeIfAbsent(
+            host, absent -> new InetSocketAddress(absent, listenAddress.port()));
   }
 
   private void receive() {
@@ -93,7 +94,7 @@
       try {
         packet.setLength(size);
         socket.receive(packet);
-        take(packet);
+        handle(packet);
       } catch (IOException ended) {
         if (socket.isClosed()) {
           return;
@@ -105,9 +106,9 @@
     }
   }
 
-  private void take(DatagramPacket packet) {
+  private void handle(DatagramPacket packet) {
     try {
-      receiver.take(PeerDatagram.decode(packet.getData(), packet.getLength()));
+      receiver.handle(PeerDatagram.decode(packet.getData(), packet.getLength()));
     } catch (IOException malformed) {
       events.reportRefused(packet.getAddress().getHostAddress(), malformed);
     }
@@ -115,9 +116,9 @@
 
   @Override
   public void close() {
-    DatagramSocket open = socket;
-    if (open != null) {
-      open.close();
+    DatagramSocket openSocket = socket;
+    if (openSocket != null) {
+      openSocket.close();
     }
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/ReportedContact.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/ReportedContact.java
@@ -1,36 +1,36 @@
 package io.umberpath.node.mesh;
 
 /**
- * What a node says of its own calls to the store.
+ * The contact with the store that a node reports.
  *
- * @param state how they go
- * @param forMillis for how long, milliseconds
+ * @param state outcome of its calls
+ * @param durationMillis how long the state has lasted, milliseconds
  */
-record ReportedContact(State state, long forMillis) {
-  /** How the calls of a node go. */
+record ReportedContact(State state, long durationMillis) {
+  /** Outcome of a node's calls to the store. */
   enum State {
-    /** It makes none, and none failed lately. */
+    /** It makes no calls, and none failed recently. */
     NONE,
-    /** They are answered. */
+    /** Its calls are answered. */
     REACHABLE,
-    /** The last one failed. */
+    /** The last call failed. */
     LOST
   }
 
   static final ReportedContact NO_CALLS = new ReportedContact(State.NONE, 0);
 
-  /** Longest time that is stated, milliseconds. */
-  private static final long MAX_MILLIS = 1_000_000;
+  /** Upper limit of the reported duration, milliseconds. */
+  private static final long MAX_DURATION_MILLIS = 1_000_000;
 
-  /** States a contact that holds since a time. */
+  /** Creates the report of a contact. */
   static ReportedContact of(StoreContact contact, long nowMillis) {
-    long forMillis = Math.min(MAX_MILLIS, nowMillis - contact.sinceMillis());
+    long durationMillis = Math.min(MAX_DURATION_MILLIS, nowMillis - contact.sinceMillis());
     return new ReportedContact(
-        contact.reachable() ? State.REACHABLE : State.LOST, Math.max(0, forMillis));
+        contact.reachable() ? State.REACHABLE : State.LOST, Math.max(0, durationMillis));
   }
 
-  /** The contact on this node's clock. */
-  StoreContact asOf(long heardMillis) {
-    return new StoreContact(state == State.REACHABLE, heardMillis - forMillis);
+  /** Converts to a contact on this node's clock. */
+  StoreContact toStoreContact(long reportedAtMillis) {
+    return new StoreContact(state == State.REACHABLE, reportedAtMillis - durationMillis);
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/StateSources.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/StateSources.java
@@ -15,71 +15,72 @@
 import java.util.function.Supplier;
 
 /**
- * Nodes that stated something newer than this node holds, and which of them is to be asked next:
- * one after the other, so that one that does not answer costs its turn only. Owner synchronizes.
+ * The nodes that advertised a newer state than this node's, and the order in which they are asked:
+ * in turn, so that one that does not respond costs only its own turn. Not thread-safe; the owner
+ * synchronizes.
  */
 final class StateSources {
-  /** What a node stated last. */
-  private record Stated(String host, long version, StorePosition position) {
+  /** The state that a node advertised last. */
+  private record AdvertisedState(String host, long version, StorePosition position) {
     boolean isAheadOf(MeshView view) {
       return view.isBehind(version, position);
     }
   }
 
-  private final Map<String, Stated> statedByHost = new HashMap<>();
-  private final Set<String> tried = new HashSet<>();
+  private final Map<String, AdvertisedState> advertisedByHost = new HashMap<>();
+  private final Set<String> triedHosts = new HashSet<>();
   private final Supplier<Random> random;
 
   StateSources(Supplier<Random> random) {
     this.random = random;
   }
 
-  /** A node states what it holds. */
-  void state(String host, long version, StorePosition position) {
-    statedByHost.put(host, new Stated(host, version, position));
+  /** Records the state that a node advertises. */
+  void recordAdvertised(String host, long version, StorePosition position) {
+    advertisedByHost.put(host, new AdvertisedState(host, version, position));
   }
 
-  /** Whether a node holds something newer. */
-  boolean isAnyAhead(MeshView view) {
-    dropOvertaken(view);
-    return !statedByHost.isEmpty();
+  /** Whether any node has a newer state. */
+  boolean hasNewer(MeshView view) {
+    removeOutdated(view);
+    return !advertisedByHost.isEmpty();
   }
 
-  private void dropOvertaken(MeshView view) {
-    statedByHost.values().removeIf(stated -> !stated.isAheadOf(view));
+  private void removeOutdated(MeshView view) {
+    advertisedByHost.values().removeIf(advertised -> !advertised.isAheadOf(view));
   }
 
   /**
-   * The node to ask next: first those that were not asked since {@link #beginAnew}, of these the
-   * one that is furthest, of equals the last source, whose patches lead on from what it gave. Else
-   * one is drawn, so that not all nodes go to the same one.
+   * The node to ask next. Nodes that were not asked since {@link #resetTried} come first; of these
+   * the one with the newest state; of equals the last source, whose patches continue from the items
+   * that it sent. Remaining ties are broken at random, to spread the load over the sources.
    *
-   * @param isSilent whether a node is out of reach
+   * @param isSilent whether a node counts as unreachable
    */
-  Optional<String> next(MeshView view, String lastSource, Predicate<String> isSilent) {
-    dropOvertaken(view);
-    List<Stated> candidates = new ArrayList<>(statedByHost.values());
-    candidates.removeIf(stated -> isSilent.test(stated.host()));
-    if (candidates.stream().allMatch(stated -> tried.contains(stated.host()))) {
-      tried.clear();
+  Optional<String> nextHost(MeshView view, String lastSource, Predicate<String> isSilent) {
+    removeOutdated(view);
+    List<AdvertisedState> candidates = new ArrayList<>(advertisedByHost.values());
+    candidates.removeIf(advertised -> isSilent.test(advertised.host()));
+    if (candidates.stream().allMatch(advertised -> triedHosts.contains(advertised.host()))) {
+      triedHosts.clear();
     }
-    candidates.removeIf(stated -> tried.contains(stated.host()));
+    candidates.removeIf(advertised -> triedHosts.contains(advertised.host()));
     Collections.shuffle(candidates, random.get());
     return candidates.stream()
         .max(
-            Comparator.comparing(Stated::position)
-                .thenComparingLong(Stated::version)
-                .thenComparing(stated -> stated.host().equals(lastSource)))
-        .map(Stated::host);
+            Comparator.comparing(AdvertisedState::position)
+                .thenComparingLong(AdvertisedState::version)
+                .thenComparing(advertised -> advertised.host().equals(lastSource)))
+        .map(AdvertisedState::host);
   }
 
-  /** A node is being asked. */
-  void asked(String host) {
-    tried.add(host);
+  /** Marks a node as asked. */
+  void markTried(String host) {
+    triedHosts.add(host);
   }
 
-  /** All may be asked again: a transfer gave something, or this node is level with them. */
-  void beginAnew() {
-    tried.clear();
+  /** Lets all nodes be asked again, after a useful transfer or once this node is up to date. */
+  void resetTried() {
+    triedHosts.clear();
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/TransferSchedule.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/TransferSchedule.java
@@ -11,43 +11,48 @@
 import java.util.function.Supplier;
 
 /**
- * When this node takes changes from another one, and from which: as soon as one of the own zone is
- * ahead where this node does not read the store, a little later where it does, and from other zones
- * last, because their bytes cost. Time and chance are given; owner synchronizes.
+ * Decides when this node pulls changes from another node, and from which: as soon as a node of its
+ * zone is ahead if this node does not read the store, a little later if it does, and from other
+ * zones last, because traffic between zones is expensive. Time and randomness are passed in. Not
+ * thread-safe; the owner synchronizes.
  */
 final class TransferSchedule {
   /**
-   * How long a node that reads the store waits for it before it takes changes from another,
-   * milliseconds: the store answers its readers within some ten of each other, so that one that has
-   * not been told by then hears nothing, or pauses, and a patch is smaller than the store's item.
+   * How long a reader of the store waits for it before it pulls changes from another node,
+   * milliseconds: the store notifies its readers within some ten milliseconds of each other. A
+   * reader that has received nothing by then has a watch that hears nothing, or pauses between
+   * calls, and a patch is smaller than the store's item.
    */
   static final long READER_WAIT_MILLIS = 150;
 
   /**
-   * How long a node that does not read waits for its own zone before it goes to another one: a
-   * reader there would have had its own wait, a transfer and a round of reports.
+   * How long a node that does not read the store waits for its own zone before it asks another one,
+   * milliseconds: enough for the wait of the zone's reader, a transfer and a round of reports.
    */
   static final long OTHER_ZONE_WAIT_MILLIS = 800;
 
   /**
-   * Pause between two transfers, in which quick successions of changes gather, milliseconds. A
-   * configuration travels as a patch of some hundred bytes, so that the pause bounds connections
-   * between nodes, not bytes; that a back end leaves must be known within 2 s.
+   * Pause between two transfers, which batches changes in quick succession, milliseconds. A
+   * configuration is transferred as a patch of some hundred bytes, so that the pause limits the
+   * number of connections between nodes rather than bytes. The draining of a backend must be known
+   * within 2 s.
    */
-  static final long PAUSE_MILLIS = 100;
+  static final long TRANSFER_PAUSE_MILLIS = 100;
 
-  /** How long a transfer may take before another is begun beside it, milliseconds. */
-  static final long PATIENCE_MILLIS = 500;
+  /** How long a transfer may take before another one starts in parallel, milliseconds. */
+  static final long SLOW_TRANSFER_MILLIS = 500;
 
-  private static final int MAX_TRANSFERS = 3;
+  private static final int MAX_CONCURRENT_TRANSFERS = 3;
 
-  /** Nodes that one asks for facts alone: what it was given as seeds may be three that are down. */
-  private static final int MAX_FACT_TRANSFERS = 3;
+  /**
+   * Limit of the nodes asked for facts alone, since the given seeds, say three, may all be down.
+   */
+  private static final int MAX_FACT_REQUESTS = 3;
 
-  /** Pause between two transfers while this node holds no configuration yet, milliseconds. */
+  /** Pause between two transfers while this node has no configuration, milliseconds. */
   private static final long START_PAUSE_MILLIS = 200;
 
-  private static final long LEVEL = -1;
+  private static final long UP_TO_DATE = -1;
 
   private final List<PeerAddress> seeds;
   private final int exchangePort;
@@ -56,30 +61,30 @@
   private final StateSources near;
   private final StateSources far;
 
-  /** Since when this node is behind; {@link #LEVEL} while it is not. */
-  private long behindSinceMillis = LEVEL;
+  /** When this node fell behind; {@link #UP_TO_DATE} while it is not behind. */
+  private long behindSinceMillis = UP_TO_DATE;
 
   private long nextTransferMillis;
-  private int transfers;
+  private int activeTransfers;
 
-  /** The node that changes were last taken from; empty before the first. */
+  /** The host that changes were last pulled from; empty before the first. */
   private String lastSource = "";
 
-  /** The source of the last transfer since this node is behind; null before the first. */
+  /** The last source asked since this node fell behind; null before the first. */
   private PeerAddress lastTried;
 
-  /** Whether another node has told what an older copy of the store may not show. */
+  /** Whether another node has sent the facts that an older copy of the store may lack. */
   private boolean hasFacts;
 
-  /** Nodes asked for that alone, while this one held a state. */
-  private int factTransfers;
+  /** Number of nodes asked for facts alone while this one had a state. */
+  private int factRequests;
 
   /**
-   * Creates the schedule of a node that holds nothing.
+   * Creates the schedule of a node without a state.
    *
    * @param seeds nodes to ask while no other is known
-   * @param exchangePort port at which nodes give their state
-   * @param isFirstStart whether no other node holds anything yet
+   * @param exchangePort port on which nodes serve their state
+   * @param isFirstStart whether no other node has a state yet
    */
   TransferSchedule(
       List<PeerAddress> seeds, int exchangePort, boolean isFirstStart, Supplier<Random> random) {
@@ -91,22 +96,23 @@
     this.far = new StateSources(random);
   }
 
-  /** The node starts: it is behind. */
-  void begin(long nowMillis) {
+  /** Marks this node as behind when it starts. */
+  void start(long nowMillis) {
     behindSinceMillis = nowMillis;
   }
 
-  /** Another node holds something newer. */
-  void ahead(long nowMillis, String host, boolean isNear, long version, StorePosition position) {
+  /** Records a node with a newer state. */
+  void recordNewerState(
+      long nowMillis, String host, boolean isNear, long version, StorePosition position) {
     if (!isActive()) {
       behindSinceMillis = nowMillis;
     }
-    (isNear ? near : far).state(host, version, position);
+    (isNear ? near : far).recordAdvertised(host, version, position);
   }
 
-  /** Whether {@link #next} may have something to do. */
+  /** Whether {@link #nextSource} may return a source. */
   boolean isActive() {
-    return behindSinceMillis != LEVEL;
+    return behindSinceMillis != UP_TO_DATE;
   }
 
   /** For how long this node has been behind, milliseconds. */
@@ -114,70 +120,78 @@
     return isActive() ? nowMillis - behindSinceMillis : 0;
   }
 
-  /** Whether the next answer is to tell what an older copy of the store may not show. */
+  /** Whether the next request is to ask for facts that an older copy of the store may lack. */
   boolean wantsFacts() {
     return !hasFacts;
   }
 
-  /** The node to take changes from now, which counts as asked; empty if none is due. */
-  Optional<PeerAddress> next(
-      long nowMillis, MeshView view, boolean readsStore, Predicate<String> isSilent) {
-    boolean isBehind = near.isAnyAhead(view) | far.isAnyAhead(view);
+  /** The node to pull changes from now, which is marked as asked; empty if none is due. */
+  Optional<PeerAddress> nextSource(
+      long nowMillis, MeshView view, boolean isReadingStore, Predicate<String> isSilent) {
+    boolean isBehind = near.hasNewer(view) | far.hasNewer(view);
     if (view.isComplete() && !isBehind) {
-      return level(nowMillis);
+      return nextWhenUpToDate(nowMillis);
     }
-    List<PeerAddress> sources = sources(view, nowMillis - behindSinceMillis, readsStore, isSilent);
-    if (sources.isEmpty() || nowMillis < nextTransferMillis || transfers == MAX_TRANSFERS) {
+    List<PeerAddress> sources =
+        eligibleSources(view, nowMillis - behindSinceMillis, isReadingStore, isSilent);
+    if (sources.isEmpty()
+        || nowMillis < nextTransferMillis
+        || activeTransfers == MAX_CONCURRENT_TRANSFERS) {
       return Optional.empty();
     }
-    // One that does not answer must not take the turn of another that could.
+    // A source that does not respond must not delay another one that could.
     PeerAddress source =
-        sources.stream().filter(each -> !each.equals(lastTried)).findFirst().orElse(sources.get(0));
+        sources.stream()
+            .filter(candidate -> !candidate.equals(lastTried))
+            .findFirst()
+            .orElse(sources.get(0));
     lastTried = source;
-    near.asked(source.host());
-    far.asked(source.host());
-    return Optional.of(begun(nowMillis, source));
+    near.markTried(source.host());
+    far.markTried(source.host());
+    return Optional.of(recordStart(nowMillis, source));
   }
 
-  private Optional<PeerAddress> level(long nowMillis) {
-    if (asksForFacts(nowMillis)) {
-      factTransfers++;
-      return Optional.of(begun(nowMillis, shuffledSeeds().get(0)));
+  private Optional<PeerAddress> nextWhenUpToDate(long nowMillis) {
+    if (shouldRequestFacts(nowMillis)) {
+      factRequests++;
+      return Optional.of(recordStart(nowMillis, shuffledSeeds().get(0)));
     }
-    if (transfers == 0 || hasFacts) {
-      behindSinceMillis = LEVEL;
-      beginAnew();
+    if (activeTransfers == 0 || hasFacts) {
+      behindSinceMillis = UP_TO_DATE;
+      resetTried();
     }
     return Optional.empty();
   }
 
   /**
-   * Whether a node that read the store by itself is to be told what an older copy may not show: by
-   * one of the nodes that it was given, tried a few times.
+   * Whether a node that read the store by itself should ask a seed for the facts that an older copy
+   * of the store may lack; tried a few times.
    */
-  private boolean asksForFacts(long nowMillis) {
+  private boolean shouldRequestFacts(long nowMillis) {
     return !hasFacts
         && !isFirstStart
         && !seeds.isEmpty()
-        && factTransfers < MAX_FACT_TRANSFERS
-        && transfers == 0
+        && factRequests < MAX_FACT_REQUESTS
+        && activeTransfers == 0
         && nowMillis >= nextTransferMillis;
   }
 
-  private PeerAddress begun(long nowMillis, PeerAddress source) {
-    transfers++;
-    nextTransferMillis = nowMillis + PATIENCE_MILLIS;
+  private PeerAddress recordStart(long nowMillis, PeerAddress source) {
+    activeTransfers++;
+    nextTransferMillis = nowMillis + SLOW_TRANSFER_MILLIS;
     return source;
   }
 
-  private List<PeerAddress> sources(
-      MeshView view, long behindMillis, boolean readsStore, Predicate<String> isSilent) {
+  private List<PeerAddress> eligibleSources(
+      MeshView view, long behindMillis, boolean isReadingStore, Predicate<String> isSilent) {
     List<PeerAddress> sources = new ArrayList<>();
-    if (behindMillis >= (readsStore ? READER_WAIT_MILLIS : 0)) {
-      near.next(view, lastSource, isSilent).ifPresent(host -> sources.add(exchangeOf(host)));
+    if (behindMillis >= (isReadingStore ? READER_WAIT_MILLIS : 0)) {
+      near.nextHost(view, lastSource, isSilent)
+          .ifPresent(host -> sources.add(exchangeAddress(host)));
     }
-    if (behindMillis >= (readsStore ? READER_WAIT_MILLIS : OTHER_ZONE_WAIT_MILLIS)) {
-      far.next(view, lastSource, isSilent).ifPresent(host -> sources.add(exchangeOf(host)));
+    if (behindMillis >= (isReadingStore ? READER_WAIT_MILLIS : OTHER_ZONE_WAIT_MILLIS)) {
+      far.nextHost(view, lastSource, isSilent)
+          .ifPresent(host -> sources.add(exchangeAddress(host)));
     }
     if (!view.isComplete()) {
       sources.addAll(shuffledSeeds());
@@ -191,38 +205,38 @@
     return shuffled;
   }
 
-  private PeerAddress exchangeOf(String host) {
+  private PeerAddress exchangeAddress(String host) {
     return new PeerAddress(host, exchangePort);
   }
 
-  /** Another node has given what it holds. */
-  void answered(StorePosition itsPosition) {
-    hasFacts |= itsPosition.isKnown();
+  /** Records a response; the source may itself be without a state. */
+  void recordResponse(StorePosition sourcePosition) {
+    hasFacts |= sourcePosition.isKnown();
   }
 
   /**
-   * A transfer has ended.
+   * Records the end of a transfer.
    *
-   * @param view what this node holds now
+   * @param view the current view of this node
    * @param taken whether it brought something newer
    */
-  void ended(long nowMillis, MeshView view, PeerAddress source, boolean taken) {
-    transfers--;
-    // Other nodes that start too hold nothing yet, and are asked again a little later.
+  void recordEnd(long nowMillis, MeshView view, PeerAddress source, boolean isAdopted) {
+    activeTransfers--;
+    // Other starting nodes have no state yet and are asked again a little later.
     nextTransferMillis = view.isComplete() ? nowMillis : nowMillis + START_PAUSE_MILLIS;
-    if (taken) {
+    if (isAdopted) {
       lastSource = source.host();
-      // The own zone delivers: what is newer still gets the whole time to come from there.
-      nextTransferMillis = nowMillis + PAUSE_MILLIS;
+      // The wait for the own zone restarts, since it delivers.
+      nextTransferMillis = nowMillis + TRANSFER_PAUSE_MILLIS;
       behindSinceMillis = nowMillis;
-      beginAnew();
+      resetTried();
     }
   }
 
-  /** All sources may be asked again. */
-  private void beginAnew() {
+  /** Lets all sources be asked again. */
+  private void resetTried() {
     lastTried = null;
-    near.beginAnew();
-    far.beginAnew();
+    near.resetTried();
+    far.resetTried();
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/TransferTimes.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/TransferTimes.java
@@ -3,51 +3,51 @@
 import java.util.function.LongSupplier;
 
 /**
- * Where the time of one transfer of state went, milliseconds.
+ * Durations of the phases of a state transfer, milliseconds.
  *
- * @param behind from when this node heard that it is behind until the transfer began
+ * @param behind from when this node learned that it is behind until the transfer started
  * @param connect until the connection was open
- * @param answer until the first byte of the answer
- * @param read until the answer was read whole
+ * @param answer until the first byte of the response
+ * @param read until the response was read completely
  * @param take until it was in force
  */
 record TransferTimes(long behind, long connect, long answer, long read, long take) {
 
-  /** Measures the steps of one transfer as they end. */
-  static final class Clock {
+  /** Measures the phases of a transfer. */
+  static final class Stopwatch {
     private final LongSupplier clockMillis;
-    private final long behind;
+    private final long behindMillis;
     private long lastMillis;
-    private long connect;
-    private long answer;
-    private long read;
+    private long connectMillis;
+    private long responseMillis;
+    private long readMillis;
 
-    Clock(LongSupplier clockMillis, long behindMillis) {
+    Stopwatch(LongSupplier clockMillis, long behindMillis) {
       this.clockMillis = clockMillis;
-      this.behind = behindMillis;
+      this.behindMillis = behindMillis;
       this.lastMillis = clockMillis.getAsLong();
     }
 
-    private long step() {
-      long before = lastMillis;
+    private long lap() {
+      long previousMillis = lastMillis;
       lastMillis = clockMillis.getAsLong();
-      return lastMillis - before;
+      return lastMillis - previousMillis;
     }
 
     void connected() {
-      connect = step();
+      connectMillis = lap();
     }
 
-    void answerBegins() {
-      answer = step();
+    void responseStarted() {
+      responseMillis = lap();
     }
 
-    void answerRead() {
-      read = step();
+    void responseRead() {
+      readMillis = lap();
     }
 
-    TransferTimes taken() {
-      return new TransferTimes(behind, connect, answer, read, step());
+    TransferTimes adopted() {
+      return new TransferTimes(behindMillis, connectMillis, responseMillis, readMillis, lap());
     }
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/ZoneReaders.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/ZoneReaders.java
@@ -10,11 +10,12 @@
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
 
-/** Which nodes of the own zone call the store, as their reports tell. Thread-safe. */
+/** Elects the nodes of this zone that read the store, based on their reports. Thread-safe. */
 final class ZoneReaders {
   /**
-   * Nodes of all zones that call the store promptly: the loss of one is not felt, and until that of
-   * both is noticed, within 3.7 s, the standing watches of the others still hear changes at once.
+   * Nodes of all zones that call the store promptly: the loss of one has no effect. Until the loss
+   * of both is detected, within 3.7 s, the pending watches of the others still receive changes at
+   * once.
    */
   private static final int PROMPT_READERS = 2;
 
@@ -23,111 +24,119 @@
   private final LongSupplier silenceMillis;
   private final PeerReports reports;
 
-  /** Nodes that take no new work; shared with who hears of it. */
-  private final Set<String> leaving;
+  /** Nodes that take no new requests; shared with {@link PeerExchange}, which updates it. */
+  private final Set<String> drainingHosts;
 
   private final long roundMillis;
   private final ReaderElection election;
 
   /** The last decision; guarded by this object's lock. */
-  private LastElection last;
+  private LastElection lastElection;
 
   /**
-   * The last decision about reading the store, and from what it was made.
+   * The last election and its inputs.
    *
-   * @param peers the other nodes as they were seen
-   * @param refused whether the store did not answer this node lately
-   * @param atMillis when it was made
+   * @param peers the other nodes at that time
+   * @param isRefused whether the store recently failed to answer this node
+   * @param atMillis time of the election
    */
   private record LastElection(
-      PeerView peers, boolean refused, long atMillis, ReaderElection.Decision decision) {
-    boolean holds(PeerView current, boolean nowRefused, long nowMillis, long roundMillis) {
-      return peers == current && refused == nowRefused && nowMillis < atMillis + roundMillis;
+      PeerView peers, boolean isRefused, long atMillis, ReaderElection.Decision decision) {
+    boolean isValid(PeerView current, boolean isRefusedNow, long nowMillis, long roundMillis) {
+      return peers == current && isRefused == isRefusedNow && nowMillis < atMillis + roundMillis;
     }
   }
 
   /**
-   * Creates one that has not decided.
+   * Creates the election of a node.
    *
-   * @param silenceMillis after how much silence a node of the own zone is out of reach
-   * @param roundMillis time between two rounds of reports: nothing is decided twice in it
+   * @param silenceMillis silence after which a node of this zone counts as unreachable,
+   *     milliseconds
+   * @param roundMillis time between two rounds of reports, in which a decision is reused,
+   *     milliseconds
    */
   ZoneReaders(
       String self,
       Supplier<PeerView> peers,
       LongSupplier silenceMillis,
       PeerReports reports,
-      Set<String> leaving,
+      Set<String> drainingHosts,
       long roundMillis) {
     this.self = self;
     this.peers = peers;
     this.silenceMillis = silenceMillis;
     this.reports = reports;
-    this.leaving = leaving;
+    this.drainingHosts = drainingHosts;
     this.roundMillis = roundMillis;
     this.election = new ReaderElection(self, roundMillis);
   }
 
   /**
-   * Whether this node is one of those of its zone that call the store; decided once a round of
-   * reports at most, since nothing else changes it.
+   * Decides whether this node reads the store for its zone; at most once a round of reports unless
+   * the inputs change.
    *
-   * @param refused whether the store did not answer this node lately
+   * @param isRefused whether the store recently failed to answer this node
    */
-  synchronized ReaderElection.Decision decide(long nowMillis, boolean refused) {
+  synchronized ReaderElection.Decision decide(long nowMillis, boolean isRefused) {
     PeerView current = peers.get();
-    if (last == null || !last.holds(current, refused, nowMillis, roundMillis)) {
-      last = new LastElection(current, refused, nowMillis, elect(nowMillis, current, refused));
+    if (lastElection == null || !lastElection.isValid(current, isRefused, nowMillis, roundMillis)) {
+      lastElection =
+          new LastElection(current, isRefused, nowMillis, elect(nowMillis, current, isRefused));
     }
-    return last.decision();
+    return lastElection.decision();
   }
 
-  private ReaderElection.Decision elect(long nowMillis, PeerView current, boolean refused) {
+  private ReaderElection.Decision elect(long nowMillis, PeerView current, boolean isRefused) {
     Set<String> reachable = current.reachableInZone();
-    reachable.removeAll(leaving);
-    Set<String> calling = new HashSet<>();
-    Set<String> refusedNodes = new HashSet<>();
+    reachable.removeAll(drainingHosts);
+    Set<String> callingHosts = new HashSet<>();
+    Set<String> refusedHosts = new HashSet<>();
     reports
-        .of(reachable)
+        .ofHosts(reachable)
         .forEach(
-            (host, heard) -> {
-              ReportedContact.State state = heard.report().contact().state();
+            (host, received) -> {
+              ReportedContact.State state = received.report().storeContact().state();
               if (state != ReportedContact.State.NONE) {
-                calling.add(host);
+                callingHosts.add(host);
               }
               if (state == ReportedContact.State.LOST) {
-                refusedNodes.add(host);
+                refusedHosts.add(host);
               }
             });
-    if (refused) {
-      refusedNodes.add(self);
+    if (isRefused) {
+      refusedHosts.add(self);
     }
     return election.decide(
-        nowMillis, reachable, calling, refusedNodes, current.zones(), silenceMillis.getAsLong());
+        nowMillis,
+        reachable,
+        callingHosts,
+        refusedHosts,
+        current.zones(),
+        silenceMillis.getAsLong());
   }
 
   /**
-   * Whether enough nodes that rank before this one, of any zone, say that the store answers them:
-   * what changes, this node hears from them within some hundred milliseconds.
+   * Whether enough higher-ranked nodes, of any zone, report that the store answers them: this node
+   * learns of changes from them within some hundred milliseconds.
    */
   boolean isStandby() {
     PeerView current = peers.get();
     Comparator<String> rank = StoreReaders.rank();
-    long prompt =
-        reports.of(current.others()).entrySet().stream()
+    long promptReaders =
+        reports.ofHosts(current.others()).entrySet().stream()
             .filter(entry -> isCalling(entry.getValue()))
             .map(Map.Entry::getKey)
             .filter(host -> !current.silent().contains(host) && rank.compare(host, self) < 0)
             .count();
-    return prompt >= PROMPT_READERS;
+    return promptReaders >= PROMPT_READERS;
   }
 
-  private static boolean isCalling(PeerReports.Heard heard) {
-    return heard.report().contact().state() == ReportedContact.State.REACHABLE;
+  private static boolean isCalling(PeerReports.ReceivedReport received) {
+    return received.report().storeContact().state() == ReportedContact.State.REACHABLE;
   }
 
-  /** The contact with the store that nodes of the own zone state; empty if none calls it. */
-  Optional<StoreContact> contact() {
-    return reports.contact(peers.get().reachableInZone()::contains);
+  /** The contact with the store reported by nodes of this zone; empty if none calls the store. */
+  Optional<StoreContact> storeContact() {
+    return reports.storeContact(peers.get().reachableInZone()::contains);
   }
 }
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/FleetModel.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/FleetModel.java
@@ -17,59 +17,64 @@
 import java.util.TreeSet;
 
 /**
- * Nodes with the decisions that run in the process, a store that comes back from older copies, and
- * messages that are late, lost or reordered. What must never happen is checked after each step, and
- * that all nodes hold what the store holds after {@link #settle}.
+ * A model of nodes with the production state logic, a store that is restored from older copies, and
+ * messages that are late, lost or reordered. Invariants are checked after each step, and {@link
+ * #assertConverged} checks that all nodes hold the content of the store.
  */
 final class FleetModel {
-  private static final StoreWatcherSettings TIMES = new StoreWatcherSettings(500, 0, 1, 1);
+  private static final StoreWatcherSettings TIMINGS = new StoreWatcherSettings(500, 0, 1, 1);
   private static final String CONFIGURATION = "configuration";
-  private static final String LEAVING = "a";
-  private static final String ENDING = "b";
-  private static final String NEXT = "c";
-  private static final int SETTLING_ROUNDS = 12;
+  private static final String DRAINING = "a";
+  private static final String REPLACED = "b";
+  private static final String REPLACEMENT = "c";
+  private static final int READ_ROUNDS = 12;
 
-  /** Of all models, on a clock that stands, so that the bounds of its lines hold over all. */
+  /** Shared by all models, with a stopped clock, so that its log line budget covers all of them. */
   private static final MeshEvents EVENTS = new MeshEvents(() -> 0);
 
-  /** What is on its way to a node. */
+  /** A message in flight to a node. */
   private sealed interface Message {
     record FromStore(StoreAnswer answer) implements Message {}
 
     record FromPeer(StateTransfer transfer) implements Message {}
   }
 
-  /** One life of a node. */
+  /** One process of a node, from its start to its restart. */
   private final class Node {
     private final MeshState state =
         new MeshState(
-            new PortDocuments(), new StoreWatcher("", TIMES, () -> 1), EVENTS, () -> nowMillis);
+            new FakeStoreDocuments(),
+            new StoreWatcher("", TIMINGS, () -> 1),
+            EVENTS,
+            () -> nowMillis);
 
     private final List<Message> inFlight = new ArrayList<>();
-    private long version = -1;
-    private final Set<String> departedSeen = new HashSet<>();
+    private long highestVersion = -1;
+    private final Set<String> seenDeparted = new HashSet<>();
 
     Set<String> ready() {
       Set<String> ids = new TreeSet<>();
-      state.view().backends().ready("booking").forEach(entry -> ids.add(entry.id()));
+      state.view().backends().readyBackends("booking").forEach(entry -> ids.add(entry.id()));
       return ids;
     }
 
-    void check() {
+    void checkInvariants() {
       MeshView view = state.view();
-      assertThat(view.version()).as("version in a life").isGreaterThanOrEqualTo(version);
-      version = view.version();
-      for (String id : List.of(LEAVING, ENDING)) {
+      assertThat(view.version())
+          .as("version within one process")
+          .isGreaterThanOrEqualTo(highestVersion);
+      highestVersion = view.version();
+      for (String id : List.of(DRAINING, REPLACED)) {
         Optional<BackendEntry> entry = view.backends().byId(id);
         boolean isReady = ready().contains(id);
-        if (departedSeen.contains(id)) {
-          assertThat(isReady).as("%s takes work again", id).isFalse();
+        if (seenDeparted.contains(id)) {
+          assertThat(isReady).as("departed backend %s gets requests again", id).isFalse();
         }
         if (entry.filter(each -> each.state() == BackendEntry.State.DRAINING).isPresent()) {
-          departedSeen.add(id);
+          seenDeparted.add(id);
         }
-        if (id.equals(ENDING) && view.backends().byId(NEXT).isPresent()) {
-          departedSeen.add(id);
+        if (id.equals(REPLACED) && view.backends().byId(REPLACEMENT).isPresent()) {
+          seenDeparted.add(id);
         }
       }
     }
@@ -79,51 +84,51 @@
   private final List<Node> nodes = new ArrayList<>();
   private long nowMillis;
   private long acceptedVersion = 1;
-  private boolean hasLeft;
-  private boolean hasNext;
-  private boolean hasNextEnded;
+  private boolean isDraining;
+  private boolean isReplaced;
+  private boolean hasReplacementEnded;
 
   FleetModel(int count) {
     store.put(CONFIGURATION, "booking@1");
-    store.put(LEAVING, "80");
-    store.put(ENDING, "81");
+    store.put(DRAINING, "80");
+    store.put(REPLACED, "81");
     for (int index = 0; index < count; index++) {
       nodes.add(new Node());
     }
-    catchUp();
+    readStoreFullyOnAll();
   }
 
-  int nodes() {
+  int nodeCount() {
     return nodes.size();
   }
 
   /** The operator writes a newer configuration. */
-  void configure() {
+  void writeConfiguration() {
     acceptedVersion++;
     store.put(CONFIGURATION, "booking@" + acceptedVersion);
   }
 
-  /** One back end says that it leaves. */
-  void leave() {
-    hasLeft = true;
-    writeIfOther(LEAVING, "80@0@booking@DRAINING");
+  /** One backend starts draining. */
+  void drain() {
+    isDraining = true;
+    putIfDifferent(DRAINING, "80@0@booking@DRAINING");
   }
 
-  /** Another one ends, and its address goes to a back end that starts. */
+  /** Another backend ends, and a new one starts at its address. */
   void replace() {
-    if (hasNext) {
+    if (isReplaced) {
       return;
     }
-    hasNext = true;
-    store.remove(ENDING);
-    store.put(NEXT, "81");
+    isReplaced = true;
+    store.remove(REPLACED);
+    store.put(REPLACEMENT, "81");
   }
 
-  /** The back end at the address used again ends too, perhaps before it is written again. */
-  void endNext() {
-    hasNextEnded = hasNext;
-    if (hasNextEnded && store.items().containsKey(NEXT)) {
-      store.remove(NEXT);
+  /** The replacement ends too, possibly before its lost entry is rewritten. */
+  void endReplacement() {
+    hasReplacementEnded = isReplaced;
+    if (hasReplacementEnded && store.items().containsKey(REPLACEMENT)) {
+      store.remove(REPLACEMENT);
     }
   }
 
@@ -135,33 +140,33 @@
     store.forgetHistory();
   }
 
-  /** The operator and the back ends write what the store has lost. */
-  void writeAgain() {
-    writeIfOther(CONFIGURATION, "booking@" + acceptedVersion);
-    writeIfOther(LEAVING, hasLeft ? "80@0@booking@DRAINING" : "80");
-    if (!hasNext) {
-      writeIfOther(ENDING, "81");
+  /** The operator and the backends rewrite what the store has lost. */
+  void rewriteLost() {
+    putIfDifferent(CONFIGURATION, "booking@" + acceptedVersion);
+    putIfDifferent(DRAINING, isDraining ? "80@0@booking@DRAINING" : "80");
+    if (!isReplaced) {
+      putIfDifferent(REPLACED, "81");
       return;
     }
-    if (store.items().containsKey(ENDING)) {
-      store.remove(ENDING);
+    if (store.items().containsKey(REPLACED)) {
+      store.remove(REPLACED);
     }
-    if (!hasNextEnded) {
-      writeIfOther(NEXT, "81");
-    } else if (store.items().containsKey(NEXT)) {
-      store.remove(NEXT);
+    if (!hasReplacementEnded) {
+      putIfDifferent(REPLACEMENT, "81");
+    } else if (store.items().containsKey(REPLACEMENT)) {
+      store.remove(REPLACEMENT);
     }
   }
 
-  private void writeIfOther(String key, String value) {
-    StoreItem held = store.items().get(key);
-    if (held == null || !held.value().equals(value)) {
+  private void putIfDifferent(String key, String value) {
+    StoreItem stored = store.items().get(key);
+    if (stored == null || !stored.value().equals(value)) {
       store.put(key, value);
     }
   }
 
-  /** A node calls the store, whose answer is on its way from now on. */
-  void call(int index) {
+  /** A node calls the store; the response is in flight from now on. */
+  void callStore(int index) {
     Node node = nodes.get(index);
     synchronized (node.state) {
       Step step = node.state.watcher().next(nowMillis);
@@ -174,78 +179,78 @@
     }
   }
 
-  /** A node asks another one, whose answer is on its way from now on. */
-  void ask(int index, int other) {
+  /** A node requests the state of another one; the response is in flight from now on. */
+  void requestTransfer(int index, int other) {
     Node node = nodes.get(index);
     TransferRequest request =
-        new TransferRequest(node.state.request(), node.state.view().version(), true);
+        new TransferRequest(node.state.stateRequest(), node.state.view().version(), true);
     node.inFlight.add(new Message.FromPeer(nodes.get(other).state.transferFor(request)));
   }
 
-  /** The first or the last message on its way to a node arrives. */
-  void deliver(int index, boolean first) {
+  /** Delivers the first or the last message in flight to a node. */
+  void deliver(int index, boolean isFirst) {
     Node node = nodes.get(index);
     if (node.inFlight.isEmpty()) {
       return;
     }
-    Message message = node.inFlight.remove(first ? 0 : node.inFlight.size() - 1);
-    if (message instanceof Message.FromPeer peer) {
-      if (node.state.adopt(peer.transfer(), "peer") == MeshState.Adoption.UNFIT) {
-        throw new AssertionError("a patch was made from other content");
+    Message message = node.inFlight.remove(isFirst ? 0 : node.inFlight.size() - 1);
+    if (message instanceof Message.FromPeer fromPeer) {
+      if (node.state.adopt(fromPeer.transfer(), "peer") == MeshState.Adoption.PATCH_MISMATCH) {
+        throw new AssertionError("a patch did not apply to the held item");
       }
-    } else if (message instanceof Message.FromStore answered) {
+    } else if (message instanceof Message.FromStore fromStore) {
       synchronized (node.state) {
-        node.state.watcher().answered(nowMillis, answered.answer());
+        node.state.watcher().answered(nowMillis, fromStore.answer());
         if (node.state.watcher().at().isKnown()) {
           node.state.refresh("store");
         }
       }
     }
-    node.check();
+    node.checkInvariants();
   }
 
-  /** A node's process ends and another one begins, which asks the others before it reads. */
+  /** Restarts a node, which then pulls the state of all others before it reads the store. */
   void restart(int index) {
     nodes.set(index, new Node());
     for (int other = 0; other < nodes.size(); other++) {
       if (other != index) {
-        ask(index, other);
+        requestTransfer(index, other);
         deliver(index, false);
       }
     }
   }
 
-  /** A node calls the store until it has read all that there is. */
-  void follow(int index) {
-    for (int round = 0; round < SETTLING_ROUNDS; round++) {
-      call(index);
+  /** A node calls the store until it has read everything. */
+  void readStoreFully(int index) {
+    for (int round = 0; round < READ_ROUNDS; round++) {
+      callStore(index);
       while (!nodes.get(index).inFlight.isEmpty()) {
         deliver(index, true);
       }
     }
   }
 
-  private void catchUp() {
+  private void readStoreFullyOnAll() {
     for (int index = 0; index < nodes.size(); index++) {
-      follow(index);
+      readStoreFully(index);
     }
   }
 
-  /** All is written again and every node reaches the store: all hold the same, and what is true. */
-  void settle() {
-    writeAgain();
-    catchUp();
+  /** Rewrites what was lost, lets every node read the store, and checks that all have its state. */
+  void assertConverged() {
+    rewriteLost();
+    readStoreFullyOnAll();
     nowMillis += BackendListing.UNRENEWED_MILLIS;
     Set<String> ready = new TreeSet<>();
-    if (!hasNextEnded) {
-      ready.add(hasNext ? NEXT : ENDING);
+    if (!hasReplacementEnded) {
+      ready.add(isReplaced ? REPLACEMENT : REPLACED);
     }
-    if (!hasLeft) {
-      ready.add(LEAVING);
+    if (!isDraining) {
+      ready.add(DRAINING);
     }
     for (Node node : nodes) {
-      node.state.settle();
-      node.check();
+      node.state.applyIfDue();
+      node.checkInvariants();
       assertThat(node.state.view().position()).isEqualTo(store.position());
       assertThat(node.state.view().version()).isEqualTo(acceptedVersion);
       assertThat(node.ready()).isEqualTo(ready);
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/MeshStateTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/MeshStateTest.java
@@ -16,8 +16,8 @@
   private final AtomicLong now = new AtomicLong();
   private final MeshState state =
       new MeshState(
-          new PortDocuments(),
-          new StoreWatcher("", WatchTimes.PROMPT, () -> 0.5),
+          new FakeStoreDocuments(),
+          new StoreWatcher("", StoreWatchTimings.PROMPT, () -> 0.5),
           new MeshEvents(() -> 0),
           now::get);
 
@@ -31,12 +31,12 @@
   }
 
   private List<String> ready() {
-    return state.view().backends().ready("booking").stream().map(BackendEntry::id).toList();
+    return state.view().backends().readyBackends("booking").stream().map(BackendEntry::id).toList();
   }
 
-  /** The store lists a start that has ended until its lease runs out. */
+  /** The store lists a terminated backend until its lease expires. */
   @Test
-  void ofTwoStartsAtOneAddressOnlyTheLaterIsListed() {
+  void onlyTheLaterOfTwoStartsAtOneAddressIsListed() {
     state.adopt(
         whole(4, List.of(new StoreItem("a", "80", 3), new StoreItem("b", "81", 4))), "peer");
     assertThat(ready()).containsExactly("a", "b");
@@ -51,16 +51,16 @@
   }
 
   @Test
-  void theOrderInWhichTheyAreReadDoesNotMatter() {
+  void orderOfItemsDoesNotMatter() {
     state.adopt(
         whole(7, List.of(new StoreItem("c", "80", 7), new StoreItem("a", "80", 3))), "peer");
 
     assertThat(ready()).containsExactly("c");
   }
 
-  /** The clock of a back end's machine may have been set back: the store's order holds. */
+  /** The clock of a backend's machine may have been set back: the store's order decides. */
   @Test
-  void ofTwoStartsUnderOneIdTheOneThatWasWrittenLastIsListedWhateverItsTimeIs() {
+  void lastWrittenOfTwoStartsUnderOneIdIsListedWhateverItsStartTime() {
     state.adopt(whole(3, List.of(new StoreItem("a", "80@9000", 3))), "peer");
     assertThat(state.view().backends().byId("a").get().bornMillis()).isEqualTo(9_000);
 
@@ -70,15 +70,15 @@
   }
 
   @Test
-  void anEntryThatIsNoneNamesNoBackendAndTheOthersHold() {
+  void invalidEntryIsSkippedAndTheOthersAreUsed() {
     state.adopt(whole(5, List.of(new StoreItem("a", "", 5), new StoreItem("b", "81", 4))), "peer");
 
     assertThat(ready()).containsExactly("b");
   }
 
-  /** Another writer's entry may name the address of a back end that serves. */
+  /** An entry of another writer may name the address of a running backend. */
   @Test
-  void anEntryOfAnUnknownServiceTakesNobodysPlace() {
+  void entryOfAnUnknownServiceReplacesNoBackend() {
     List<StoreItem> items =
         List.of(
             new StoreItem("configuration", "booking", 2),
@@ -91,7 +91,7 @@
   }
 
   @Test
-  void theBackendsOfAnEvacuatedZoneAreNotReadyUntilTheEvacuationIsTakenBack() {
+  void backendsOfAnEvacuatedZoneAreNotReadyUntilTheEvacuationEnds() {
     StoreItem backend = new StoreItem("a", "80", 3);
     state.adopt(whole(4, List.of(backend, new StoreItem("evacuate/z", "{}", 4))), "peer");
     assertThat(ready()).isEmpty();
@@ -102,17 +102,17 @@
   }
 
   @Test
-  void theDirectoryStaysWhileNoBackendOrEvacuationChanges() {
+  void directoryIsKeptWhileNoBackendOrEvacuationChanges() {
     StoreItem backend = new StoreItem("a", "80", 3);
     state.adopt(whole(4, List.of(backend)), "peer");
     BackendDirectory before = state.view().backends();
 
-    // An earlier start at the same address, which is not listed.
+    // An earlier start at the same address, which the directory does not list.
     state.adopt(whole(5, List.of(backend, new StoreItem("old", "80", 2))), "peer");
     assertThat(state.view().position().revision()).isEqualTo(5);
     assertThat(state.view().backends()).isSameAs(before);
 
-    // Written anew, though with the same text.
+    // Rewritten with the same value.
     state.adopt(whole(6, List.of(new StoreItem("a", "80", 6))), "peer");
     assertThat(state.view().backends()).isNotSameAs(before);
   }
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/StatePullerTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/StatePullerTest.java
@@ -23,7 +23,7 @@
 
 final class StatePullerTest {
   private static final int SLOW_MILLIS = 800;
-  private static final long GIVE_UP_MILLIS = 20_000;
+  private static final long AWAIT_MILLIS = 20_000;
   private static final LongSupplier CLOCK = () -> System.nanoTime() / 1_000_000;
   private static final StateTransfer CHANGES = changesTo(4);
 
@@ -49,7 +49,7 @@
         null);
   }
 
-  /** Answers each transfer only after a while, as over a link that others keep full. */
+  /** Responds to each transfer with a delay, like a saturated link. */
   private static void serveSlowly(ServerSocket server) {
     while (!server.isClosed()) {
       try (Socket peer = server.accept()) {
@@ -57,7 +57,7 @@
         Thread.sleep(SLOW_MILLIS);
         peer.getOutputStream().write(StateChangesCodec.encode(CHANGES));
       } catch (IOException closedOrGone) {
-        // The puller gave the transfer up, or the test has ended.
+        // The puller aborted the transfer, or the test has ended.
         continue;
       } catch (InterruptedException ended) {
         return;
@@ -66,15 +66,18 @@
   }
 
   /**
-   * On a full link each step of a transfer took more than half a second; each transfer was given up
-   * then and begun anew, so that no change ever arrived.
+   * On a saturated link each step of a transfer took more than half a second. Transfers were
+   * aborted by then and restarted, so that no change ever arrived.
    */
   @Test
-  void aTransferOverAFullLinkIsNotGivenUp() throws Exception {
+  void transferOverASaturatedLinkCompletes() throws Exception {
     MeshEvents events = new MeshEvents(CLOCK);
     MeshState state =
         new MeshState(
-            new PortDocuments(), new StoreWatcher("", WatchTimes.PROMPT, () -> 0.5), events, CLOCK);
+            new FakeStoreDocuments(),
+            new StoreWatcher("", StoreWatchTimings.PROMPT, () -> 0.5),
+            events,
+            CLOCK);
     try (ServerSocket server = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"));
         StatePuller puller =
             new StatePuller(settings(server.getLocalPort()), state, () -> false, events, CLOCK)) {
@@ -82,9 +85,9 @@
       thread.setDaemon(true);
       thread.start();
       puller.start();
-      puller.ahead("127.0.0.1", true, -1, position(4));
+      puller.onNewerState("127.0.0.1", true, -1, position(4));
 
-      long end = CLOCK.getAsLong() + GIVE_UP_MILLIS;
+      long end = CLOCK.getAsLong() + AWAIT_MILLIS;
       while (state.view().position().revision() < 4 && CLOCK.getAsLong() < end) {
         Thread.sleep(10);
       }
@@ -105,7 +108,7 @@
   }
 
   private static void awaitRevision(MeshState state, long revision) throws InterruptedException {
-    long end = CLOCK.getAsLong() + GIVE_UP_MILLIS;
+    long end = CLOCK.getAsLong() + AWAIT_MILLIS;
     while (state.view().position().revision() < revision && CLOCK.getAsLong() < end) {
       Thread.sleep(10);
     }
@@ -113,16 +116,20 @@
   }
 
   /**
-   * In a quick succession of changes a node is never level with all others. It counted as behind
-   * since the first one, and took all of them from other zones although its own delivered.
+   * During changes in quick succession a node is never up to date with all others. It counted as
+   * behind since the first change, and pulled all of them from other zones although its own zone
+   * delivered them.
    */
   @Test
-  void otherZonesWaitAnewAfterEachTransferFromTheOwnZone() throws Exception {
+  void waitForOtherZonesRestartsAfterEachTransferFromTheOwnZone() throws Exception {
     AtomicLong now = new AtomicLong();
     MeshEvents events = new MeshEvents(CLOCK);
     MeshState state =
         new MeshState(
-            new PortDocuments(), new StoreWatcher("", WatchTimes.PROMPT, () -> 0.5), events, CLOCK);
+            new FakeStoreDocuments(),
+            new StoreWatcher("", StoreWatchTimings.PROMPT, () -> 0.5),
+            events,
+            CLOCK);
     StateServer near =
         StateServer.open(
             new PeerAddress("127.0.0.1", 0), request -> StateChangesCodec.encode(changesTo(4)));
@@ -135,9 +142,9 @@
         StatePuller puller =
             new StatePuller(settings(near.port()), state, () -> false, events, now::get)) {
       puller.start();
-      puller.ahead("127.0.0.2", false, -1, position(5));
+      puller.onNewerState("127.0.0.2", false, -1, position(5));
       now.set(900);
-      puller.ahead("127.0.0.1", true, -1, position(4));
+      puller.onNewerState("127.0.0.1", true, -1, position(4));
       awaitRevision(state, 4);
 
       now.set(1_500);
@@ -150,59 +157,62 @@
   }
 
   /**
-   * A reader announced a change and died. Its zone's nodes tried it a third time when the turn of
-   * another zone had come, and had no transfer left to begin until the first one timed out: a
-   * change took 2.2 s in place of one.
+   * A reader announced a change and died. The nodes of its zone asked it a third time when they
+   * should have asked another zone, and could start no further transfer until the first one timed
+   * out: a change took 2.2 s instead of one.
    */
   @Test
-  void aSourceThatDoesNotAnswerDoesNotTakeTheTurnOfAnotherZone() throws Exception {
-    takesTheStateAfterADeadSource(false, 2);
+  void unresponsiveSourceDoesNotDelayASourceOfAnotherZone() throws Exception {
+    assertPullsAfterAnUnresponsiveSource(false, 2);
   }
 
-  /** The node that stated the newest version was killed; it alone was asked, though others live. */
+  /** Only the node that advertised the newest version was asked, though it had been killed. */
   @Test
-  void anotherSourceOfTheSameZoneIsAskedAfterOneThatDoesNotAnswer() throws Exception {
-    takesTheStateAfterADeadSource(true, 1);
+  void anotherSourceOfTheSameZoneIsAskedAfterAnUnresponsiveOne() throws Exception {
+    assertPullsAfterAnUnresponsiveSource(true, 1);
   }
 
   /**
-   * A node of the own zone states the newest version and does not answer; another one does.
+   * A node of the own zone advertises the newest version but does not respond; another node does.
    *
    * @param otherIsNear whether the other one is of the own zone too
    * @param deadTurns how often the dead one is asked before it, each half a second
    */
-  private static void takesTheStateAfterADeadSource(boolean otherIsNear, int deadTurns)
-      throws Exception {
+  private static void assertPullsAfterAnUnresponsiveSource(
+      boolean isOtherNear, int unresponsiveTurns) throws Exception {
     AtomicLong now = new AtomicLong();
     MeshEvents events = new MeshEvents(CLOCK);
     MeshState state =
         new MeshState(
-            new PortDocuments(), new StoreWatcher("", WatchTimes.PROMPT, () -> 0.5), events, CLOCK);
+            new FakeStoreDocuments(),
+            new StoreWatcher("", StoreWatchTimings.PROMPT, () -> 0.5),
+            events,
+            CLOCK);
     AtomicInteger asked = new AtomicInteger();
-    try (ServerSocket dead = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"));
+    try (ServerSocket unresponsive = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"));
         StateServer other =
             StateServer.open(
-                new PeerAddress("127.0.0.2", dead.getLocalPort()),
+                new PeerAddress("127.0.0.2", unresponsive.getLocalPort()),
                 request -> StateChangesCodec.encode(changesTo(5)));
         StatePuller puller =
             new StatePuller(settings(other.port()), state, () -> false, events, now::get)) {
-      Thread thread = new Thread(() -> acceptAndSayNothing(dead, asked));
+      Thread thread = new Thread(() -> acceptWithoutResponse(unresponsive, asked));
       thread.setDaemon(true);
       thread.start();
       puller.start();
-      puller.ahead("127.0.0.2", otherIsNear, -1, position(5));
-      puller.ahead("127.0.0.1", true, -1, position(6));
-      for (int turn = 1; turn <= deadTurns; turn++) {
+      puller.onNewerState("127.0.0.2", isOtherNear, -1, position(5));
+      puller.onNewerState("127.0.0.1", true, -1, position(6));
+      for (int turn = 1; turn <= unresponsiveTurns; turn++) {
         awaitCount(asked, turn);
         now.addAndGet(500);
       }
       awaitRevision(state, 5);
 
-      assertThat(asked).hasValue(deadTurns);
+      assertThat(asked).hasValue(unresponsiveTurns);
     }
   }
 
-  private static void acceptAndSayNothing(ServerSocket server, AtomicInteger accepted) {
+  private static void acceptWithoutResponse(ServerSocket server, AtomicInteger accepted) {
     List<Socket> peers = new ArrayList<>();
     while (!server.isClosed()) {
       try {
@@ -216,7 +226,7 @@
   }
 
   private static void awaitCount(AtomicInteger counter, int count) throws InterruptedException {
-    long end = CLOCK.getAsLong() + GIVE_UP_MILLIS;
+    long end = CLOCK.getAsLong() + AWAIT_MILLIS;
     while (counter.get() < count && CLOCK.getAsLong() < end) {
       Thread.sleep(10);
     }
