--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/BackendCrashDetector.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/BackendCrashDetector.java
@@ -18,17 +18,17 @@
  */
 final class BackendCrashDetector {
   /** All connections of a process end with it; how long the last may take, milliseconds. */
-  private static final long GATHER_MILLIS = 30;
+  private static final long CONNECTION_LOSS_WINDOW_MILLIS = 30;
 
   /**
    * How long a new connection has to last to show that a process goes on that is asked nothing,
    * milliseconds; less than back ends keep idle connections open.
    */
-  private static final long LASTING_MILLIS = 3_000;
+  private static final long MIN_PROBE_LIFETIME_MILLIS = 3_000;
 
   /** Asks whether a request that was sent to that start of the back end earlier still runs. */
-  interface Running {
-    boolean isAnySentBefore(String backend, long atMillis);
+  interface RunningRequests {
+    boolean isAnySentBefore(String backendId, long atMillis);
   }
 
   /**
@@ -40,26 +40,27 @@
   record Crash(String backend, Set<RequestFingerprint> requests) {}
 
   /** Lost requests whose cause is being found out. */
-  private static final class Suspected {
+  private static final class SuspectedCrash {
     private final String backend;
     private final long sinceMillis;
     private final Set<RequestFingerprint> requests = new HashSet<>();
     private boolean unreachable;
 
     /** The new connection, if one opened. */
-    private OriginConnection opened;
+    private OriginConnection probeConnection;
 
-    Suspected(String backend, long sinceMillis) {
+    SuspectedCrash(String backend, long sinceMillis) {
       this.backend = backend;
       this.sinceMillis = sinceMillis;
     }
 
-    boolean isTold(long nowMillis) {
-      long waited = nowMillis - sinceMillis;
-      boolean isOpen = opened != null && opened.isIdle();
+    boolean isDecidable(long nowMillis) {
+      long waitedMillis = nowMillis - sinceMillis;
+      boolean isOpen = probeConnection != null && probeConnection.isIdle();
       return isOpen
-          ? waited >= LASTING_MILLIS
-          : waited >= GATHER_MILLIS && (unreachable || opened != null);
+          ? waitedMillis >= MIN_PROBE_LIFETIME_MILLIS
+          : waitedMillis >= CONNECTION_LOSS_WINDOW_MILLIS
+              && (unreachable || probeConnection != null);
     }
   }
 
@@ -67,7 +68,7 @@
   private final LongSupplier clockMillis;
 
   /** Null while nothing is suspected. */
-  private Suspected suspected;
+  private SuspectedCrash suspected;
 
   BackendCrashDetector(ConnectionPool pool, LongSupplier clockMillis) {
     this.pool = pool;
@@ -75,82 +76,83 @@
   }
 
   /** The connection of a request was lost while the back end had it. */
-  void lost(String backend, RequestFingerprint request) {
-    Suspected begun = null;
-    Suspected dropped = null;
+  void connectionLost(String backend, RequestFingerprint request) {
+    SuspectedCrash started = null;
+    SuspectedCrash abandoned = null;
     synchronized (this) {
       if (suspected == null || !suspected.backend.equals(backend)) {
-        dropped = suspected;
-        begun = new Suspected(backend, clockMillis.getAsLong());
-        suspected = begun;
+        abandoned = suspected;
+        started = new SuspectedCrash(backend, clockMillis.getAsLong());
+        suspected = started;
       }
       suspected.requests.add(request);
     }
-    giveBack(dropped);
-    if (begun != null) {
-      pool.acquireNew(new Probe(begun));
+    releaseProbe(abandoned);
+    if (started != null) {
+      pool.acquireNew(new Probe(started));
     }
   }
 
   /** The back end has answered a request that was sent at a moment: it had not ended by then. */
-  void answered(String backend, long sentMillis) {
-    Suspected dropped;
+  void responseReceived(String backend, long sentMillis) {
+    SuspectedCrash abandoned;
     synchronized (this) {
-      boolean isProof =
+      boolean provesAlive =
           suspected != null
               && suspected.backend.equals(backend)
               && sentMillis > suspected.sinceMillis;
-      if (!isProof) {
+      if (!provesAlive) {
         return;
       }
-      dropped = suspected;
+      abandoned = suspected;
       suspected = null;
     }
-    giveBack(dropped);
+    releaseProbe(abandoned);
   }
 
   /** Gives back the connection that was to tell, if one opened; not under the lock. */
-  private void giveBack(Suspected dropped) {
-    if (dropped != null && dropped.opened != null) {
-      pool.release(dropped.opened);
+  private void releaseProbe(SuspectedCrash abandoned) {
+    if (abandoned != null && abandoned.probeConnection != null) {
+      pool.release(abandoned.probeConnection);
     }
   }
 
   /** Returns the back end's end once it is certain. */
-  Optional<Crash> tick(Running running) {
-    Suspected ripe;
+  Optional<Crash> pollCrash(RunningRequests running) {
+    SuspectedCrash decided;
     synchronized (this) {
-      if (suspected == null || !suspected.isTold(clockMillis.getAsLong())) {
+      if (suspected == null || !suspected.isDecidable(clockMillis.getAsLong())) {
         return Optional.empty();
       }
-      ripe = suspected;
+      decided = suspected;
       suspected = null;
     }
-    if (lasts(ripe) || running.isAnySentBefore(ripe.backend, ripe.sinceMillis)) {
+    if (releaseIfStillOpen(decided)
+        || running.isAnySentBefore(decided.backend, decided.sinceMillis)) {
       return Optional.empty();
     }
-    return Optional.of(new Crash(ripe.backend, ripe.requests));
+    return Optional.of(new Crash(decided.backend, decided.requests));
   }
 
   /** Whether the new connection is still open; it replaces the one that was lost. */
-  private boolean lasts(Suspected ripe) {
-    boolean lasts = ripe.opened != null && ripe.opened.isIdle();
-    if (lasts) {
-      pool.release(ripe.opened);
+  private boolean releaseIfStillOpen(SuspectedCrash decided) {
+    boolean isOpen = decided.probeConnection != null && decided.probeConnection.isIdle();
+    if (isOpen) {
+      pool.release(decided.probeConnection);
     }
-    return lasts;
+    return isOpen;
   }
 
-  private synchronized void lives(Suspected probed) {
+  private synchronized void dismiss(SuspectedCrash probed) {
     if (suspected == probed) {
       suspected = null;
     }
   }
 
   private final class Probe implements ConnectionWaiter {
-    private final Suspected probed;
+    private final SuspectedCrash probed;
 
-    Probe(Suspected probed) {
+    Probe(SuspectedCrash probed) {
       this.probed = probed;
     }
 
@@ -158,7 +160,7 @@
     public void connected(OriginConnection connection) {
       synchronized (BackendCrashDetector.this) {
         if (suspected == probed) {
-          probed.opened = connection;
+          probed.probeConnection = connection;
           return;
         }
       }
@@ -168,7 +170,7 @@
     @Override
     public void notConnected(Verdict.Reason reason) {
       if (reason != Verdict.Reason.UNREACHABLE) {
-        lives(probed);
+        dismiss(probed);
         return;
       }
       synchronized (BackendCrashDetector.this) {
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/BodyGrants.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/BodyUploadScheduler.java
@@ -16,32 +16,32 @@
  * Lets other nodes send long bodies a few at a time, in the order in which they asked. All at once
  * they would stand in front of every small request at a narrow link. Thread-safe.
  */
-final class BodyGrants {
+final class BodyUploadScheduler {
   /** Bodies that may be under way at a time: while one ends, the next begins to come. */
-  private static final int MAX_UNDER_WAY = 2;
+  private static final int MAX_CONCURRENT_UPLOADS = 2;
 
   /** Time without a byte after which a body no longer keeps others waiting, milliseconds. */
   private static final long STALLED_MILLIS = 1_000;
 
-  private static final long RETRY_MILLIS = 100;
+  private static final long RETRY_AFTER_MILLIS = 100;
 
   /** What had been read of a body, and since when. */
   private record Progress(long receivedBytes, long sinceMillis) {}
 
   /** Before it is looked at for the first time. */
-  private static final Progress NONE = new Progress(-1, 0);
+  private static final Progress NOT_OBSERVED = new Progress(-1, 0);
 
   private final Map<Exchange, Long> waiting = new LinkedHashMap<>();
-  private final Map<Exchange, Progress> underWay = new HashMap<>();
-  private final Predicate<Exchange> isTaken;
+  private final Map<Exchange, Progress> activeUploads = new HashMap<>();
+  private final Predicate<Exchange> isAccepted;
 
   /**
    * Creates grants of which none is given.
    *
    * @param isTaken whether the back end still takes a request
    */
-  BodyGrants(Predicate<Exchange> isTaken) {
-    this.isTaken = isTaken;
+  BodyUploadScheduler(Predicate<Exchange> isAccepted) {
+    this.isAccepted = isAccepted;
   }
 
   /**
@@ -49,82 +49,83 @@
    *
    * @param startByMillis when the request is refused if it still waits for its turn
    */
-  void ask(Exchange exchange, long startByMillis) {
+  void enqueue(Exchange exchange, long startByMillis) {
     if (exchange.request().field(Header.Expect.toString()).isEmpty()) {
       return;
     }
     synchronized (this) {
       waiting.put(exchange, startByMillis);
     }
-    grant();
+    startWaitingUploads();
   }
 
   /** Its body is there, or the request is over. */
-  void arrivedOrOver(Exchange exchange) {
-    forget(exchange);
-    grant();
+  void release(Exchange exchange) {
+    remove(exchange);
+    startWaitingUploads();
   }
 
-  private synchronized void forget(Exchange exchange) {
+  private synchronized void remove(Exchange exchange) {
     waiting.remove(exchange);
-    underWay.remove(exchange);
+    activeUploads.remove(exchange);
   }
 
   /** Refuses those that have waited for too long, and passes over bodies that do not come. */
   void tick(long nowMillis) {
-    for (Exchange late : takeLate(nowMillis)) {
-      late.refuse(new Refusal(new Verdict.NotRun(Verdict.Reason.OVERLOADED), RETRY_MILLIS));
+    for (Exchange expired : removeExpired(nowMillis)) {
+      expired.refuse(
+          new Refusal(new Verdict.NotRun(Verdict.Reason.OVERLOADED), RETRY_AFTER_MILLIS));
     }
     dropStalled(nowMillis);
-    grant();
+    startWaitingUploads();
   }
 
-  private synchronized List<Exchange> takeLate(long nowMillis) {
-    List<Exchange> late = new ArrayList<>();
+  private synchronized List<Exchange> removeExpired(long nowMillis) {
+    List<Exchange> expired = new ArrayList<>();
     for (Map.Entry<Exchange, Long> each : waiting.entrySet()) {
       if (each.getValue() < nowMillis) {
-        late.add(each.getKey());
+        expired.add(each.getKey());
       }
     }
-    waiting.keySet().removeAll(late);
-    return late;
+    waiting.keySet().removeAll(expired);
+    return expired;
   }
 
   private synchronized void dropStalled(long nowMillis) {
-    underWay.replaceAll((exchange, before) -> progress(exchange, before, nowMillis));
-    underWay.values().removeIf(each -> each.sinceMillis() + STALLED_MILLIS <= nowMillis);
+    activeUploads.replaceAll((exchange, before) -> updatedProgress(exchange, before, nowMillis));
+    activeUploads.values().removeIf(each -> each.sinceMillis() + STALLED_MILLIS <= nowMillis);
   }
 
-  private static Progress progress(Exchange exchange, Progress before, long nowMillis) {
+  private static Progress updatedProgress(Exchange exchange, Progress before, long nowMillis) {
     long receivedBytes = exchange.body().received();
     boolean isSame = before.receivedBytes() == receivedBytes;
     return isSame ? before : new Progress(receivedBytes, nowMillis);
   }
 
   /** Requests whose bodies wait for their turn. */
-  synchronized int waiting() {
+  synchronized int waitingCount() {
     return waiting.size();
   }
 
-  private void grant() {
-    for (Exchange next = takeNext(); next != null; next = takeNext()) {
-      if (!isTaken.test(next)) {
-        forget(next);
+  private void startWaitingUploads() {
+    for (Exchange next = activateNext(); next != null; next = activateNext()) {
+      if (!isAccepted.test(next)) {
+        remove(next);
         next.refuse(Refusal.notRun(Verdict.Reason.DRAINING));
       } else if (!next.continueBody()) {
-        forget(next);
+        remove(next);
       }
     }
   }
 
-  private synchronized Exchange takeNext() {
+  private synchronized Exchange activateNext() {
     Iterator<Exchange> first = waiting.keySet().iterator();
-    if (!first.hasNext() || underWay.size() >= MAX_UNDER_WAY) {
+    if (!first.hasNext() || activeUploads.size() >= MAX_CONCURRENT_UPLOADS) {
       return null;
     }
     Exchange next = first.next();
     first.remove();
-    underWay.put(next, NONE);
+    activeUploads.put(next, NOT_OBSERVED);
     return next;
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/ReadingDelays.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/EventLoopDelayListener.java
@@ -3,16 +3,16 @@
 import io.umberpath.node.proxy.loop.IterationListener;
 
 /** Counts the iterations of event loops that kept arrivals waiting, and tells of long ones. */
-record ReadingDelays(MeshMetrics metrics, MeshEvents events) implements IterationListener {
+record EventLoopDelayListener(MeshMetrics metrics, MeshEvents events) implements IterationListener {
   /** Length of an iteration from which on it is worth a line, microseconds. */
-  private static final long LINE_MICROS = 100_000;
+  private static final long LOG_THRESHOLD_MICROS = 100_000;
 
   private static final long MICROS_PER_MILLI = 1_000;
 
   @Override
   public void iterationEnded(long micros, int sockets) {
-    metrics.iterationWasLate(micros);
-    if (micros >= LINE_MICROS) {
+    metrics.recordLateIteration(micros);
+    if (micros >= LOG_THRESHOLD_MICROS) {
       events.readingLate(micros / MICROS_PER_MILLI, sockets);
     }
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/Fingerprints.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/Fingerprints.java
@@ -23,10 +23,10 @@
   }
 
   /** The fingerprint; empty while too little of the body has been received to tell. */
-  static Optional<RequestFingerprint> of(Exchange exchange, long target) {
-    OptionalLong body = exchange.body().hash();
-    return body.isPresent()
-        ? Optional.of(new RequestFingerprint(target, body.getAsLong()))
+  static Optional<RequestFingerprint> of(Exchange exchange, long targetHash) {
+    OptionalLong bodyHash = exchange.body().hash();
+    return bodyHash.isPresent()
+        ? Optional.of(new RequestFingerprint(targetHash, bodyHash.getAsLong()))
         : Optional.empty();
   }
 
@@ -34,12 +34,12 @@
    * Its form in a log line about a request that ended so; empty if it is not known, or the request
    * certainly did not run: those lines are many, and what they refuse has done no harm.
    */
-  static String text(Exchange exchange, long target, Verdict verdict) {
-    return verdict instanceof Verdict.NotRun ? "" : text(exchange, target);
+  static String logText(Exchange exchange, long targetHash, Verdict verdict) {
+    return verdict instanceof Verdict.NotRun ? "" : logText(exchange, targetHash);
   }
 
   /** Its form in log lines; empty if it is not known. */
-  static String text(Exchange exchange, long target) {
-    return of(exchange, target).map(RequestFingerprint::text).orElse("");
+  static String logText(Exchange exchange, long targetHash) {
+    return of(exchange, targetHash).map(RequestFingerprint::text).orElse("");
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/HeaderNames.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/HeaderNames.java
@@ -9,7 +9,7 @@
  * @param callerService service beside the node where the request began
  * @param notExecuted on an answer: the back end did not run the request
  * @param instance on an answer: the back end that gave it
- * @param statement on an answer: what the back end says of its load, see {@link
+ * @param backendLoad on an answer: what the back end says of its load, see {@link
  *     StoreDocuments#statement}
  */
 public record HeaderNames(
@@ -19,4 +19,4 @@
     String callerService,
     String notExecuted,
     String instance,
-    String statement) {}
+    String backendLoad) {}
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/HopHeader.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/HopHeader.java
@@ -7,53 +7,53 @@
  *
  * @param instance the chosen back end
  * @param route name of its route
- * @param dueMillis in how long it is due, milliseconds; what is due earlier goes first
+ * @param dueInMillis in how long it is due, milliseconds; what is due earlier goes first
  * @param toleratedWaitMillis expected wait beyond which to refuse rather than queue, milliseconds
- * @param targetMillis in how long its work has to be done for its answer to be in time,
+ * @param targetInMillis in how long its work has to be done for its answer to be in time,
  *     milliseconds
- * @param refuseByMillis until when a refusal lets its caller come back in time, milliseconds from
- *     now
- * @param startByMillis in how long it is to be refused if it has not begun, milliseconds
- * @param isRepeat whether it may have run at another back end before
+ * @param refuseWithinMillis until when a refusal lets its caller come back in time, milliseconds
+ *     from now
+ * @param startWithinMillis in how long it is to be refused if it has not begun, milliseconds
+ * @param isRetry whether it may have run at another back end before
  */
 record HopHeader(
     String instance,
     String route,
-    long dueMillis,
+    long dueInMillis,
     long toleratedWaitMillis,
-    long targetMillis,
-    long refuseByMillis,
-    long startByMillis,
-    boolean isRepeat) {
+    long targetInMillis,
+    long refuseWithinMillis,
+    long startWithinMillis,
+    boolean isRetry) {
   static final String HEADER = "Umberpath-Hop";
-  private static final int FIELDS = 8;
-  private static final int FIRST_TIME = 2;
-  private static final int TIMES = 5;
-  private static final String REPEAT = "1";
-  private static final String FIRST = "0";
+  private static final int FIELD_COUNT = 8;
+  private static final int FIRST_TIME_INDEX = 2;
+  private static final int TIME_COUNT = 5;
+  private static final String RETRY = "1";
+  private static final String FIRST_ATTEMPT = "0";
 
   String encode() {
     return String.join(
         ",",
         instance,
         route,
-        Long.toString(dueMillis),
+        Long.toString(dueInMillis),
         Long.toString(toleratedWaitMillis),
-        Long.toString(targetMillis),
-        Long.toString(refuseByMillis),
-        Long.toString(startByMillis),
-        isRepeat ? REPEAT : FIRST);
+        Long.toString(targetInMillis),
+        Long.toString(refuseWithinMillis),
+        Long.toString(startWithinMillis),
+        isRetry ? RETRY : FIRST_ATTEMPT);
   }
 
   static Optional<HopHeader> decode(String text) {
-    String[] fields = text == null ? new String[0] : text.split(",", FIELDS + 1);
-    if (fields.length != FIELDS || fields[0].isEmpty()) {
+    String[] fields = text == null ? new String[0] : text.split(",", FIELD_COUNT + 1);
+    if (fields.length != FIELD_COUNT || fields[0].isEmpty()) {
       return Optional.empty();
     }
     try {
-      long[] times = new long[TIMES];
+      long[] times = new long[TIME_COUNT];
       for (int index = 0; index < times.length; index++) {
-        times[index] = Long.parseLong(fields[FIRST_TIME + index]);
+        times[index] = Long.parseLong(fields[FIRST_TIME_INDEX + index]);
       }
       return Optional.of(
           new HopHeader(
@@ -64,7 +64,7 @@
               times[2],
               times[3],
               times[4],
-              fields[FIELDS - 1].equals(REPEAT)));
+              fields[FIELD_COUNT - 1].equals(RETRY)));
     } catch (NumberFormatException malformed) {
       return Optional.empty();
     }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/LocalBackend.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/LocalBackend.java
@@ -19,18 +19,18 @@
 
   private final MeshSettings settings;
   private final Supplier<MeshView> view;
-  private final Predicate<String> attested;
+  private final Predicate<String> isAttested;
   private final LocalBackendSpeed speed;
-  private final Set<BackendStart> ended = ConcurrentHashMap.newKeySet();
+  private final Set<BackendStart> endedStarts = ConcurrentHashMap.newKeySet();
 
   /** The latest start listed under each id that was ever listed. */
-  private final Map<String, BackendStart> known = new ConcurrentHashMap<>();
+  private final Map<String, BackendStart> lastKnownStarts = new ConcurrentHashMap<>();
 
   private final ColdStartLimiter coldStarts;
   private final LongSupplier clockMillis;
-  private BackendEntry seen;
+  private BackendEntry lastSeenEntry;
   private boolean wasEvacuated;
-  private volatile boolean leaving;
+  private volatile boolean draining;
   private volatile int slots = DEFAULT_SLOTS;
   private volatile long bornMillis = BackendStart.UNKNOWN_BORN_MILLIS;
 
@@ -44,20 +44,20 @@
   LocalBackend(
       MeshSettings settings,
       Supplier<MeshView> view,
-      Predicate<String> attested,
+      Predicate<String> isAttested,
       LocalBackendSpeed speed,
       LongSupplier clockMillis) {
     this.settings = settings;
     this.view = view;
-    this.attested = attested;
+    this.isAttested = isAttested;
     this.speed = speed;
     this.clockMillis = clockMillis;
     this.coldStarts = new ColdStartLimiter(settings.coldStarts(), clockMillis.getAsLong());
   }
 
   /** This node takes no new work for its back end. */
-  void leave() {
-    leaving = true;
+  void startDraining() {
+    draining = true;
   }
 
   /** Whether the zone of this node is evacuated: its back ends finish what they have. */
@@ -84,17 +84,17 @@
   boolean refresh() {
     List<BackendEntry> entries = view.get().backends().at(settings.backend());
     for (BackendEntry entry : entries) {
-      known.put(entry.id(), entry.start());
+      lastKnownStarts.put(entry.id(), entry.start());
       bornMillis = entry.bornMillis();
     }
-    int stated = entries.stream().mapToInt(BackendEntry::slots).max().orElse(slots);
-    boolean changed = stated != slots;
-    slots = stated;
-    entries.forEach(this::refreshColdness);
+    int reportedSlots = entries.stream().mapToInt(BackendEntry::slots).max().orElse(slots);
+    boolean changed = reportedSlots != slots;
+    slots = reportedSlots;
+    entries.forEach(this::refreshColdStart);
     boolean evacuated = isEvacuated();
     if (wasEvacuated && !evacuated) {
       // A back end may turn cold while its zone is evacuated, and its entry may say so later.
-      coldFor(warmupMillis());
+      startColdPeriod(warmupMillis());
     }
     wasEvacuated = evacuated;
     return changed;
@@ -106,19 +106,19 @@
         .backends()
         .byId(instance)
         .map(BackendEntry::start)
-        .or(() -> Optional.ofNullable(known.get(instance)))
+        .or(() -> Optional.ofNullable(lastKnownStarts.get(instance)))
         .orElseGet(() -> new BackendStart(instance, BackendStart.UNKNOWN_BORN_MILLIS));
   }
 
   /** An entry that was written anew tells for how long the back end was cold then. */
-  private void refreshColdness(BackendEntry entry) {
-    if (entry != seen) {
-      seen = entry;
-      coldFor(entry.warmupMillis());
+  private void refreshColdStart(BackendEntry entry) {
+    if (entry != lastSeenEntry) {
+      lastSeenEntry = entry;
+      startColdPeriod(entry.warmupMillis());
     }
   }
 
-  private void coldFor(long millis) {
+  private void startColdPeriod(long millis) {
     ownService()
         .ifPresent(
             service -> {
@@ -144,9 +144,9 @@
   }
 
   /** Asked for one start of the back end, another one has answered; so the first has ended. */
-  void isAnother(String asked, String answered) {
-    if (!asked.equals(answered)) {
-      ended.add(startOf(asked));
+  void recordRespondingInstance(String expectedInstance, String respondingInstance) {
+    if (!expectedInstance.equals(respondingInstance)) {
+      endedStarts.add(startOf(expectedInstance));
     }
   }
 
@@ -156,25 +156,25 @@
         .backends()
         .byId(instance)
         .map(entry -> entry.state() == BackendEntry.State.READY)
-        .orElseGet(() -> !known.containsKey(instance) || attested.test(instance));
+        .orElseGet(() -> !lastKnownStarts.containsKey(instance) || isAttested.test(instance));
   }
 
   /** Whether new work for that start of the back end is to be passed on. */
-  boolean takes(String instance) {
-    if (leaving || ended.contains(startOf(instance)) || isEvacuated()) {
+  boolean acceptsNewWork(String instance) {
+    if (draining || endedStarts.contains(startOf(instance)) || isEvacuated()) {
       return false;
     }
     Optional<BackendEntry> entry = view.get().backends().byId(instance);
     if (entry.isPresent()) {
-      known.put(instance, entry.get().start());
+      lastKnownStarts.put(instance, entry.get().start());
       return entry.get().state() == BackendEntry.State.READY;
     }
-    if (known.containsKey(instance)) {
+    if (lastKnownStarts.containsKey(instance)) {
       // What was listed and is no more has left, unless its entry only lapsed.
-      return attested.test(instance);
+      return isAttested.test(instance);
     }
     // What was never listed here has just begun, for all that this node knows.
-    coldFor(warmupMillis());
+    startColdPeriod(warmupMillis());
     return true;
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/GateFailures.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/LocalBackendFailures.java
@@ -6,18 +6,18 @@
 import io.umberpath.traffic.outlier.FailureShare;
 
 /** What the answers of the back end beside this node say of it. Thread-safe. */
-final class GateFailures {
+final class LocalBackendFailures {
   /** From here on an answer does not show that the request ran to a good end. */
   static final int FIRST_SERVER_ERROR = 500;
 
   /** Share from which on it is logged, percent: below, the choice puts it down to chance. */
-  private static final int LOGGED_PERCENT = 20;
+  private static final int LOG_THRESHOLD_PERCENT = 20;
 
   private final MeshEvents events;
-  private FailureShare share = new FailureShare();
-  private boolean isLogged;
+  private FailureShare failureShare = new FailureShare();
+  private boolean isLoggedAsFailing;
 
-  GateFailures(MeshEvents events) {
+  LocalBackendFailures(MeshEvents events) {
     this.events = events;
   }
 
@@ -28,32 +28,34 @@
    * @param refusal null if it ended with a whole answer
    * @param status status of that answer
    */
-  synchronized void ended(long nowMillis, String backend, Refusal refusal, int status) {
-    share.ended(nowMillis, refusal == null ? answered(status) : refused(refusal.verdict()));
-    int percent = share.percent(nowMillis);
-    boolean isFailing = percent > LOGGED_PERCENT;
+  synchronized void recordAttempt(long nowMillis, String backend, Refusal refusal, int status) {
+    failureShare.ended(
+        nowMillis, refusal == null ? resultOfResponse(status) : resultOfFailure(refusal.verdict()));
+    int percent = failureShare.percent(nowMillis);
+    boolean isFailing = percent > LOG_THRESHOLD_PERCENT;
     // Half of it before the end is logged, so that a share around the bound makes no lines.
-    if (isFailing && !isLogged || isLogged && percent < LOGGED_PERCENT / 2) {
-      isLogged = isFailing;
-      events.backendFailing(backend, isFailing, percent, share.kinds(nowMillis));
+    if (isFailing && !isLoggedAsFailing
+        || isLoggedAsFailing && percent < LOG_THRESHOLD_PERCENT / 2) {
+      isLoggedAsFailing = isFailing;
+      events.backendFailing(backend, isFailing, percent, failureShare.kinds(nowMillis));
     }
   }
 
   /** Forgets what was seen: it was of an earlier start of the back end. */
-  synchronized void clear() {
-    share = new FailureShare();
+  synchronized void reset() {
+    failureShare = new FailureShare();
   }
 
   /** Share of the attempts that failed lately, percent. */
   synchronized int percent(long nowMillis) {
-    return share.percent(nowMillis);
+    return failureShare.percent(nowMillis);
   }
 
-  private static AttemptResult answered(int status) {
+  private static AttemptResult resultOfResponse(int status) {
     return status < FIRST_SERVER_ERROR ? AttemptResult.SERVED : AttemptResult.SERVER_ERROR;
   }
 
-  private static AttemptResult refused(Verdict verdict) {
+  private static AttemptResult resultOfFailure(Verdict verdict) {
     if (verdict instanceof Verdict.NotRun notRun) {
       return notRun.reason() == Verdict.Reason.REJECTED
           ? AttemptResult.SHED
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/LocalBackendSpeed.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/LocalBackendSpeed.java
@@ -10,12 +10,12 @@
 
 /** How fast the back end beside this node is, as it says and as is seen. Thread-safe. */
 final class LocalBackendSpeed {
-  private final Function<String, Either<String, BackendStatement>> statements;
+  private final Function<String, Either<String, BackendStatement>> loadReportParser;
   private final MeshEvents events;
   private final LongSupplier clockMillis;
   private BackendSpeed speed = new BackendSpeed();
-  private boolean believed = true;
-  private double shownByAges = 1;
+  private boolean areReportsTrusted = true;
+  private double slownessByAge = 1;
 
   /**
    * Creates one that knows nothing.
@@ -23,10 +23,10 @@
    * @param statements reads what the back end says of itself, or tells what is wrong with it
    */
   LocalBackendSpeed(
-      Function<String, Either<String, BackendStatement>> statements,
+      Function<String, Either<String, BackendStatement>> loadReportParser,
       MeshEvents events,
       LongSupplier clockMillis) {
-    this.statements = statements;
+    this.loadReportParser = loadReportParser;
     this.events = events;
     this.clockMillis = clockMillis;
   }
@@ -36,42 +36,42 @@
    *
    * @param text what the back end says of itself; null if it says nothing
    */
-  void stated(String text) {
+  void recordLoadReport(String text) {
     if (text == null) {
       return;
     }
-    Either<String, BackendStatement> statement = statements.apply(text);
-    if (statement.isLeft()) {
-      events.statementRefused(statement.getLeft());
+    Either<String, BackendStatement> report = loadReportParser.apply(text);
+    if (report.isLeft()) {
+      events.statementRefused(report.getLeft());
       return;
     }
     synchronized (this) {
-      speed.stated(clockMillis.getAsLong(), statement.get());
+      speed.stated(clockMillis.getAsLong(), report.get());
     }
   }
 
   /** How long a request that has just been answered would have run at the usual speed. */
-  synchronized long usualMicros(String route, long micros) {
+  synchronized long recordDuration(String route, long micros) {
     return speed.answered(clockMillis.getAsLong(), route, micros);
   }
 
   /** Looks at what runs there. */
-  synchronized void observe(Collection<Slowness.Running> running) {
-    shownByAges = Slowness.of(running);
-    if (speed.isBelieved() != believed) {
-      believed = speed.isBelieved();
-      events.statementsBelieved(believed, speed.errors());
+  synchronized void observeRunning(Collection<Slowness.Running> running) {
+    slownessByAge = Slowness.of(running);
+    if (speed.isBelieved() != areReportsTrusted) {
+      areReportsTrusted = speed.isBelieved();
+      events.statementsBelieved(areReportsTrusted, speed.errors());
     }
   }
 
   /** Another start is there, of which nothing is known. */
-  synchronized void forget() {
+  synchronized void reset() {
     speed = new BackendSpeed();
-    shownByAges = 1;
+    slownessByAge = 1;
   }
 
   /** The factor by which work takes longer now than usual. */
   synchronized double slowness() {
-    return speed.slowness(clockMillis.getAsLong(), shownByAges);
+    return speed.slowness(clockMillis.getAsLong(), slownessByAge);
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/LineBudget.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/LogRateLimiter.java
@@ -1,27 +1,27 @@
 package io.umberpath.node.mesh;
 
 /** How many lines of one kind may be written a second; the rest is counted. Thread-safe. */
-final class LineBudget {
+final class LogRateLimiter {
   private static final long SECOND_MILLIS = 1_000;
 
-  private final int perSecond;
-  private long second = -1;
-  private int used;
+  private final int maxPerSecond;
+  private long currentSecond = -1;
+  private int usedInSecond;
   private long dropped;
 
-  LineBudget(int perSecond) {
-    this.perSecond = perSecond;
+  LogRateLimiter(int maxPerSecond) {
+    this.maxPerSecond = maxPerSecond;
   }
 
   /** Whether a line may be written now; counts it as dropped if not. */
-  synchronized boolean take(long nowMillis) {
+  synchronized boolean tryAcquire(long nowMillis) {
     long now = nowMillis / SECOND_MILLIS;
-    if (now != second) {
-      second = now;
-      used = 0;
+    if (now != currentSecond) {
+      currentSecond = now;
+      usedInSecond = 0;
     }
-    if (used < perSecond) {
-      used++;
+    if (usedInSecond < maxPerSecond) {
+      usedInSecond++;
       return true;
     }
     dropped++;
@@ -29,7 +29,7 @@
   }
 
   /** Lines dropped since the last call. */
-  synchronized long takeDropped() {
+  synchronized long drainDropped() {
     long count = dropped;
     dropped = 0;
     return count;
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshEvents.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshEvents.java
@@ -46,13 +46,13 @@
   private static final MetadataKey<Long> COUNT = MetadataKey.single("count", Long.class);
 
   private final LongSupplier clockMillis;
-  private final Map<MeshEvent, LineBudget> budgets = new EnumMap<>(MeshEvent.class);
+  private final Map<MeshEvent, LogRateLimiter> rateLimiters = new EnumMap<>(MeshEvent.class);
 
   /** Creates a log on a rising clock, milliseconds. */
   public MeshEvents(LongSupplier clockMillis) {
     this.clockMillis = clockMillis;
     for (MeshEvent event : MeshEvent.values()) {
-      budgets.put(event, new LineBudget(event.linesPerSecond()));
+      rateLimiters.put(event, new LogRateLimiter(event.linesPerSecond()));
     }
   }
 
@@ -62,11 +62,11 @@
   }
 
   FluentLogger.Api line(MeshEvent event) {
-    return line(event, mayWrite(event));
+    return line(event, tryAcquireLine(event));
   }
 
-  boolean mayWrite(MeshEvent event) {
-    return budgets.get(event).take(clockMillis.getAsLong());
+  boolean tryAcquireLine(MeshEvent event) {
+    return rateLimiters.get(event).tryAcquire(clockMillis.getAsLong());
   }
 
   static FluentLogger.Api line(MeshEvent event, boolean written) {
@@ -77,9 +77,9 @@
 
   /** Writes how many lines were dropped since the last call. */
   void reportDropped() {
-    budgets.forEach(
-        (event, budget) -> {
-          long dropped = budget.takeDropped();
+    rateLimiters.forEach(
+        (event, rateLimiter) -> {
+          long dropped = rateLimiter.drainDropped();
           if (dropped > 0) {
             line(MeshEvent.LINES_DROPPED).with(COUNT, dropped).log("%s", event.label());
           }
@@ -148,14 +148,14 @@
    * @param openCallers connections of callers and other nodes that end with the process
    * @param unwrittenBytes bytes of answers that no socket has taken
    */
-  void stopped(int cutOff, int refused, int openCallers, long unwrittenBytes, long millis) {
+  void stopped(int cutOff, int refused, int openConnections, long unwrittenBytes, long millis) {
     line(MeshEvent.NODE_STOPPED)
         .with(COUNT, (long) cutOff)
         .with(MILLIS, millis)
         .log(
             "requests cut off: %d, refused at the end: %d, connections open: %d,"
                 + " bytes not written: %d",
-            cutOff, refused, openCallers, unwrittenBytes);
+            cutOff, refused, openConnections, unwrittenBytes);
   }
 
   /** The settings were read again. */
@@ -173,15 +173,17 @@
    *
    * @param held position of what this node holds, the answer taken
    */
-  void storeCalled(StoreAnswer answer, StorePosition held) {
+  void storeCalled(StoreAnswer answer, StorePosition heldPosition) {
     if (answer instanceof StoreAnswer.HistoryGone gone) {
       line(MeshEvent.STORE_HISTORY_GONE)
-          .with(POSITION, held.toString())
+          .with(POSITION, heldPosition.toString())
           .log("the store is in era %d", gone.storeEra());
     }
-    if (answer instanceof StoreAnswer.Page page && !page.more() && held.isAfter(page.at())) {
+    if (answer instanceof StoreAnswer.Page page
+        && !page.more()
+        && heldPosition.isAfter(page.at())) {
       line(MeshEvent.STORE_READ_DROPPED)
-          .with(POSITION, held.toString())
+          .with(POSITION, heldPosition.toString())
           .log("the store is at %s", page.at());
     }
     if (answer instanceof StoreAnswer.Throttled) {
@@ -193,8 +195,8 @@
     line(MeshEvent.STORE_LOST).with(CAUSE, cause).log("store");
   }
 
-  void storeRegained(long awayMillis) {
-    line(MeshEvent.STORE_REGAINED).with(MILLIS, awayMillis).log("store");
+  void storeRegained(long unreachableMillis) {
+    line(MeshEvent.STORE_REGAINED).with(MILLIS, unreachableMillis).log("store");
   }
 
   void configurationTaken(RoutingConfiguration configuration, long revision, String source) {
@@ -253,10 +255,10 @@
   }
 
   /** Whether what the back end beside this node says of its speed is believed has changed. */
-  void statementsBelieved(boolean areBelieved, String inputs) {
+  void statementsBelieved(boolean areTrusted, String inputs) {
     line(MeshEvent.STATEMENTS_BELIEVED)
         .with(CAUSE, inputs)
-        .log("%s", areBelieved ? "begins" : "ends");
+        .log("%s", areTrusted ? "begins" : "ends");
   }
 
   void backendsChanged(
@@ -380,11 +382,11 @@
   }
 
   /** The back end beside this node ended; one line for each request that it ran. */
-  void backendEnded(String backend, RequestFingerprint request, int running) {
+  void backendEnded(String backend, RequestFingerprint request, int runningCount) {
     line(MeshEvent.BACKEND_ENDED)
         .with(BACKEND, backend)
         .with(FINGERPRINT, request.text())
-        .with(COUNT, (long) running)
+        .with(COUNT, (long) runningCount)
         .log("while it ran this request");
   }
 
@@ -407,10 +409,10 @@
    *
    * @param ends ends of back ends that are held against it
    */
-  void requestHeld(RequestFingerprint request, boolean isHeld, int ends) {
+  void requestHeld(RequestFingerprint request, boolean isHeld, int crashCount) {
     line(isHeld ? MeshEvent.REQUEST_HELD : MeshEvent.REQUEST_CLEARED)
         .with(FINGERPRINT, request.text())
-        .with(COUNT, (long) ends)
+        .with(COUNT, (long) crashCount)
         .log("%s", isHeld ? "back ends ended under it" : "it ran to a good end");
   }
 
@@ -418,7 +420,7 @@
     line(MeshEvent.REQUEST_TRIED).with(FINGERPRINT, request.text()).log("once more");
   }
 
-  void fault(String where, Throwable fault) {
-    line(MeshEvent.FAULT).withCause(fault).log("%s", where);
+  void fault(String location, Throwable fault) {
+    line(MeshEvent.FAULT).withCause(fault).log("%s", location);
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshGateHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshInboundHandler.java
@@ -36,7 +36,7 @@
  * that it knows exactly how many requests run there; what it refuses before the first byte
  * certainly did not run.
  */
-final class MeshGateHandler implements RequestHandler {
+final class MeshInboundHandler implements RequestHandler {
   /** Load of the back end, on every answer to another node. */
   static final String LOAD_HEADER = "Umberpath-Load";
 
@@ -45,11 +45,12 @@
 
   private static final int MISDIRECTED = 421;
 
-  private static final Verdict LOST = new Verdict.MayHaveRun(Verdict.Reason.CONNECTION_LOST);
+  private static final Verdict CONNECTION_LOST =
+      new Verdict.MayHaveRun(Verdict.Reason.CONNECTION_LOST);
   private static final long MICROS_PER_MILLI = 1_000;
 
   /** Time an answer takes back to the caller at least, milliseconds. */
-  private static final long ANSWER_MILLIS = 8;
+  private static final long RESPONSE_TRANSIT_MILLIS = 8;
 
   /** Requests of a route after which its mean time is believed. */
   private static final int MIN_TIME_SAMPLES = 5;
@@ -57,23 +58,24 @@
   private final MeshSettings settings;
   private final ConnectionPool pool;
   private final SlotGate gate;
-  private final BodyGrants bodies = new BodyGrants(exchange -> isTaken(exchange.plan()));
+  private final BodyUploadScheduler uploads =
+      new BodyUploadScheduler(exchange -> isAccepted(exchange.plan()));
   private final LocalBackend backend;
   private final RequestQuarantine quarantine;
-  private final BackendCrashDetector crashes;
+  private final BackendCrashDetector crashDetector;
   private final LocalBackendSpeed speed;
   private final MeshEvents events;
   private final RequestEvents requestEvents;
   private final LongSupplier clockMillis;
   private final RouteMeans routeTimes = new RouteMeans(MIN_TIME_SAMPLES);
   private final NestedRoutes nestedRoutes = new NestedRoutes();
-  private final GateFailures failures;
-  private volatile double repeatShare;
+  private final LocalBackendFailures failures;
+  private volatile double retriedWorkShare;
   private long observedBornMillis = BackendStart.UNKNOWN_BORN_MILLIS;
   private final RefusalStyle style = new MeshRefusalStyle();
   private final Set<String> replacedHeaders = new TreeSet<>(String.CASE_INSENSITIVE_ORDER);
 
-  MeshGateHandler(
+  MeshInboundHandler(
       MeshSettings settings,
       ConnectionPool pool,
       AdmissionController admission,
@@ -86,10 +88,10 @@
     this.pool = pool;
     this.backend = backend;
     this.quarantine = quarantine;
-    this.crashes = new BackendCrashDetector(pool, clockMillis);
+    this.crashDetector = new BackendCrashDetector(pool, clockMillis);
     this.events = events;
     this.requestEvents = events.requests();
-    this.failures = new GateFailures(events);
+    this.failures = new LocalBackendFailures(events);
     this.clockMillis = clockMillis;
     this.gate = new SlotGate(admission, this::send, clockMillis);
     replacedHeaders.add(settings.headers().deadline());
@@ -102,20 +104,20 @@
    * may have ended under the same request.
    */
   private boolean send(Exchange exchange) {
-    MeshGatePlan plan = planOf(exchange);
-    if (!isTaken(plan)) {
+    MeshInboundPlan plan = planOf(exchange);
+    if (!isAccepted(plan)) {
       exchange.refuse(Refusal.notRun(Verdict.Reason.DRAINING));
       return false;
     }
-    if (isHeld(exchange, plan)) {
+    if (isQuarantined(exchange, plan)) {
       exchange.refuse(Refusal.notRun(Verdict.Reason.QUARANTINED));
       return false;
     }
     return exchange.sendTo(pool, plan.instance());
   }
 
-  private boolean isTaken(RequestPlan plan) {
-    return backend.takes(((MeshGatePlan) plan).instance());
+  private boolean isAccepted(RequestPlan plan) {
+    return backend.acceptsNewWork(((MeshInboundPlan) plan).instance());
   }
 
   SlotGate gate() {
@@ -124,7 +126,7 @@
 
   /** Lets time pass: refuses what can no longer be met. */
   void tick(long nowMillis) {
-    bodies.tick(nowMillis);
+    uploads.tick(nowMillis);
     gate.tick(nowMillis);
   }
 
@@ -134,54 +136,57 @@
    * @return its id if it has
    */
   Optional<String> lookForCrash() {
-    Optional<BackendCrashDetector.Crash> crash = crashes.tick(this::isAnySentBefore);
-    crash.filter(each -> backend.isServing(each.backend())).ifPresent(this::crashed);
+    Optional<BackendCrashDetector.Crash> crash = crashDetector.pollCrash(this::isAnySentBefore);
+    crash.filter(each -> backend.isServing(each.backend())).ifPresent(this::recordCrash);
     return crash.map(BackendCrashDetector.Crash::backend);
   }
 
   private boolean isAnySentBefore(String instance, long atMillis) {
-    long sinceMicros = (clockMillis.getAsLong() - atMillis) * MICROS_PER_MILLI;
+    long elapsedMicros = (clockMillis.getAsLong() - atMillis) * MICROS_PER_MILLI;
     return gate.runningExchanges().stream()
         .filter(exchange -> planOf(exchange).instance().equals(instance))
-        .anyMatch(exchange -> exchange.history().sinceSentMicros() > sinceMicros);
+        .anyMatch(exchange -> exchange.history().sinceSentMicros() > elapsedMicros);
   }
 
-  private void crashed(BackendCrashDetector.Crash crash) {
-    int running = crash.requests().size();
-    crash.requests().forEach(request -> events.backendEnded(crash.backend(), request, running));
-    quarantine.backendEnded(backend.startOf(crash.backend()), crash.requests());
+  private void recordCrash(BackendCrashDetector.Crash crash) {
+    int runningCount = crash.requests().size();
+    crash
+        .requests()
+        .forEach(request -> events.backendEnded(crash.backend(), request, runningCount));
+    quarantine.recordBackendCrash(backend.startOf(crash.backend()), crash.requests());
   }
 
   /** Looks at what runs: how slow the back end is by its age, and how much of it is repeated. */
   void observe() {
-    forgetEarlierStart();
+    resetAfterRestart();
     List<Slowness.Running> running = new ArrayList<>();
-    int repeats = 0;
+    int retries = 0;
     for (Exchange exchange : gate.runningExchanges()) {
-      long expected = expectedMicros(planOf(exchange).route());
-      running.add(new Slowness.Running(exchange.history().sinceSentMicros(), expected));
-      repeats += planOf(exchange).hop().isRepeat() ? 1 : 0;
+      long expectedDurationMicros = expectedMicros(planOf(exchange).route());
+      running.add(
+          new Slowness.Running(exchange.history().sinceSentMicros(), expectedDurationMicros));
+      retries += planOf(exchange).hop().isRetry() ? 1 : 0;
     }
-    speed.observe(running);
-    repeatShare = running.isEmpty() ? 0 : repeats / (double) running.size();
+    speed.observeRunning(running);
+    retriedWorkShare = running.isEmpty() ? 0 : retries / (double) running.size();
   }
 
   /** What an earlier start took for its work says nothing of this one. */
-  private void forgetEarlierStart() {
+  private void resetAfterRestart() {
     long born = backend.bornMillis();
     if (born != observedBornMillis) {
       observedBornMillis = born;
-      failures.clear();
+      failures.reset();
       synchronized (routeTimes) {
         routeTimes.clear();
       }
-      speed.forget();
+      speed.reset();
     }
   }
 
   /** Share of what the back end works on that may have run elsewhere before. */
-  double repeatShare() {
-    return repeatShare;
+  double retriedWorkShare() {
+    return retriedWorkShare;
   }
 
   /** What this node states of its back end. */
@@ -192,7 +197,7 @@
         backend.coldStarts().usableSlots(clockMillis.getAsLong(), backend.slots(), serviceMicros);
     return new GateLoad(
         gate.running(),
-        gate.queued() + bodies.waiting(),
+        gate.queued() + uploads.waitingCount(),
         slots,
         serviceMicros,
         slownessPercent,
@@ -207,7 +212,7 @@
     }
   }
 
-  private long likelyMicros(String route) {
+  private long likelyMaxMicros(String route) {
     synchronized (routeTimes) {
       return routeTimes.likelyMost(route);
     }
@@ -227,24 +232,25 @@
   public Either<Refusal, RequestPlan> plan(RequestHead head, long arrivedMillis) {
     Optional<String> requestId = head.field(settings.headers().requestId());
     Optional<HopHeader> hop = head.field(HopHeader.HEADER).flatMap(HopHeader::decode);
-    Optional<Long> left = head.field(settings.headers().deadline()).flatMap(Headers::number);
-    if (requestId.isEmpty() || hop.isEmpty() || left.isEmpty()) {
-      String lacking = firstLacking(requestId.isPresent(), hop.isPresent());
-      requestEvents.gateHeadRefused(requestId.orElse(""), lacking);
+    Optional<Long> remainingMillis =
+        head.field(settings.headers().deadline()).flatMap(Headers::number);
+    if (requestId.isEmpty() || hop.isEmpty() || remainingMillis.isEmpty()) {
+      String missing = firstMissingHeader(requestId.isPresent(), hop.isPresent());
+      requestEvents.gateHeadRefused(requestId.orElse(""), missing);
       return Either.left(Refusal.notRun(Verdict.Reason.BAD_REQUEST));
     }
     return Either.right(
-        new MeshGatePlan(
+        new MeshInboundPlan(
             requestId.get(),
             hop.get(),
-            arrivedMillis + left.get(),
+            arrivedMillis + remainingMillis.get(),
             Headers.unreadMillis(head),
             arrivedMillis,
             Fingerprints.targetOf(head),
             replacedHeaders));
   }
 
-  private String firstLacking(boolean hasRequestId, boolean hasHop) {
+  private String firstMissingHeader(boolean hasRequestId, boolean hasHop) {
     if (!hasRequestId) {
       return settings.headers().requestId();
     }
@@ -253,28 +259,28 @@
 
   @Override
   public void dispatch(Exchange exchange) {
-    MeshGatePlan plan = planOf(exchange);
-    if (!isTaken(plan)) {
+    MeshInboundPlan plan = planOf(exchange);
+    if (!isAccepted(plan)) {
       exchange.refuse(Refusal.notRun(Verdict.Reason.DRAINING));
       return;
     }
-    if (isHeld(exchange, plan)) {
+    if (isQuarantined(exchange, plan)) {
       exchange.refuse(Refusal.notRun(Verdict.Reason.QUARANTINED));
       return;
     }
     if (!exchange.body().isHeld()) {
       // A slot that waits for a body does no work.
-      bodies.ask(exchange, plan.beganMillis() + plan.hop().startByMillis());
+      uploads.enqueue(exchange, plan.arrivedMillis() + plan.hop().startWithinMillis());
       exchange.dispatchOnceBodyIsHeld();
       return;
     }
-    bodies.arrivedOrOver(exchange);
+    uploads.release(exchange);
     double slowness = speed.slowness();
     long expectedMicros = Math.round(slowness * expectedMicros(plan.route()));
-    long likelyMicros = Math.round(slowness * likelyMicros(plan.route()));
-    long deadline = plan.deadlineMillis() - ANSWER_MILLIS;
+    long likelyMaxMicros = Math.round(slowness * likelyMaxMicros(plan.route()));
+    long deadlineMillis = plan.deadlineMillis() - RESPONSE_TRANSIT_MILLIS;
     HopHeader hop = plan.hop();
-    long began = plan.beganMillis();
+    long arrivedMillis = plan.arrivedMillis();
     boolean isNested = isNested(exchange);
     gate.ask(
         exchange,
@@ -283,21 +289,23 @@
                 id,
                 "",
                 Tier.STANDARD,
-                deadline,
+                deadlineMillis,
                 expectedMicros,
-                likelyMicros,
+                likelyMaxMicros,
                 hop.toleratedWaitMillis(),
-                began + hop.dueMillis(),
-                began + hop.targetMillis(),
-                began + hop.refuseByMillis(),
-                began + hop.startByMillis(),
+                arrivedMillis + hop.dueInMillis(),
+                arrivedMillis + hop.targetInMillis(),
+                arrivedMillis + hop.refuseWithinMillis(),
+                arrivedMillis + hop.startWithinMillis(),
                 isNested));
   }
 
   /** The edge decides; this one helps out where it has not heard yet. */
-  private boolean isHeld(Exchange exchange, MeshGatePlan plan) {
-    return quarantine.concerns(plan.target())
-        && Fingerprints.of(exchange, plan.target()).filter(quarantine::holdsAtGate).isPresent();
+  private boolean isQuarantined(Exchange exchange, MeshInboundPlan plan) {
+    return quarantine.mayHold(plan.targetHash())
+        && Fingerprints.of(exchange, plan.targetHash())
+            .filter(quarantine::blocksInbound)
+            .isPresent();
   }
 
   private boolean isNested(Exchange exchange) {
@@ -317,7 +325,7 @@
 
   @Override
   public Optional<Refusal> refusalAtSending(RequestPlan plan, long nowMillis) {
-    if (!isTaken(plan)) {
+    if (!isAccepted(plan)) {
       return Optional.of(Refusal.notRun(Verdict.Reason.DRAINING));
     }
     return RequestHandler.super.refusalAtSending(plan, nowMillis);
@@ -325,10 +333,10 @@
 
   @Override
   public void addHeaders(Exchange exchange, HttpRequestPacket outgoing, long nowMillis) {
-    MeshGatePlan plan = planOf(exchange);
-    long left = plan.deadlineMillis() - nowMillis;
+    MeshInboundPlan plan = planOf(exchange);
+    long remainingMillis = plan.deadlineMillis() - nowMillis;
     HeaderNames names = settings.headers();
-    outgoing.getHeaders().setValue(names.deadline()).setString(Long.toString(left));
+    outgoing.getHeaders().setValue(names.deadline()).setString(Long.toString(remainingMillis));
     outgoing.getHeaders().setValue(names.expectedInstance()).setString(plan.instance());
   }
 
@@ -349,21 +357,21 @@
   @Override
   public Optional<Refusal> refusalIn(Exchange exchange, AnswerHead head) {
     HeaderNames names = settings.headers();
-    speed.stated(head.field(names.statement()).orElse(null));
-    MeshGatePlan plan = planOf(exchange);
-    Optional<String> answered = head.field(names.requestId());
-    if (answered.isPresent() && !answered.get().equals(plan.requestId())) {
+    speed.recordLoadReport(head.field(names.backendLoad()).orElse(null));
+    MeshInboundPlan plan = planOf(exchange);
+    Optional<String> echoedRequestId = head.field(names.requestId());
+    if (echoedRequestId.isPresent() && !echoedRequestId.get().equals(plan.requestId())) {
       return Optional.of(Refusal.mayHaveRun(Verdict.Reason.BAD_ANSWER));
     }
     Optional<String> instance = head.field(names.instance());
     if (head.status() == MISDIRECTED) {
-      instance.ifPresent(other -> backend.isAnother(plan.instance(), other));
+      instance.ifPresent(other -> backend.recordRespondingInstance(plan.instance(), other));
     }
     boolean notExecuted = head.field(names.notExecuted()).isPresent();
     if (notExecuted || head.status() == MISDIRECTED) {
       return Optional.of(new Refusal(new Verdict.NotRun(Verdict.Reason.REJECTED), 0, true));
     }
-    if (answered.isEmpty()) {
+    if (echoedRequestId.isEmpty()) {
       return Optional.of(Refusal.mayHaveRun(Verdict.Reason.BAD_ANSWER));
     }
     return Optional.empty();
@@ -372,21 +380,22 @@
   @Override
   public void attemptEnded(Exchange exchange, String originId, Refusal refusal, long micros) {
     // The slot is given back when the request ends; there is one attempt.
-    MeshGatePlan plan = planOf(exchange);
-    failures.ended(clockMillis.getAsLong(), plan.instance(), refusal, exchange.answeredStatus());
+    MeshInboundPlan plan = planOf(exchange);
+    failures.recordAttempt(
+        clockMillis.getAsLong(), plan.instance(), refusal, exchange.answeredStatus());
     if (refusal == null) {
       long sentMillis = clockMillis.getAsLong() - exchange.history().sentAgoMillis();
-      crashes.answered(plan.instance(), sentMillis);
-      long usualMicros = speed.usualMicros(plan.route(), exchange.history().sinceSentMicros());
+      crashDetector.responseReceived(plan.instance(), sentMillis);
+      long usualMicros = speed.recordDuration(plan.route(), exchange.history().sinceSentMicros());
       synchronized (routeTimes) {
         routeTimes.add(plan.route(), usualMicros);
       }
-      if (exchange.answeredStatus() < GateFailures.FIRST_SERVER_ERROR) {
-        Fingerprints.of(exchange, plan.target()).ifPresent(quarantine::succeeded);
+      if (exchange.answeredStatus() < LocalBackendFailures.FIRST_SERVER_ERROR) {
+        Fingerprints.of(exchange, plan.targetHash()).ifPresent(quarantine::recordSuccess);
       }
-    } else if (refusal.verdict().equals(LOST)) {
-      Fingerprints.of(exchange, plan.target())
-          .ifPresent(request -> crashes.lost(plan.instance(), request));
+    } else if (refusal.verdict().equals(CONNECTION_LOST)) {
+      Fingerprints.of(exchange, plan.targetHash())
+          .ifPresent(request -> crashDetector.connectionLost(plan.instance(), request));
     }
   }
 
@@ -397,14 +406,14 @@
 
   @Override
   public void ended(Exchange exchange, Verdict verdict) {
-    bodies.arrivedOrOver(exchange);
+    uploads.release(exchange);
     gate.ended(exchange);
-    MeshGatePlan plan = planOf(exchange);
+    MeshInboundPlan plan = planOf(exchange);
     if (plan != null && !(verdict instanceof Verdict.Completed)) {
-      long millis = clockMillis.getAsLong() - plan.beganMillis();
+      long millis = clockMillis.getAsLong() - plan.arrivedMillis();
       requestEvents.gateFailed(
           plan,
-          Fingerprints.text(exchange, plan.target(), verdict),
+          Fingerprints.logText(exchange, plan.targetHash(), verdict),
           verdict,
           load().encode(),
           millis,
@@ -412,7 +421,7 @@
     }
   }
 
-  private static MeshGatePlan planOf(Exchange exchange) {
-    return (MeshGatePlan) exchange.plan();
+  private static MeshInboundPlan planOf(Exchange exchange) {
+    return (MeshInboundPlan) exchange.plan();
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshGatePlan.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshInboundPlan.java
@@ -16,13 +16,13 @@
  *     RequestFingerprint#target}
  * @param replacedHeaders headers this node sets itself
  */
-record MeshGatePlan(
+record MeshInboundPlan(
     String requestId,
     HopHeader hop,
     long deadlineMillis,
-    long unreadBeforeMillis,
-    long beganMillis,
-    long target,
+    long previousHopUnreadMillis,
+    long arrivedMillis,
+    long targetHash,
     Set<String> replacedHeaders)
     implements RequestPlan {
   @Override
@@ -32,7 +32,7 @@
 
   /** When its caller gives up at the latest, on the proxy's clock, milliseconds. */
   long latestDeadlineMillis() {
-    return deadlineMillis + unreadBeforeMillis;
+    return deadlineMillis + previousHopUnreadMillis;
   }
 
   String instance() {
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshMetrics.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshMetrics.java
@@ -23,15 +23,15 @@
  */
 final class MeshMetrics implements ProxyStats {
   private static final String PREFIX = "umberpath.";
-  private static final Duration SHORTEST = Duration.ofMillis(1);
-  private static final Duration LONGEST = Duration.ofSeconds(10);
+  private static final Duration MIN_DURATION = Duration.ofMillis(1);
+  private static final Duration MAX_DURATION = Duration.ofSeconds(10);
 
   /** From the beginning, since what is in flight when counting begins ends later. */
   private final InFlightCounts inFlight = new InFlightCounts();
 
-  private final AtomicBoolean wanted = new AtomicBoolean();
+  private final AtomicBoolean requested = new AtomicBoolean();
   private volatile PrometheusMeterRegistry registry;
-  private volatile ProxyStats counted = ProxyStats.NONE;
+  private volatile ProxyStats delegate = ProxyStats.NONE;
   private volatile Timer lateIterations;
 
   /**
@@ -42,13 +42,13 @@
   void begin(Map<String, Supplier<Number>> gauges) {
     PrometheusMeterRegistry created = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
     created.config().meterFilter(new Histograms());
-    gauges.forEach((name, value) -> created.gauge(PREFIX + name, value, each -> of(each)));
-    counted = new MeterRegistryStats(created, inFlight);
+    gauges.forEach((name, value) -> created.gauge(PREFIX + name, value, each -> toDouble(each)));
+    delegate = new MeterRegistryStats(created, inFlight);
     lateIterations = created.timer(PREFIX + "event.loop.late");
     registry = created;
   }
 
-  private static double of(Supplier<Number> value) {
+  private static double toDouble(Supplier<Number> value) {
     return value.get().doubleValue();
   }
 
@@ -57,16 +57,16 @@
    *
    * @param beginner called at the first call, to have {@link #begin} called on another thread
    */
-  String page(Runnable beginner) {
+  String page(Runnable starter) {
     PrometheusMeterRegistry current = registry;
-    if (current == null && wanted.compareAndSet(false, true)) {
-      beginner.run();
+    if (current == null && requested.compareAndSet(false, true)) {
+      starter.run();
     }
     return current == null ? "" : current.scrape();
   }
 
   /** An iteration of the event loop kept what had arrived waiting for so long. */
-  void iterationWasLate(long micros) {
+  void recordLateIteration(long micros) {
     Timer timer = lateIterations;
     if (timer != null) {
       timer.record(micros, TimeUnit.MICROSECONDS);
@@ -75,12 +75,12 @@
 
   @Override
   public void requestEnded(Side side, Verdict verdict, long micros) {
-    counted.requestEnded(side, verdict, micros);
+    delegate.requestEnded(side, verdict, micros);
   }
 
   @Override
   public void retried(Verdict verdict) {
-    counted.retried(verdict);
+    delegate.retried(verdict);
   }
 
   @Override
@@ -94,8 +94,8 @@
     public DistributionStatisticConfig configure(Meter.Id id, DistributionStatisticConfig config) {
       return DistributionStatisticConfig.builder()
           .percentilesHistogram(true)
-          .minimumExpectedValue((double) SHORTEST.toNanos())
-          .maximumExpectedValue((double) LONGEST.toNanos())
+          .minimumExpectedValue((double) MIN_DURATION.toNanos())
+          .maximumExpectedValue((double) MAX_DURATION.toNanos())
           .build()
           .merge(config);
     }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshEdgeHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshOutboundHandler.java
@@ -32,12 +32,12 @@
 import org.glassfish.grizzly.http.util.Header;
 
 /** Requests of callers: finds the route, picks a back end, sends to the node beside it. */
-final class MeshEdgeHandler implements RequestHandler {
+final class MeshOutboundHandler implements RequestHandler {
   /** Largest body that is sent on the chance of a free slot, bytes. */
-  private static final long MAX_BOUNCED_BYTES = 16 * 1024;
+  private static final long MAX_OPTIMISTIC_BODY_BYTES = 16 * 1024;
 
-  private static final long RETRY_WHEN_UNREADY_MILLIS = 300;
-  private static final long RETRY_WHEN_NOBODY_MILLIS = 100;
+  private static final long RETRY_AFTER_NOT_READY_MILLIS = 300;
+  private static final long RETRY_AFTER_NO_BACKEND_MILLIS = 100;
 
   private final MeshSettings settings;
   private final Supplier<MeshView> view;
@@ -48,14 +48,14 @@
   private final RequestEvents events;
   private final LongSupplier clockMillis;
   private final WeightedSplit split = new WeightedSplit();
-  private final EdgeRetries retries;
+  private final OutboundRetryPolicy retryPolicy;
   private final CallerPatience patience = new CallerPatience();
   private final RequestCosts costs = new RequestCosts();
   private final RefusalStyle style = new MeshRefusalStyle();
   private final Set<String> replacedHeaders = new TreeSet<>(String.CASE_INSENSITIVE_ORDER);
-  private volatile boolean leaving;
-  private volatile boolean refusing;
-  private volatile LateRequests lateRequests = LateRequests.NONE;
+  private volatile boolean draining;
+  private volatile boolean refusingRequests;
+  private volatile ShutdownRefusalPolicy shutdownRefusals = ShutdownRefusalPolicy.REFUSE_NONE;
 
   /**
    * Creates the handler.
@@ -63,13 +63,13 @@
    * @param repeatShare share of what the back end beside this node works on that may have run
    *     elsewhere before: what it calls meanwhile counts as repeated by that share
    */
-  MeshEdgeHandler(
+  MeshOutboundHandler(
       MeshSettings settings,
       Supplier<MeshView> view,
       OriginManager origins,
       GateBalancer balancer,
       PeerExchange peers,
-      DoubleSupplier repeatShare,
+      DoubleSupplier retriedWorkShare,
       MeshEvents events,
       LongSupplier clockMillis) {
     this.settings = settings;
@@ -80,7 +80,7 @@
     this.quarantine = peers.quarantine();
     this.events = events.requests();
     this.clockMillis = clockMillis;
-    this.retries = new EdgeRetries(settings.retry(), peers::nodes, repeatShare);
+    this.retryPolicy = new OutboundRetryPolicy(settings.retry(), peers::nodes, retriedWorkShare);
     replacedHeaders.add(settings.headers().deadline());
     replacedHeaders.add(settings.headers().callerService());
     replacedHeaders.add(settings.headers().expectedInstance());
@@ -88,18 +88,18 @@
   }
 
   /** From now on answers ask callers to go elsewhere with their next request. */
-  void leave() {
-    leaving = true;
+  void startDraining() {
+    draining = true;
   }
 
   /** Requests that come late in a planned stop are refused as not run. */
-  void refuseLate(LateRequests late) {
-    lateRequests = late;
+  void setShutdownRefusals(ShutdownRefusalPolicy policy) {
+    shutdownRefusals = policy;
   }
 
   /** From now on requests are refused as not run. */
-  void refuse() {
-    refusing = true;
+  void refuseRequests() {
+    refusingRequests = true;
   }
 
   @Override
@@ -114,17 +114,17 @@
 
   @Override
   public Either<Refusal, RequestPlan> plan(RequestHead head, long arrivedMillis) {
-    if (refusing) {
+    if (refusingRequests) {
       return Either.left(draining());
     }
     MeshView current = view.get();
     if (!current.isComplete()) {
       return Either.left(
-          new Refusal(new Verdict.NotRun(Verdict.Reason.NOT_READY), RETRY_WHEN_UNREADY_MILLIS));
+          new Refusal(new Verdict.NotRun(Verdict.Reason.NOT_READY), RETRY_AFTER_NOT_READY_MILLIS));
     }
     Optional<String> requestId = head.field(settings.headers().requestId());
-    Optional<Long> stated = statedDeadline(head);
-    if (requestId.isEmpty() || stated.isEmpty()) {
+    Optional<Long> clientTimeout = clientTimeout(head);
+    if (requestId.isEmpty() || clientTimeout.isEmpty()) {
       return Either.left(Refusal.notRun(Verdict.Reason.BAD_REQUEST));
     }
     Optional<RoutingRule> rule =
@@ -132,11 +132,11 @@
     if (rule.isEmpty()) {
       return Either.left(Refusal.notRun(Verdict.Reason.NO_ROUTE));
     }
-    long deadlineMillis = arrivedMillis + Math.min(stated.get(), rule.get().timeoutMillis());
-    if (lateRequests.refuses(deadlineMillis, clockMillis.getAsLong())) {
+    long deadlineMillis = arrivedMillis + Math.min(clientTimeout.get(), rule.get().timeoutMillis());
+    if (shutdownRefusals.shouldRefuse(deadlineMillis, clockMillis.getAsLong())) {
       return Either.left(draining());
     }
-    boolean returned = isReturned(rule.get(), stated.get());
+    boolean isClientRetry = isClientRetry(rule.get(), clientTimeout.get());
     return Either.right(
         plan(
             head,
@@ -145,23 +145,23 @@
             current.version(),
             arrivedMillis,
             deadlineMillis,
-            returned));
+            isClientRetry));
   }
 
-  private MeshEdgePlan plan(
+  private MeshOutboundPlan plan(
       RequestHead head,
       String requestId,
       RoutingRule rule,
       long version,
       long arrivedMillis,
       long deadlineMillis,
-      boolean returned) {
+      boolean isClientRetry) {
     String service;
     synchronized (split) {
       service = split.next(rule);
     }
-    retries.requestStarted(clockMillis.getAsLong(), rule.name(), service);
-    return new MeshEdgePlan(
+    retryPolicy.recordRequest(clockMillis.getAsLong(), rule.name(), service);
+    return new MeshOutboundPlan(
         requestId,
         rule,
         service,
@@ -169,19 +169,19 @@
         deadlineMillis,
         arrivedMillis,
         Fingerprints.targetOf(head),
-        returned,
+        isClientRetry,
         replacedHeaders,
-        new AttemptTally());
+        new RetryState());
   }
 
-  private boolean isReturned(RoutingRule rule, long statedMillis) {
+  private boolean isClientRetry(RoutingRule rule, long clientTimeoutMillis) {
     synchronized (patience) {
-      return patience.ageMillis(rule.name(), statedMillis) > 0;
+      return patience.ageMillis(rule.name(), clientTimeoutMillis) > 0;
     }
   }
 
   /** The caller's deadline; very long if it states none, empty if it is malformed. */
-  private Optional<Long> statedDeadline(RequestHead head) {
+  private Optional<Long> clientTimeout(RequestHead head) {
     Optional<String> text = head.field(settings.headers().deadline());
     return text.isEmpty() ? Optional.of((long) Integer.MAX_VALUE) : Headers.number(text.get());
   }
@@ -189,7 +189,7 @@
   @Override
   public void dispatch(Exchange exchange) {
     long now = clockMillis.getAsLong();
-    MeshEdgePlan plan = planOf(exchange);
+    MeshOutboundPlan plan = planOf(exchange);
     if (plan.deadlineMillis() <= now) {
       exchange.refuse(Refusal.notRun(Verdict.Reason.DEADLINE));
       return;
@@ -198,32 +198,35 @@
       awaitBody(exchange);
       return;
     }
-    if (isHeld(exchange, plan)) {
+    if (refuseIfQuarantined(exchange, plan)) {
       return;
     }
     List<BackendEntry> candidates = peers.readyBackends(plan.service());
     Set<String> silent = peers.silentBackends(candidates);
-    boolean mayBounce = mayBounce(exchange, plan);
-    Set<String> leftOut = plan.tally().leftOut(mayBounce);
+    boolean mayBeRefusedForLoad = mayBeRefusedForLoad(exchange, plan);
+    Set<String> excluded = plan.retryState().excludedBackends(mayBeRefusedForLoad);
     GateBalancer.RequestConstraints constraints = costs.constraints(exchange, plan, now);
     Optional<GateBalancer.Choice> choice;
     synchronized (balancer) {
-      choice = balancer.pick(now, candidates, constraints, leftOut, silent);
+      choice = balancer.pick(now, candidates, constraints, excluded, silent);
       if (choice.isEmpty()) {
-        Set<String> failed = plan.tally().leftOut(false);
+        Set<String> failed = plan.retryState().excludedBackends(false);
         choice = balancer.pick(now, candidates, constraints, failed, silent);
       }
       choice.ifPresent(chosen -> balancer.started(now, chosen.backend().id()));
     }
     if (choice.isEmpty()) {
-      exchange.refuse(exchange.history().lastRefusal().orElseGet(MeshEdgeHandler::nobody));
+      exchange.refuse(exchange.history().lastRefusal().orElseGet(MeshOutboundHandler::noBackend));
       return;
     }
     BackendEntry chosen = choice.get().backend();
-    plan.tally()
-        .tolerate(mayBounce ? choice.get().toleratedWaitMillis() : GateBalancer.ANY_WAIT_MILLIS);
-    PeerAddress gate = new PeerAddress(chosen.address().host(), settings.inbound().port());
-    if (!exchange.sendTo(origins.poolOf(gate), chosen.id())) {
+    plan.retryState()
+        .setToleratedWaitMillis(
+            mayBeRefusedForLoad
+                ? choice.get().toleratedWaitMillis()
+                : GateBalancer.ANY_WAIT_MILLIS);
+    PeerAddress peerInbound = new PeerAddress(chosen.address().host(), settings.inbound().port());
+    if (!exchange.sendTo(origins.poolOf(peerInbound), chosen.id())) {
       synchronized (balancer) {
         balancer.finished(now, chosen.id(), new Verdict.NotRun(Verdict.Reason.CANCELLED));
       }
@@ -242,29 +245,32 @@
    * Whether the request is kept from all back ends, and so refused. No time to come back is named:
    * whoever comes again is refused again.
    */
-  private boolean isHeld(Exchange exchange, MeshEdgePlan plan) {
+  private boolean refuseIfQuarantined(Exchange exchange, MeshOutboundPlan plan) {
     // What earlier tries of the request have done counts too: one ended 25 back ends, two a try,
     // as each try began at nought.
-    boolean isHeld =
-        quarantine.concerns(plan.target())
-            && Fingerprints.of(exchange, plan.target()).filter(quarantine::holdsAtEdge).isPresent();
-    if (isHeld) {
+    boolean isQuarantined =
+        quarantine.mayHold(plan.targetHash())
+            && Fingerprints.of(exchange, plan.targetHash())
+                .filter(quarantine::blocksOutbound)
+                .isPresent();
+    if (isQuarantined) {
       exchange.refuse(Refusal.notRun(Verdict.Reason.QUARANTINED));
     }
-    return isHeld;
+    return isQuarantined;
   }
 
   private static Refusal draining() {
-    return new Refusal(new Verdict.NotRun(Verdict.Reason.DRAINING), RETRY_WHEN_NOBODY_MILLIS);
+    return new Refusal(new Verdict.NotRun(Verdict.Reason.DRAINING), RETRY_AFTER_NO_BACKEND_MILLIS);
   }
 
-  private static Refusal nobody() {
-    return new Refusal(new Verdict.NotRun(Verdict.Reason.NO_BACKEND), RETRY_WHEN_NOBODY_MILLIS);
+  private static Refusal noBackend() {
+    return new Refusal(
+        new Verdict.NotRun(Verdict.Reason.NO_BACKEND), RETRY_AFTER_NO_BACKEND_MILLIS);
   }
 
   @Override
   public Optional<Refusal> refusalAtSending(RequestPlan plan, long nowMillis) {
-    if (refusing) {
+    if (refusingRequests) {
       return Optional.of(draining());
     }
     return RequestHandler.super.refusalAtSending(plan, nowMillis);
@@ -272,28 +278,28 @@
 
   @Override
   public void addHeaders(Exchange exchange, HttpRequestPacket outgoing, long nowMillis) {
-    MeshEdgePlan plan = planOf(exchange);
+    MeshOutboundPlan plan = planOf(exchange);
     HeaderNames names = settings.headers();
-    long left = plan.deadlineMillis() - nowMillis;
-    set(outgoing, names.deadline(), Long.toString(left));
+    long remainingMillis = plan.deadlineMillis() - nowMillis;
+    set(outgoing, names.deadline(), Long.toString(remainingMillis));
     Headers.addUnread(exchange, outgoing);
     set(outgoing, names.callerService(), settings.service());
     HopHeader hop =
         new HopHeader(
             exchange.currentOrigin(),
             plan.route(),
-            RequestTimes.dueMillis(plan, nowMillis),
-            plan.tally().toleratedWaitMillis(),
-            RequestTimes.targetMillis(plan, nowMillis),
-            RequestTimes.refuseByMillis(plan, nowMillis),
-            RequestTimes.startByMillis(plan, nowMillis),
-            plan.tally().arrivals() > 0);
+            RequestTimes.dueInMillis(plan, nowMillis),
+            plan.retryState().toleratedWaitMillis(),
+            RequestTimes.targetInMillis(plan, nowMillis),
+            RequestTimes.refuseWithinMillis(plan, nowMillis),
+            RequestTimes.startWithinMillis(plan, nowMillis),
+            plan.retryState().possiblyDelivered() > 0);
     set(outgoing, HopHeader.HEADER, hop.encode());
   }
 
-  private static boolean mayBounce(Exchange exchange, MeshEdgePlan plan) {
-    return plan.tally().bounces() < EdgeRetries.MAX_BOUNCES
-        && exchange.request().contentLength() <= MAX_BOUNCED_BYTES
+  private static boolean mayBeRefusedForLoad(Exchange exchange, MeshOutboundPlan plan) {
+    return plan.retryState().overloadRefusals() < OutboundRetryPolicy.MAX_OVERLOAD_REFUSALS
+        && exchange.request().contentLength() <= MAX_OPTIMISTIC_BODY_BYTES
         && exchange.body().isReplayable();
   }
 
@@ -303,12 +309,12 @@
 
   @Override
   public boolean mayRunBesideOthers(RequestPlan plan) {
-    return ((MeshEdgePlan) plan).rule().kind().isRepeatable();
+    return ((MeshOutboundPlan) plan).rule().kind().isRepeatable();
   }
 
   @Override
   public boolean isLeaving() {
-    return leaving;
+    return draining;
   }
 
   @Override
@@ -318,29 +324,31 @@
 
   @Override
   public Optional<Refusal> refusalIn(Exchange exchange, AnswerHead head) {
-    MeshEdgePlan plan = planOf(exchange);
-    stated(exchange.currentOrigin(), plan.route(), head);
+    MeshOutboundPlan plan = planOf(exchange);
+    recordBackendLoad(exchange.currentOrigin(), plan.route(), head);
     Optional<String> verdict = head.field(ProxyHeaders.VERDICT);
     if (verdict.isPresent()) {
       return VerdictHeader.parse(verdict.get())
-          .map(each -> new Refusal(asOfNode(each), Headers.retryAfterMillis(head), true));
+          .map(each -> new Refusal(verdictFromPeer(each), Headers.retryAfterMillis(head), true));
     }
-    costs.answered(plan.route(), head.contentLength());
-    boolean own =
+    costs.recordResponse(plan.route(), head.contentLength());
+    boolean isOwnResponse =
         head.field(settings.headers().requestId()).filter(plan.requestId()::equals).isPresent();
-    return own ? Optional.empty() : Optional.of(Refusal.mayHaveRun(Verdict.Reason.BAD_ANSWER));
+    return isOwnResponse
+        ? Optional.empty()
+        : Optional.of(Refusal.mayHaveRun(Verdict.Reason.BAD_ANSWER));
   }
 
   /** This node has read the request: what another cannot read is not the caller's doing. */
-  private static Verdict asOfNode(Verdict verdict) {
+  private static Verdict verdictFromPeer(Verdict verdict) {
     boolean isUnreadable = verdict.equals(new Verdict.NotRun(Verdict.Reason.BAD_REQUEST));
     return isUnreadable ? new Verdict.NotRun(Verdict.Reason.UNREADABLE) : verdict;
   }
 
-  private void stated(String backend, String route, AnswerHead head) {
-    GateLoad load = head.field(MeshGateHandler.LOAD_HEADER).map(GateLoad::decode).orElse(null);
-    if (head.field(MeshGateHandler.NESTED_HEADER).isPresent()) {
-      retries.nestedRouteSeen(route);
+  private void recordBackendLoad(String backend, String route, AnswerHead head) {
+    GateLoad load = head.field(MeshInboundHandler.LOAD_HEADER).map(GateLoad::decode).orElse(null);
+    if (head.field(MeshInboundHandler.NESTED_HEADER).isPresent()) {
+      retryPolicy.addNestedRoute(route);
     }
     if (load != null) {
       synchronized (balancer) {
@@ -356,42 +364,43 @@
     synchronized (balancer) {
       balancer.finished(clockMillis.getAsLong(), originId, verdict);
     }
-    AttemptTally tally = planOf(exchange).tally();
-    if (EdgeRetries.arrived(verdict)) {
-      tally.arrived(originId);
+    RetryState retryState = planOf(exchange).retryState();
+    if (OutboundRetryPolicy.mayHaveReachedBackend(verdict)) {
+      retryState.recordPossiblyDelivered(originId);
     } else if (((Verdict.NotRun) verdict).reason() == Verdict.Reason.OVERLOADED) {
-      tally.bounced(originId);
+      retryState.recordOverloadRefusal(originId);
     } else {
-      tally.refused(originId);
+      retryState.recordNotDelivered(originId);
     }
   }
 
   @Override
   public boolean mayRetry(Exchange exchange, Verdict verdict) {
-    MeshEdgePlan plan = planOf(exchange);
-    String decision = retries.against(exchange, plan, verdict, clockMillis.getAsLong());
-    boolean again = decision.isEmpty();
+    MeshOutboundPlan plan = planOf(exchange);
+    String noRetryReason =
+        retryPolicy.noRetryReason(exchange, plan, verdict, clockMillis.getAsLong());
+    boolean willRetry = noRetryReason.isEmpty();
     events.attemptFailed(
         plan,
         String.valueOf(exchange.history().lastOrigin()),
-        Fingerprints.text(exchange, plan.target(), verdict),
+        Fingerprints.logText(exchange, plan.targetHash(), verdict),
         verdict,
-        again ? "" : decision);
-    return again;
+        willRetry ? "" : noRetryReason);
+    return willRetry;
   }
 
   @Override
   public void ended(Exchange exchange, Verdict verdict) {
-    MeshEdgePlan plan = planOf(exchange);
+    MeshOutboundPlan plan = planOf(exchange);
     if (plan == null) {
       return;
     }
-    long millis = clockMillis.getAsLong() - plan.beganMillis();
+    long millis = clockMillis.getAsLong() - plan.arrivedMillis();
     if (verdict instanceof Verdict.Completed) {
       events.requestServed(plan, exchange.history().count(), millis);
     } else {
-      boolean held = VerdictHeader.reasonOf(verdict) == Verdict.Reason.QUARANTINED;
-      String fingerprint = held ? Fingerprints.text(exchange, plan.target()) : "";
+      boolean isQuarantined = VerdictHeader.reasonOf(verdict) == Verdict.Reason.QUARANTINED;
+      String fingerprint = isQuarantined ? Fingerprints.logText(exchange, plan.targetHash()) : "";
       events.requestFailed(
           plan,
           fingerprint,
@@ -402,7 +411,7 @@
     }
   }
 
-  private static MeshEdgePlan planOf(Exchange exchange) {
-    return (MeshEdgePlan) exchange.plan();
+  private static MeshOutboundPlan planOf(Exchange exchange) {
+    return (MeshOutboundPlan) exchange.plan();
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshEdgePlan.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshOutboundPlan.java
@@ -20,17 +20,17 @@
  * @param replacedHeaders headers this node sets itself
  * @param tally what its attempts have used
  */
-record MeshEdgePlan(
+record MeshOutboundPlan(
     String requestId,
     RoutingRule rule,
     String service,
     long configurationVersion,
     long deadlineMillis,
-    long beganMillis,
-    long target,
-    boolean returned,
+    long arrivedMillis,
+    long targetHash,
+    boolean isClientRetry,
     Set<String> replacedHeaders,
-    AttemptTally tally)
+    RetryState retryState)
     implements RequestPlan {
   @Override
   public boolean asksBeforeBody() {
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshProxy.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshProxy.java
@@ -31,7 +31,7 @@
   private static final long IDLE_PEER_MILLIS = 20_000;
   private static final long IDLE_HOP_MILLIS = 60_000;
   private static final long LINGER_MILLIS = 2_000;
-  private static final int INITIAL_SERVICE_MICROS = 50_000;
+  private static final int INITIAL_SERVICE_TIME_MICROS = 50_000;
   private static final int QUEUE_LIMIT = 256;
   private static final int STARVATION_BOUND = 32;
   private static final long MIN_RETRY_AFTER_MILLIS = 30;
@@ -43,15 +43,15 @@
   private final OriginManager origins;
   private final ConnectionPool backendPool;
   private final ActiveExchanges active = new ActiveExchanges();
-  private final MeshEdgeHandler edge;
-  private final MeshGateHandler gate;
-  private final InboundFilter edgeFilter;
-  private final InboundFilter gateFilter;
-  private Listener edgeListener;
-  private Listener gateListener;
+  private final MeshOutboundHandler outbound;
+  private final MeshInboundHandler inbound;
+  private final InboundFilter outboundFilter;
+  private final InboundFilter inboundFilter;
+  private Listener outboundListener;
+  private Listener inboundListener;
   private final LongSupplier clockMillis;
-  private final Runnable endOverdue = this::endOverdue;
-  private final Runnable sweepNow = this::sweepNow;
+  private final Runnable expireOverdueTask = this::expireOverdue;
+  private final Runnable sweepTask = this::sweepNow;
 
   MeshProxy(
       MeshSettings settings,
@@ -67,7 +67,10 @@
     this.clockMillis = clockMillis;
     this.transport =
         new ProxyTransport(
-            MAX_HEADER_BYTES, ConnectionPool::giveBack, 1, new ReadingDelays(metrics, events));
+            MAX_HEADER_BYTES,
+            ConnectionPool::giveBack,
+            1,
+            new EventLoopDelayListener(metrics, events));
     this.origins = new OriginManager(transport, clockMillis, CONNECT_TIMEOUT_MILLIS);
     this.backendPool =
         new ConnectionPool(
@@ -76,8 +79,8 @@
             MAX_BACKEND_CONNECTIONS,
             clockMillis,
             CONNECT_TIMEOUT_MILLIS);
-    this.gate =
-        new MeshGateHandler(
+    this.inbound =
+        new MeshInboundHandler(
             settings,
             backendPool,
             AdmissionControllers.createInDueOrder(admission(backend.slots()), backend.coldStarts()),
@@ -85,9 +88,16 @@
             peers.quarantine(),
             events,
             clockMillis);
-    this.edge =
-        new MeshEdgeHandler(
-            settings, view, origins, balancer, peers, gate::repeatShare, events, clockMillis);
+    this.outbound =
+        new MeshOutboundHandler(
+            settings,
+            view,
+            origins,
+            balancer,
+            peers,
+            inbound::retriedWorkShare,
+            events,
+            clockMillis);
     ExchangeEnvironment environment =
         new ExchangeEnvironment(
             clockMillis,
@@ -96,8 +106,8 @@
             events.requests()::connectionEnded,
             active,
             this::maxBodyBytes);
-    this.edgeFilter = new InboundFilter(edge, environment);
-    this.gateFilter = new InboundFilter(gate, environment);
+    this.outboundFilter = new InboundFilter(outbound, environment);
+    this.inboundFilter = new InboundFilter(inbound, environment);
   }
 
   private static AdmissionSettings admission(int slots) {
@@ -105,7 +115,7 @@
         slots,
         QUEUE_LIMIT,
         STARVATION_BOUND,
-        INITIAL_SERVICE_MICROS,
+        INITIAL_SERVICE_TIME_MICROS,
         MIN_RETRY_AFTER_MILLIS,
         MAX_RETRY_AFTER_MILLIS);
   }
@@ -120,8 +130,8 @@
   /** Opens the listeners. */
   void start() throws IOException {
     transport.start();
-    gateListener = listen(settings.inbound(), gateFilter);
-    edgeListener = listen(settings.outbound(), edgeFilter);
+    inboundListener = listen(settings.inbound(), inboundFilter);
+    outboundListener = listen(settings.outbound(), outboundFilter);
   }
 
   private Listener listen(PeerAddress address, InboundFilter last) throws IOException {
@@ -138,8 +148,8 @@
     return backendPool;
   }
 
-  MeshGateHandler gate() {
-    return gate;
+  MeshInboundHandler gate() {
+    return inbound;
   }
 
   /** Requests in flight. */
@@ -148,21 +158,21 @@
   }
 
   /** Whether the back end beside this node works on a request. */
-  boolean isBackendAtWork() {
-    return gate.gate().running() > 0;
+  boolean isBackendBusy() {
+    return inbound.gate().running() > 0;
   }
 
   /** From now on callers are asked to go elsewhere with their next request. */
   void leave() {
-    edge.leave();
+    outbound.startDraining();
   }
 
   /** Latest deadline of the requests that the back end beside this node works on. */
-  private long latestWorkDeadlineMillis() {
+  private long latestBackendDeadlineMillis() {
     return active
         .plans()
-        .filter(MeshGatePlan.class::isInstance)
-        .mapToLong(plan -> ((MeshGatePlan) plan).latestDeadlineMillis())
+        .filter(MeshInboundPlan.class::isInstance)
+        .mapToLong(plan -> ((MeshInboundPlan) plan).latestDeadlineMillis())
         .max()
         .orElse(Long.MIN_VALUE);
   }
@@ -173,18 +183,19 @@
    * @param fromMillis the moment, on the clock
    * @param cutOffMillis when what is in flight is cut off, on the clock
    */
-  void refuseLateCallers(long fromMillis, long cutOffMillis) {
-    edge.refuseLate(new LateRequests(fromMillis, cutOffMillis, this::latestWorkDeadlineMillis));
+  void refuseLateClientRequests(long fromMillis, long cutOffMillis) {
+    outbound.setShutdownRefusals(
+        new ShutdownRefusalPolicy(fromMillis, cutOffMillis, this::latestBackendDeadlineMillis));
   }
 
   /** From now on callers' requests are refused as not run. */
-  void refuseCallers() {
-    edge.refuse();
+  void refuseClientRequests() {
+    outbound.refuseRequests();
   }
 
   /** Accepts no more connections of callers. */
-  void closeToCallers() {
-    edgeListener.closeWhenEmpty();
+  void closeOutboundListener() {
+    outboundListener.closeWhenEmpty();
   }
 
   /**
@@ -193,9 +204,9 @@
    * @param endMillis when it returns at the latest, on the clock
    */
   void endConnections(long endMillis) throws InterruptedException {
-    gateListener.closeWhenEmpty();
-    closeToCallers();
-    new ConnectionDrain(List.of(edgeFilter, gateFilter), clockMillis).run(endMillis);
+    inboundListener.closeWhenEmpty();
+    closeOutboundListener();
+    new ConnectionDrain(List.of(outboundFilter, inboundFilter), clockMillis).run(endMillis);
   }
 
   /**
@@ -204,15 +215,15 @@
    * @param isTimerLate whether the caller had no processor for a while
    */
   void keepDeadlines(boolean isTimerLate) {
-    if (active.size() > 0 && !transport.checkTimeouts(endOverdue, isTimerLate)) {
+    if (active.size() > 0 && !transport.checkTimeouts(expireOverdueTask, isTimerLate)) {
       active.expireUnsent(clockMillis.getAsLong());
     }
   }
 
-  private void endOverdue() {
+  private void expireOverdue() {
     long now = clockMillis.getAsLong();
     active.expire(now);
-    gate.tick(now);
+    inbound.tick(now);
   }
 
   /**
@@ -221,11 +232,11 @@
    * @param isTimerLate whether the caller had no processor for a while
    */
   void sweep(boolean isTimerLate) {
-    transport.checkTimeouts(sweepNow, isTimerLate);
+    transport.checkTimeouts(sweepTask, isTimerLate);
   }
 
   private void sweepNow() {
-    gate.observe();
+    inbound.observe();
     backendPool.expire(IDLE_BACKEND_MILLIS);
     origins.giveUpLate();
   }
@@ -242,18 +253,18 @@
     RequestLimits limits = current.isComplete() ? current.configuration().limits() : null;
     long idleMillis = limits == null ? DEFAULT_IDLE_MILLIS : limits.idleTimeoutMillis();
     origins.expire(IDLE_PEER_MILLIS);
-    edgeFilter.expire(idleMillis, LINGER_MILLIS);
-    gateFilter.expire(IDLE_HOP_MILLIS, LINGER_MILLIS);
+    outboundFilter.expire(idleMillis, LINGER_MILLIS);
+    inboundFilter.expire(IDLE_HOP_MILLIS, LINGER_MILLIS);
   }
 
   /** Connections of callers and other nodes that are open. */
-  int openCallers() {
-    return edgeFilter.open() + gateFilter.open();
+  int openIncomingConnections() {
+    return outboundFilter.open() + inboundFilter.open();
   }
 
   /** Bytes of answers that no socket has taken yet. */
   long unwrittenBytes() {
-    return edgeFilter.unwrittenBytes() + gateFilter.unwrittenBytes();
+    return outboundFilter.unwrittenBytes() + inboundFilter.unwrittenBytes();
   }
 
   /** Connections to other nodes that are open. */
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/EdgeRetries.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/OutboundRetryPolicy.java
@@ -12,12 +12,12 @@
  * Whether a request is sent again, within its route's bounds and the budget that all nodes share.
  * Thread-safe.
  */
-final class EdgeRetries {
+final class OutboundRetryPolicy {
   /** Offers that a full node may refuse instead of queueing the request. */
-  static final int MAX_BOUNCES = 2;
+  static final int MAX_OVERLOAD_REFUSALS = 2;
 
   /** Most nodes that one request is offered to. */
-  private static final int MAX_OFFERS = 5;
+  private static final int MAX_ATTEMPTS = 5;
 
   /** Time a further attempt needs at least, milliseconds. */
   private static final long MIN_REMAINING_MILLIS = 15;
@@ -26,8 +26,8 @@
   private final Set<String> nestedRoutes = ConcurrentHashMap.newKeySet();
 
   private final RetryWindow window;
-  private final IntSupplier nodes;
-  private final DoubleSupplier repeatShare;
+  private final IntSupplier nodeCount;
+  private final DoubleSupplier retriedWorkShare;
 
   /**
    * Creates one that has counted nothing.
@@ -36,17 +36,18 @@
    * @param repeatShare share of what the back end beside this node works on that may have run
    *     elsewhere before: what it calls meanwhile counts as repeated by that share
    */
-  EdgeRetries(MeshSettings.Retry bounds, IntSupplier nodes, DoubleSupplier repeatShare) {
+  OutboundRetryPolicy(
+      MeshSettings.Retry bounds, IntSupplier nodeCount, DoubleSupplier retriedWorkShare) {
     this.window = new RetryWindow(bounds.windowMillis(), bounds.ratio(), bounds.extra());
-    this.nodes = nodes;
-    this.repeatShare = repeatShare;
+    this.nodeCount = nodeCount;
+    this.retriedWorkShare = retriedWorkShare;
   }
 
   /** A request for the service begins here. */
-  void requestStarted(long nowMillis, String route, String service) {
+  void recordRequest(long nowMillis, String route, String service) {
     synchronized (window) {
       if (nestedRoutes.contains(route)) {
-        window.repeated(nowMillis, service, repeatShare.getAsDouble());
+        window.repeated(nowMillis, service, retriedWorkShare.getAsDouble());
       } else {
         window.requestStarted(nowMillis, service);
       }
@@ -54,43 +55,44 @@
   }
 
   /** A gate said that the route's requests are sent by back ends. */
-  void nestedRouteSeen(String route) {
+  void addNestedRoute(String route) {
     nestedRoutes.add(route);
   }
 
   /** Whether an attempt that ended so may have arrived at a back end. */
-  static boolean arrived(Verdict verdict) {
+  static boolean mayHaveReachedBackend(Verdict verdict) {
     return !(verdict instanceof Verdict.NotRun notRun)
         || notRun.reason() == Verdict.Reason.REJECTED;
   }
 
   /** Why the request is not sent again; empty if it is. */
-  String against(Exchange exchange, MeshEdgePlan plan, Verdict verdict, long nowMillis) {
+  String noRetryReason(Exchange exchange, MeshOutboundPlan plan, Verdict verdict, long nowMillis) {
     if (!exchange.body().isReplayable()) {
       return "body not kept";
     }
     if (nowMillis + MIN_REMAINING_MILLIS > plan.deadlineMillis()) {
       return "no time left";
     }
-    if (exchange.history().count() >= MAX_OFFERS) {
+    if (exchange.history().count() >= MAX_ATTEMPTS) {
       return "offered often enough";
     }
-    if (verdict instanceof Verdict.NotRun notRun && !arrived(verdict)) {
+    if (verdict instanceof Verdict.NotRun notRun && !mayHaveReachedBackend(verdict)) {
       return switch (notRun.reason()) {
-        case OVERLOADED -> plan.tally().bounces() > MAX_BOUNCES ? "all are full" : "";
+        case OVERLOADED ->
+            plan.retryState().overloadRefusals() > MAX_OVERLOAD_REFUSALS ? "all are full" : "";
         case DRAINING, UNREACHABLE, NOT_READY, UNREADABLE -> "";
         default -> "refused for good";
       };
     }
-    boolean firm = verdict instanceof Verdict.NotRun;
-    if (!firm && !plan.rule().kind().isRepeatable()) {
+    boolean certainlyNotRun = verdict instanceof Verdict.NotRun;
+    if (!certainlyNotRun && !plan.rule().kind().isRepeatable()) {
       return "may have run and must not run twice";
     }
-    if (plan.tally().arrivals() >= plan.rule().maxAttempts()) {
+    if (plan.retryState().possiblyDelivered() >= plan.rule().maxAttempts()) {
       return "attempts of the route used up";
     }
     synchronized (window) {
-      return window.tryRetry(nowMillis, plan.service(), nodes.getAsInt())
+      return window.tryRetry(nowMillis, plan.service(), nodeCount.getAsInt())
           ? ""
           : "retry budget used up";
     }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/PlannedStop.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/PlannedStop.java
@@ -16,29 +16,29 @@
  */
 final class PlannedStop {
   /** How long callers have to notice that this node leaves: two questions, a second apart. */
-  private static final long CALLER_NOTICE_MILLIS = 2_200;
+  private static final long CLIENT_NOTICE_MILLIS = 2_200;
 
   /**
    * When callers that come all the same are refused: what they want might not finish. While the
    * back end beside this node works on a request, which may depend on calls that it makes, {@link
    * LateRequests} tells which.
    */
-  private static final long CALLERS_REFUSED_MILLIS = 2_800;
+  private static final long CLIENTS_REFUSED_MILLIS = 2_800;
 
   /**
    * Time before the cut-off from which those calls are refused, too, and callers' connections are
    * not accepted any more.
    */
-  private static final long CALLS_REFUSED_RESERVE_MILLIS = 1_000;
+  private static final long NESTED_CALLS_REFUSED_RESERVE_MILLIS = 1_000;
 
   /** When other nodes are told; until then this node works on for its back end. */
-  private static final long PEERS_TOLD_MILLIS = 1_400;
+  private static final long PEERS_NOTIFIED_MILLIS = 1_400;
 
   /** When requests of other nodes are refused, all of which have heard by then. */
   private static final long PEERS_REFUSED_MILLIS = 1_800;
 
   /** Work may be broken off in the last part of the grace time, which is divided by this. */
-  private static final int LAST_PART_DIVISOR = 6;
+  private static final int CUT_OFF_RESERVE_DIVISOR = 6;
 
   /** Longest time before the kill at which what is left is cut off, milliseconds. */
   private static final long MAX_CUT_OFF_RESERVE_MILLIS = 1_000;
@@ -49,12 +49,12 @@
    */
   private static final long FLUSH_MILLIS = 300;
 
-  private static final long STOP_CHECK_MILLIS = 20;
-  private static final long QUIET_MILLIS = 150;
+  private static final long CHECK_INTERVAL_MILLIS = 20;
+  private static final long MIN_IDLE_MILLIS = 150;
 
   private final MeshProxy proxy;
   private final LocalBackend backend;
-  private final Runnable tellPeers;
+  private final Runnable notifyPeers;
   private final MeshEvents events;
   private final LongSupplier clockMillis;
 
@@ -66,12 +66,12 @@
   PlannedStop(
       MeshProxy proxy,
       LocalBackend backend,
-      Runnable tellPeers,
+      Runnable notifyPeers,
       MeshEvents events,
       LongSupplier clockMillis) {
     this.proxy = proxy;
     this.backend = backend;
-    this.tellPeers = tellPeers;
+    this.notifyPeers = notifyPeers;
     this.events = events;
     this.clockMillis = clockMillis;
   }
@@ -82,58 +82,60 @@
    * @param graceMillis time until the process is killed, milliseconds
    */
   void run(long graceMillis) throws InterruptedException {
-    long began = clockMillis.getAsLong();
+    long startMillis = clockMillis.getAsLong();
     events.stopping(proxy.inFlight());
-    long cutOffReserve = Math.min(MAX_CUT_OFF_RESERVE_MILLIS, graceMillis / LAST_PART_DIVISOR);
-    long cutOffMillis = began + graceMillis - cutOffReserve;
-    proxy.refuseLateCallers(began + CALLERS_REFUSED_MILLIS, cutOffMillis);
-    awaitQuiet(began, cutOffMillis);
+    long cutOffReserveMillis =
+        Math.min(MAX_CUT_OFF_RESERVE_MILLIS, graceMillis / CUT_OFF_RESERVE_DIVISOR);
+    long cutOffMillis = startMillis + graceMillis - cutOffReserveMillis;
+    proxy.refuseLateClientRequests(startMillis + CLIENTS_REFUSED_MILLIS, cutOffMillis);
+    awaitIdle(startMillis, cutOffMillis);
     // From here on nothing is sent on: it might have no time to be answered.
-    backend.leave();
-    proxy.refuseCallers();
+    backend.startDraining();
+    proxy.refuseClientRequests();
     proxy.endConnections(cutOffMillis);
-    int unanswered = proxy.inFlight();
+    int inFlightAtEnd = proxy.inFlight();
     int cutOff = proxy.abortAll();
-    int onTheirWay = proxy.inFlight();
-    int refused = Math.max(0, unanswered - cutOff - onTheirWay);
+    int stillResponding = proxy.inFlight();
+    int refused = Math.max(0, inFlightAtEnd - cutOff - stillResponding);
     proxy.endConnections(cutOffMillis + FLUSH_MILLIS);
     cutOff += proxy.inFlight();
-    long millis = clockMillis.getAsLong() - began;
-    events.stopped(cutOff, refused, proxy.openCallers(), proxy.unwrittenBytes(), millis);
+    long elapsedMillis = clockMillis.getAsLong() - startMillis;
+    events.stopped(
+        cutOff, refused, proxy.openIncomingConnections(), proxy.unwrittenBytes(), elapsedMillis);
   }
 
   /** Returns when callers have noticed and nothing is in flight any more, or at the bound. */
-  private void awaitQuiet(long began, long end) throws InterruptedException {
-    boolean told = false;
-    long quietSince = began;
-    while (clockMillis.getAsLong() < end) {
+  private void awaitIdle(long startMillis, long endMillis) throws InterruptedException {
+    boolean peersNotified = false;
+    long idleSinceMillis = startMillis;
+    while (clockMillis.getAsLong() < endMillis) {
       long now = clockMillis.getAsLong();
-      if (!told && now >= began + PEERS_TOLD_MILLIS) {
-        told = true;
-        tellPeers.run();
+      if (!peersNotified && now >= startMillis + PEERS_NOTIFIED_MILLIS) {
+        peersNotified = true;
+        notifyPeers.run();
       }
-      if (now >= began + PEERS_REFUSED_MILLIS) {
-        backend.leave();
+      if (now >= startMillis + PEERS_REFUSED_MILLIS) {
+        backend.startDraining();
       }
-      if (now >= began + CALLERS_REFUSED_MILLIS) {
-        refuseCallers(now >= end - CALLS_REFUSED_RESERVE_MILLIS);
+      if (now >= startMillis + CLIENTS_REFUSED_MILLIS) {
+        refuseClientRequests(now >= endMillis - NESTED_CALLS_REFUSED_RESERVE_MILLIS);
       }
-      quietSince = proxy.inFlight() > 0 ? now : quietSince;
-      if (now >= began + CALLER_NOTICE_MILLIS && now >= quietSince + QUIET_MILLIS) {
+      idleSinceMillis = proxy.inFlight() > 0 ? now : idleSinceMillis;
+      if (now >= startMillis + CLIENT_NOTICE_MILLIS && now >= idleSinceMillis + MIN_IDLE_MILLIS) {
         return;
       }
-      Thread.sleep(STOP_CHECK_MILLIS);
+      Thread.sleep(CHECK_INTERVAL_MILLIS);
     }
   }
 
   /** Refuses callers, unless the back end is at work and there is time for the calls it makes. */
-  private void refuseCallers(boolean isTooLateForCalls) {
-    if (isTooLateForCalls) {
+  private void refuseClientRequests(boolean isTooLateForNestedCalls) {
+    if (isTooLateForNestedCalls) {
       // A connection that comes now may lie unread until the process has gone.
-      proxy.closeToCallers();
+      proxy.closeOutboundListener();
     }
-    if (isTooLateForCalls || !proxy.isBackendAtWork()) {
-      proxy.refuseCallers();
+    if (isTooLateForNestedCalls || !proxy.isBackendBusy()) {
+      proxy.refuseClientRequests();
     }
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/RequestEvents.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/RequestEvents.java
@@ -29,7 +29,7 @@
   }
 
   void requestFailed(
-      MeshEdgePlan plan,
+      MeshOutboundPlan plan,
       String fingerprint,
       int attempts,
       Verdict verdict,
@@ -44,7 +44,7 @@
         .with(FINGERPRINT, fingerprint)
         .with(MILLIS, millis)
         .with(UNREAD, unreadMillis)
-        .log("attempts %d, sent to back ends %d", attempts, plan.tally().arrivals());
+        .log("attempts %d, sent to back ends %d", attempts, plan.retryState().possiblyDelivered());
   }
 
   /** A connection ended, and requests that were read from it, or bytes of some, have no answer. */
@@ -62,9 +62,9 @@
         .log("sent on %d, not begun %d", unanswered.sentOn(), input.isHeadUnbegun() ? 1 : 0);
   }
 
-  void requestServed(MeshEdgePlan plan, int attempts, long millis) {
+  void requestServed(MeshOutboundPlan plan, int attempts, long millis) {
     // Each request comes here, and nearly all go beyond the bound.
-    if (!events.mayWrite(MeshEvent.REQUEST_SERVED)) {
+    if (!events.tryAcquireLine(MeshEvent.REQUEST_SERVED)) {
       return;
     }
     MeshEvents.line(MeshEvent.REQUEST_SERVED, true)
@@ -81,15 +81,19 @@
    * @param against why the request is not sent again; empty if it is
    */
   void attemptFailed(
-      MeshEdgePlan plan, String backend, String fingerprint, Verdict verdict, String against) {
+      MeshOutboundPlan plan,
+      String backend,
+      String fingerprint,
+      Verdict verdict,
+      String noRetryReason) {
     events
         .line(MeshEvent.ATTEMPT_FAILED)
         .with(LogFields.REQUEST_ID, plan.requestId())
         .with(BACKEND, backend)
         .with(LogFields.OUTCOME, VerdictHeader.format(verdict))
         .with(FINGERPRINT, fingerprint)
-        .with(CAUSE, against)
-        .log("%s", against.isEmpty() ? "sent again" : "not sent again");
+        .with(CAUSE, noRetryReason)
+        .log("%s", noRetryReason.isEmpty() ? "sent again" : "not sent again");
   }
 
   /**
@@ -97,7 +101,7 @@
    * their own: while a back end is away they are so many that they would crowd out its failures.
    */
   void gateFailed(
-      MeshGatePlan plan,
+      MeshInboundPlan plan,
       String fingerprint,
       Verdict verdict,
       String load,
@@ -120,11 +124,11 @@
    *
    * @param lacking the header that is missing or malformed
    */
-  void gateHeadRefused(String requestId, String lacking) {
+  void gateHeadRefused(String requestId, String header) {
     events
         .line(MeshEvent.GATE_HEAD_REFUSED)
         .with(LogFields.REQUEST_ID, requestId)
-        .with(CAUSE, lacking)
+        .with(CAUSE, header)
         .log("missing or malformed");
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/RequestQuarantine.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/RequestQuarantine.java
@@ -24,12 +24,12 @@
   private static final long MILLIS_PER_SECOND = 1_000;
 
   private final SuspectLedger ledger;
-  private final Predicate<RequestFingerprint> owner;
+  private final Predicate<RequestFingerprint> isTrialOwner;
   private final MeshEvents events;
   private final LongSupplier clockMillis;
 
   /** What other nodes have not been told yet; guarded by this object's lock. */
-  private final List<Suspicion> news = new ArrayList<>();
+  private final List<Suspicion> unsentSuspicions = new ArrayList<>();
 
   private volatile Set<Long> heldTargets = Set.of();
   private volatile int suspects;
@@ -43,29 +43,29 @@
    */
   RequestQuarantine(
       SuspectLedger ledger,
-      Predicate<RequestFingerprint> owner,
+      Predicate<RequestFingerprint> isTrialOwner,
       MeshEvents events,
       LongSupplier clockMillis) {
     this.ledger = ledger;
-    this.owner = owner;
+    this.isTrialOwner = isTrialOwner;
     this.events = events;
     this.clockMillis = clockMillis;
   }
 
   /** Whether a request of that target may be held; most often the body need not be looked at. */
-  boolean concerns(long target) {
+  boolean mayHold(long targetHash) {
     Set<Long> targets = heldTargets;
-    return !targets.isEmpty() && targets.contains(target);
+    return !targets.isEmpty() && targets.contains(targetHash);
   }
 
   /** Whether this node keeps a caller's request from all back ends; if not, it may be a trial. */
-  boolean holdsAtEdge(RequestFingerprint request) {
+  boolean blocksOutbound(RequestFingerprint request) {
     long now = clockMillis.getAsLong();
     synchronized (this) {
       if (!ledger.isHeld(request)) {
         return false;
       }
-      if (!ledger.isTrialDue(now, request) || !owner.test(request)) {
+      if (!ledger.isTrialDue(now, request) || !isTrialOwner.test(request)) {
         return true;
       }
       ledger.beginTrial(now, request);
@@ -75,7 +75,7 @@
   }
 
   /** Whether a request of another node is kept from the back end beside this one. */
-  boolean holdsAtGate(RequestFingerprint request) {
+  boolean blocksInbound(RequestFingerprint request) {
     long now = clockMillis.getAsLong();
     synchronized (this) {
       return ledger.isHeld(request) && !ledger.isTrialDue(now, request);
@@ -83,32 +83,33 @@
   }
 
   /** The back end beside this node ended while it ran these requests. */
-  synchronized void backendEnded(BackendStart backend, Collection<RequestFingerprint> running) {
+  synchronized void recordBackendCrash(
+      BackendStart backend, Collection<RequestFingerprint> running) {
     Set<RequestFingerprint> heldBefore = held(running);
-    news.addAll(ledger.ended(clockMillis.getAsLong(), backend, running));
-    changed(heldBefore, running);
+    unsentSuspicions.addAll(ledger.ended(clockMillis.getAsLong(), backend, running));
+    publishChanges(heldBefore, running);
   }
 
   /** A request ran to a good end on the back end beside this node. */
-  synchronized void succeeded(RequestFingerprint request) {
+  synchronized void recordSuccess(RequestFingerprint request) {
     boolean heldBefore = ledger.isHeld(request);
     Optional<Suspicion> cleared = ledger.succeeded(clockMillis.getAsLong(), request);
     if (cleared.isPresent()) {
-      news.add(cleared.get());
-      changed(heldBefore ? Set.of(request) : Set.of(), List.of(request));
+      unsentSuspicions.add(cleared.get());
+      publishChanges(heldBefore ? Set.of(request) : Set.of(), List.of(request));
     }
   }
 
   /** Takes what another node knows; what this node knows against it is news for all. */
   synchronized void take(SuspectMessage message) {
     long now = clockMillis.getAsLong();
-    List<Suspicion> heard = message.asOf(now);
-    List<RequestFingerprint> concerned = heard.stream().map(Suspicion::request).toList();
-    Set<RequestFingerprint> heldBefore = held(concerned);
-    for (Suspicion each : heard) {
-      ledger.take(now, each).stream().skip(1).forEach(news::add);
+    List<Suspicion> received = message.asOf(now);
+    List<RequestFingerprint> affected = received.stream().map(Suspicion::request).toList();
+    Set<RequestFingerprint> heldBefore = held(affected);
+    for (Suspicion each : received) {
+      ledger.take(now, each).stream().skip(1).forEach(unsentSuspicions::add);
     }
-    changed(heldBefore, concerned);
+    publishChanges(heldBefore, affected);
   }
 
   private Set<RequestFingerprint> held(Collection<RequestFingerprint> requests) {
@@ -121,10 +122,10 @@
     return held;
   }
 
-  private void changed(
-      Set<RequestFingerprint> heldBefore, Collection<RequestFingerprint> concerned) {
-    publish();
-    for (RequestFingerprint request : concerned) {
+  private void publishChanges(
+      Set<RequestFingerprint> heldBefore, Collection<RequestFingerprint> affected) {
+    updateSummary();
+    for (RequestFingerprint request : affected) {
       boolean isHeld = ledger.isHeld(request);
       if (isHeld != heldBefore.contains(request)) {
         events.requestHeld(request, isHeld, ledger.weight(request));
@@ -138,24 +139,24 @@
     if (suspects > 0) {
       ledger.forget(clockMillis.getAsLong());
       heldTargets = ledger.heldTargets();
-      publish();
+      updateSummary();
     }
   }
 
-  private void publish() {
+  private void updateSummary() {
     suspects = ledger.size();
     digest = ledger.digest();
   }
 
   /** What the other nodes are to be told since the last call. */
-  synchronized List<Suspicion> takeNews() {
-    List<Suspicion> taken = List.copyOf(news);
-    news.clear();
-    return taken;
+  synchronized List<Suspicion> drainUnsent() {
+    List<Suspicion> drained = List.copyOf(unsentSuspicions);
+    unsentSuspicions.clear();
+    return drained;
   }
 
   /** All that is known, for a node that knows less. */
-  synchronized List<Suspicion> all() {
+  synchronized List<Suspicion> allSuspicions() {
     return ledger.all();
   }
 
@@ -165,20 +166,20 @@
     StringBuilder lines = new StringBuilder();
     for (Suspicion each : ledger.all()) {
       if (ledger.isHeld(each.request())) {
-        lines.append(line(now, each));
+        lines.append(statusLine(now, each));
       }
     }
     return lines.toString();
   }
 
-  private static String line(long nowMillis, Suspicion held) {
-    LongSummaryStatistics ends =
+  private static String statusLine(long nowMillis, Suspicion held) {
+    LongSummaryStatistics crashTimes =
         held.marks().stream()
             .filter(mark -> !mark.cleared())
             .collect(Collectors.summarizingLong(CrashMark::atMillis));
-    long lastSeconds = (nowMillis - ends.getMax()) / MILLIS_PER_SECOND;
+    long secondsSinceLast = (nowMillis - crashTimes.getMax()) / MILLIS_PER_SECOND;
     return "%s held, ended %d back ends, the last %d s ago%n"
-        .formatted(held.request().text(), ends.getCount(), lastSeconds);
+        .formatted(held.request().text(), crashTimes.getCount(), secondsSinceLast);
   }
 
   /** The same at all nodes that know the same; 0 if nothing is known. */
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/LateRequests.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/ShutdownRefusalPolicy.java
@@ -7,16 +7,17 @@
  * that ends before the cut-off by its own deadline is served. So is one that may be a call of the
  * back end beside the node, which ends with the work that makes it.
  */
-final class LateRequests {
+final class ShutdownRefusalPolicy {
   /** A node that does not stop refuses none. */
-  static final LateRequests NONE = new LateRequests(Long.MAX_VALUE, 0, () -> Long.MAX_VALUE);
+  static final ShutdownRefusalPolicy REFUSE_NONE =
+      new ShutdownRefusalPolicy(Long.MAX_VALUE, 0, () -> Long.MAX_VALUE);
 
   /** How much later than its work a call may seem to end, by the time on the way. */
-  private static final long CALL_SLACK_MILLIS = 500;
+  private static final long NESTED_CALL_SLACK_MILLIS = 500;
 
-  private final long fromMillis;
+  private final long refuseFromMillis;
   private final long cutOffMillis;
-  private final LongSupplier latestWorkDeadlineMillis;
+  private final LongSupplier latestBackendDeadlineMillis;
 
   /**
    * Creates one.
@@ -25,10 +26,11 @@
    * @param cutOffMillis when what is in flight is cut off, on the node's clock
    * @param latestWorkDeadlineMillis latest deadline of the requests that the back end works on
    */
-  LateRequests(long fromMillis, long cutOffMillis, LongSupplier latestWorkDeadlineMillis) {
-    this.fromMillis = fromMillis;
+  ShutdownRefusalPolicy(
+      long refuseFromMillis, long cutOffMillis, LongSupplier latestBackendDeadlineMillis) {
+    this.refuseFromMillis = refuseFromMillis;
     this.cutOffMillis = cutOffMillis;
-    this.latestWorkDeadlineMillis = latestWorkDeadlineMillis;
+    this.latestBackendDeadlineMillis = latestBackendDeadlineMillis;
   }
 
   /**
@@ -36,9 +38,9 @@
    *
    * @param deadlineMillis when its caller gives up, on the node's clock
    */
-  boolean refuses(long deadlineMillis, long nowMillis) {
-    return nowMillis >= fromMillis
+  boolean shouldRefuse(long deadlineMillis, long nowMillis) {
+    return nowMillis >= refuseFromMillis
         && deadlineMillis > cutOffMillis
-        && deadlineMillis - CALL_SLACK_MILLIS > latestWorkDeadlineMillis.getAsLong();
+        && deadlineMillis - NESTED_CALL_SLACK_MILLIS > latestBackendDeadlineMillis.getAsLong();
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/Signals.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/Signals.java
@@ -7,7 +7,7 @@
  * Reached by reflection, for the compiler refuses the class as internal.
  */
 public final class Signals {
-  private static final String RELOAD = "HUP";
+  private static final String RELOAD_SIGNAL = "HUP";
 
   private Signals() {}
 
@@ -28,7 +28,8 @@
               });
       signal
           .getMethod("handle", signal, handler)
-          .invoke(null, signal.getConstructor(String.class).newInstance(RELOAD), taskHandler);
+          .invoke(
+              null, signal.getConstructor(String.class).newInstance(RELOAD_SIGNAL), taskHandler);
     } catch (ReflectiveOperationException | IllegalArgumentException unavailable) {
       // Without it a changed file is taken at the next start.
       return;
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/StatusFilter.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/StatusFilter.java
@@ -22,11 +22,11 @@
    */
   record Answer(int status, String text) {}
 
-  private final Function<String, Answer> answers;
+  private final Function<String, Answer> responses;
 
   /** Creates a filter that looks up the answer of a path. */
-  StatusFilter(Function<String, Answer> answers) {
-    this.answers = answers;
+  StatusFilter(Function<String, Answer> responses) {
+    this.responses = responses;
   }
 
   @Override
@@ -36,13 +36,13 @@
       return context.getStopAction();
     }
     HttpRequestPacket request = (HttpRequestPacket) content.getHttpHeader();
-    Answer answer = answers.apply(request.getRequestURI());
-    byte[] text = answer.text().getBytes(StandardCharsets.UTF_8);
+    Answer statusResponse = responses.apply(request.getRequestURI());
+    byte[] body = statusResponse.text().getBytes(StandardCharsets.UTF_8);
     HttpResponsePacket response = request.getResponse();
-    response.setStatus(answer.status());
+    response.setStatus(statusResponse.status());
     response.setContentType("text/plain; charset=utf-8");
-    response.setContentLength(text.length);
-    Buffer buffer = Buffers.wrap(MemoryManager.DEFAULT_MEMORY_MANAGER, text);
+    response.setContentLength(body.length);
+    Buffer buffer = Buffers.wrap(MemoryManager.DEFAULT_MEMORY_MANAGER, body);
     context.write(response.httpContentBuilder().content(buffer).last(true).build());
     return context.getStopAction();
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/SuspectExchange.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/SuspectExchange.java
@@ -14,10 +14,10 @@
  */
 final class SuspectExchange {
   /** Least time between two times that one node is told everything, milliseconds. */
-  private static final long RETELL_MILLIS = 1_000;
+  private static final long FULL_SYNC_INTERVAL_MILLIS = 1_000;
 
   /** Nodes that are told everything in a second at most. */
-  private static final int MAX_RETOLD = 8;
+  private static final int MAX_FULL_SYNCS_PER_INTERVAL = 8;
 
   /** Sends datagrams to nodes. */
   interface Sender {
@@ -25,29 +25,29 @@
   }
 
   private final RequestQuarantine quarantine;
-  private final Supplier<Collection<String>> others;
+  private final Supplier<Collection<String>> peers;
   private final Sender sender;
   private final LongSupplier clockMillis;
 
   /** When nodes were told everything in the last second; guarded by this object's lock. */
-  private final Map<String, Long> retoldMillis = new HashMap<>();
+  private final Map<String, Long> fullSyncMillis = new HashMap<>();
 
   SuspectExchange(
       RequestQuarantine quarantine,
-      Supplier<Collection<String>> others,
+      Supplier<Collection<String>> peers,
       Sender sender,
       LongSupplier clockMillis) {
     this.quarantine = quarantine;
-    this.others = others;
+    this.peers = peers;
     this.sender = sender;
     this.clockMillis = clockMillis;
   }
 
   /** Tells what is new. */
   void tick() {
-    List<Suspicion> news = quarantine.takeNews();
-    if (!news.isEmpty()) {
-      sender.send(SuspectMessage.encode(clockMillis.getAsLong(), news), others.get());
+    List<Suspicion> unsent = quarantine.drainUnsent();
+    if (!unsent.isEmpty()) {
+      sender.send(SuspectMessage.encode(clockMillis.getAsLong(), unsent), peers.get());
     }
   }
 
@@ -56,19 +56,20 @@
     if (digest == quarantine.digest()) {
       return;
     }
-    List<Suspicion> all = quarantine.all();
+    List<Suspicion> all = quarantine.allSuspicions();
     long now = clockMillis.getAsLong();
-    if (!all.isEmpty() && mayRetell(host, now)) {
+    if (!all.isEmpty() && tryStartFullSync(host, now)) {
       sender.send(SuspectMessage.encode(now, all), List.of(host));
     }
   }
 
-  private synchronized boolean mayRetell(String host, long nowMillis) {
-    retoldMillis.values().removeIf(at -> at + RETELL_MILLIS <= nowMillis);
-    boolean may = retoldMillis.size() < MAX_RETOLD && !retoldMillis.containsKey(host);
-    if (may) {
-      retoldMillis.put(host, nowMillis);
+  private synchronized boolean tryStartFullSync(String host, long nowMillis) {
+    fullSyncMillis.values().removeIf(at -> at + FULL_SYNC_INTERVAL_MILLIS <= nowMillis);
+    boolean isAllowed =
+        fullSyncMillis.size() < MAX_FULL_SYNCS_PER_INTERVAL && !fullSyncMillis.containsKey(host);
+    if (isAllowed) {
+      fullSyncMillis.put(host, nowMillis);
     }
-    return may;
+    return isAllowed;
   }
 }
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/BackendCrashDetectorTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/BackendCrashDetectorTest.java
@@ -18,46 +18,46 @@
   private static final RequestFingerprint OTHER = new RequestFingerprint(2, 2);
 
   /** How to fail the connections that were asked for. */
-  private final List<Consumer<Throwable>> openings = new ArrayList<>();
+  private final List<Consumer<Throwable>> connectAttempts = new ArrayList<>();
 
   private long now = 5_000;
-  private boolean stillRuns;
+  private boolean earlierRequestStillRuns;
   private final ConnectionPool pool =
       new ConnectionPool(new PeerAddress("127.0.0.1", 1), this::open, 4, () -> now);
   private final BackendCrashDetector detector = new BackendCrashDetector(pool, () -> now);
 
   @SuppressWarnings("rawtypes") // Grizzly's own signature
   private void open(PeerAddress address, CompletionHandler<Connection> handler) {
-    openings.add(handler::failed);
+    connectAttempts.add(handler::failed);
   }
 
   private List<BackendCrashDetector.Crash> tickAfter(long millis) {
     now += millis;
-    return detector.tick((backend, atMillis) -> stillRuns).stream().toList();
+    return detector.pollCrash((backend, atMillis) -> earlierRequestStillRuns).stream().toList();
   }
 
-  private void refuse(int opening) {
-    openings.get(opening).accept(new ConnectException("refused"));
+  private void refuse(int attempt) {
+    connectAttempts.get(attempt).accept(new ConnectException("refused"));
   }
 
   @Test
-  void whatWasLostTogetherIsTheCrashOfABackendThatNobodyReaches() {
-    detector.lost("i-1", ONE);
+  void requestsLostTogetherAreReportedAsOneCrashOfAnUnreachableBackend() {
+    detector.connectionLost("i-1", ONE);
     refuse(0);
-    detector.lost("i-1", OTHER);
+    detector.connectionLost("i-1", OTHER);
 
     assertThat(tickAfter(0)).isEmpty();
     assertThat(tickAfter(40))
         .singleElement()
         .satisfies(crash -> assertThat(crash.backend()).isEqualTo("i-1"))
         .satisfies(crash -> assertThat(crash.requests()).containsExactlyInAnyOrder(ONE, OTHER));
-    assertThat(openings).hasSize(1);
+    assertThat(connectAttempts).hasSize(1);
     assertThat(tickAfter(1_000)).isEmpty();
   }
 
   @Test
-  void nothingIsSaidBeforeItIsKnownWhetherSomebodyListens() {
-    detector.lost("i-1", ONE);
+  void reportsNoCrashBeforeTheProbeConnectionFails() {
+    detector.connectionLost("i-1", ONE);
 
     assertThat(tickAfter(100)).isEmpty();
     refuse(0);
@@ -65,20 +65,20 @@
   }
 
   @Test
-  void whatWasSentBeforeAndStillRunsSpeaksAgainstACrash() {
-    stillRuns = true;
-    detector.lost("i-1", ONE);
+  void anEarlierRequestThatStillRunsRulesOutACrash() {
+    earlierRequestStillRuns = true;
+    detector.connectionLost("i-1", ONE);
     refuse(0);
 
     assertThat(tickAfter(100)).isEmpty();
-    stillRuns = false;
+    earlierRequestStillRuns = false;
     assertThat(tickAfter(100)).isEmpty();
   }
 
   @Test
-  void theNextStartOfTheBackendIsAnother() {
-    detector.lost("i-1", ONE);
-    detector.lost("i-2", OTHER);
+  void aLossOnTheNextStartReplacesTheSuspicionOfTheEarlierOne() {
+    detector.connectionLost("i-1", ONE);
+    detector.connectionLost("i-2", OTHER);
     refuse(0);
 
     assertThat(tickAfter(100)).isEmpty();
@@ -90,14 +90,14 @@
 
   /** An answer may be read after the end that came behind it. */
   @Test
-  void onlyAnAnswerToALaterRequestShowsThatTheBackendGoesOn() {
-    detector.lost("i-1", ONE);
-    detector.answered("i-1", now);
+  void onlyAResponseToALaterRequestProvesTheBackendAlive() {
+    detector.connectionLost("i-1", ONE);
+    detector.responseReceived("i-1", now);
     refuse(0);
     assertThat(tickAfter(100)).hasSize(1);
 
-    detector.lost("i-1", ONE);
-    detector.answered("i-1", now + 1);
+    detector.connectionLost("i-1", ONE);
+    detector.responseReceived("i-1", now + 1);
     refuse(1);
     assertThat(tickAfter(100)).isEmpty();
   }
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/LocalBackendTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/LocalBackendTest.java
@@ -88,82 +88,82 @@
 
   /** The entry of a back end that was replaced stands in the store for some seconds more. */
   @Test
-  void whatIsMeantForAStartThatHasEndedIsNotPassedOnThoughItsEntryStands() {
-    assertThat(backend.takes("first")).isTrue();
+  void refusesRequestsForAnEndedStartWhileItsEntryIsStillListed() {
+    assertThat(backend.acceptsNewWork("first")).isTrue();
 
-    backend.isAnother("first", "second");
+    backend.recordRespondingInstance("first", "second");
 
-    assertThat(backend.takes("first")).isFalse();
-    assertThat(backend.takes("second")).isTrue();
+    assertThat(backend.acceptsNewWork("first")).isFalse();
+    assertThat(backend.acceptsNewWork("second")).isTrue();
   }
 
   @Test
-  void anotherStartUnderTheIdOfOneThatHasEndedTakesNewWork() {
+  void aNewStartUnderTheSameIdAcceptsNewWork() {
     view = viewOf(startedAt(1_000));
     backend.refresh();
-    backend.isAnother("first", "second");
-    assertThat(backend.takes("first")).isFalse();
+    backend.recordRespondingInstance("first", "second");
+    assertThat(backend.acceptsNewWork("first")).isFalse();
 
     view = viewOf(startedAt(2_000));
     backend.refresh();
 
-    assertThat(backend.takes("first")).isTrue();
+    assertThat(backend.acceptsNewWork("first")).isTrue();
     assertThat(backend.bornMillis()).isEqualTo(2_000);
     assertThat(backend.startOf("first").bornMillis()).isEqualTo(2_000);
   }
 
   @Test
-  void anAnswerOfTheStartThatWasAskedForEndsNothing() {
-    backend.isAnother("first", "first");
+  void aResponseFromTheExpectedStartEndsNothing() {
+    backend.recordRespondingInstance("first", "first");
 
-    assertThat(backend.takes("first")).isTrue();
+    assertThat(backend.acceptsNewWork("first")).isTrue();
   }
 
   @Test
-  void oneThatLeavesOrWasListedAndIsNoMoreTakesNothingNew() {
+  void aDrainingOrDelistedBackendRefusesNewWork() {
     backend.refresh();
     view = viewOf(entry("first", BackendEntry.State.DRAINING));
-    assertThat(backend.takes("first")).isFalse();
+    assertThat(backend.acceptsNewWork("first")).isFalse();
 
     view = viewOf();
-    assertThat(backend.takes("first")).isFalse();
-    assertThat(backend.takes("not-listed-yet")).isTrue();
+    assertThat(backend.acceptsNewWork("first")).isFalse();
+    assertThat(backend.acceptsNewWork("not-listed-yet")).isTrue();
   }
 
   @Test
-  void oneThatLivesAlthoughItsEntryHasLapsedTakesNewWork() {
+  void anAttestedBackendWithALapsedEntryAcceptsNewWork() {
     backend.refresh();
     view = viewOf();
-    assertThat(backend.takes("first")).isFalse();
+    assertThat(backend.acceptsNewWork("first")).isFalse();
 
     attested = "first";
-    assertThat(backend.takes("first")).isTrue();
+    assertThat(backend.acceptsNewWork("first")).isTrue();
   }
 
   @Test
-  void aNodeThatStopsTakesNothingNew() {
-    backend.leave();
+  void aStoppingNodeRefusesNewWork() {
+    backend.startDraining();
 
-    assertThat(backend.takes("first")).isFalse();
+    assertThat(backend.acceptsNewWork("first")).isFalse();
   }
 
   /** The operator empties a zone; its back ends may come back cold without saying so yet. */
   @Test
-  void anEvacuatedZoneTakesNothingNewAndIsColdAfterwards() {
+  void anEvacuatedZoneRefusesNewWorkAndIsColdAfterwards() {
     BackendEntry first = entry("first", BackendEntry.State.READY);
     view = viewOf(Set.of("zone"), first);
     backend.refresh();
-    assertThat(backend.takes("first")).isFalse();
+    assertThat(backend.acceptsNewWork("first")).isFalse();
 
     view = viewOf(Set.of("elsewhere"), first);
     backend.refresh();
-    assertThat(backend.takes("first")).isTrue();
+    assertThat(backend.acceptsNewWork("first")).isTrue();
     assertThat(backend.coldStarts().isCold(nowMillis + 2_999)).isTrue();
     assertThat(backend.coldStarts().isCold(nowMillis + 3_000)).isFalse();
   }
 
   @Test
-  void anEntryThatSaysSoMakesTheBackendColdAtAnyTimeAndOnlyOnce() {
+  void anEntryWithAWarmupTimeMakesTheBackendColdOnce() {
     view = viewOf(Set.of(), entry("first", BackendEntry.State.READY));
     backend.refresh();
     assertThat(backend.coldStarts().isCold(nowMillis)).isFalse();
@@ -179,11 +179,11 @@
 
   /** Another node may hear of a start first and send to it. */
   @Test
-  void aStartThatIsNotListedYetIsTakenForCold() {
+  void aStartThatIsNotListedYetIsAssumedCold() {
     view = viewOf(Set.of(), entry("first", BackendEntry.State.READY));
     backend.refresh();
 
-    assertThat(backend.takes("second")).isTrue();
+    assertThat(backend.acceptsNewWork("second")).isTrue();
 
     assertThat(backend.coldStarts().isCold(nowMillis)).isTrue();
   }
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/MeshEventTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/MeshEventTest.java
@@ -11,7 +11,7 @@
 final class MeshEventTest {
   @ParameterizedTest
   @EnumSource(MeshEvent.class)
-  void everyEventIsOnTheOperationsPage(MeshEvent event) throws IOException {
+  void everyEventIsDocumentedForOperators(MeshEvent event) throws IOException {
     String page = Files.readString(Path.of("../docs/OPERATIONS.md"));
 
     assertThat(page).contains("`" + event.label() + "`");
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/MeshRefusalStyleTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/MeshRefusalStyleTest.java
@@ -16,7 +16,7 @@
     "2046, 2.05",
     "12000, 12.00"
   })
-  void timesToComeBackHaveHundredthsOfASecond(long millis, String text) {
+  void retryAfterHasHundredthsOfASecond(long millis, String text) {
     assertThat(new MeshRefusalStyle().retryAfter(millis)).isEqualTo(text);
   }
 }
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/QuarantineFleetTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/QuarantineFleetTest.java
@@ -2,64 +2,75 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import io.umberpath.node.mesh.QuarantineSimulation.Disturbance;
+import io.umberpath.node.mesh.QuarantineSimulation.HoldPolicy;
 import io.umberpath.node.mesh.QuarantineSimulation.Outcome;
 import io.umberpath.node.mesh.QuarantineSimulation.Scenario;
-import io.umberpath.node.mesh.QuarantineSimulation.Trouble;
-import io.umberpath.node.mesh.QuarantineSimulation.Way;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** What the quarantine does for a whole fleet, in virtual time, at the sizes that are run. */
 final class QuarantineFleetTest {
-  private static final Way STANDING = new Way("three", MeshNode.MARKS_TO_HOLD, false);
-  private static final Way NOTHING_HELD = new Way("nothing", Integer.MAX_VALUE, false);
+  private static final HoldPolicy PRODUCTION_POLICY =
+      new HoldPolicy("three", MeshNode.MARKS_TO_HOLD, false);
+  private static final HoldPolicy NO_QUARANTINE =
+      new HoldPolicy("nothing", Integer.MAX_VALUE, false);
 
   /** Arrivals of a culprit that users accept once every node has to know. */
-  private static final int ACCEPTED_ARRIVALS = 3;
+  private static final int MAX_LATE_ARRIVALS = 3;
 
-  private static Outcome play(Scenario scenario, Way way, long seed) {
-    return new QuarantineSimulation(scenario, way, seed).run();
+  private static Outcome simulate(Scenario scenario, HoldPolicy policy, long seed) {
+    return new QuarantineSimulation(scenario, policy, seed).run();
   }
 
   @ParameterizedTest
   @CsvSource({"12,200,1", "12,200,5", "95,950,1", "95,950,5", "300,3000,5", "1000,5000,1"})
-  void culpritsAreHeldEverywhereAndNobodyElseIs(int nodes, int rate, int culprits) {
-    Outcome outcome = play(Scenario.calm(nodes, rate, culprits), STANDING, nodes + culprits);
+  void poisonRequestsAndOnlyTheseAreHeldOnAllNodes(int nodes, int rate, int poisonRequests) {
+    Outcome outcome =
+        simulate(
+            Scenario.undisturbed(nodes, rate, poisonRequests),
+            PRODUCTION_POLICY,
+            nodes + poisonRequests);
 
     assertThat(outcome.lateArrivals()).isZero();
-    assertThat(outcome.turnedAway()).isZero();
-    assertThat(outcome.lastNodeMillis()).isBetween(0L, 500L);
-    assertThat(outcome.ends()).isLessThanOrEqualTo(8 * culprits);
+    assertThat(outcome.wronglyHeld()).isZero();
+    assertThat(outcome.slowestNodeMillis()).isBetween(0L, 500L);
+    assertThat(outcome.crashes()).isLessThanOrEqualTo(8 * poisonRequests);
   }
 
   @ParameterizedTest
   @CsvSource({"12,200,1", "12,200,2", "95,950,3", "300,3000,4"})
-  void lossACutZoneAndNodesThatStartAgainLetFewThrough(int nodes, int rate, long seed) {
+  void fewPoisonRequestsPassDespiteLossPartitionAndRestarts(int nodes, int rate, long seed) {
     Scenario scenario =
-        Scenario.calm(nodes, rate, 1).with(Trouble.LOSS, Trouble.CUT_ZONE, Trouble.RESTARTS);
+        Scenario.undisturbed(nodes, rate, 1)
+            .with(Disturbance.DATAGRAM_LOSS, Disturbance.ZONE_PARTITION, Disturbance.NODE_RESTARTS);
 
-    Outcome outcome = play(scenario, STANDING, seed);
+    Outcome outcome = simulate(scenario, PRODUCTION_POLICY, seed);
 
-    assertThat(outcome.lateArrivals()).isLessThanOrEqualTo(ACCEPTED_ARRIVALS);
-    assertThat(outcome.turnedAway()).isZero();
+    assertThat(outcome.lateArrivals()).isLessThanOrEqualTo(MAX_LATE_ARRIVALS);
+    assertThat(outcome.wronglyHeld()).isZero();
   }
 
   @ParameterizedTest
   @CsvSource({"12,200,1", "12,200,2", "95,950,3", "300,3000,4"})
-  void endsOfAThirdOfTheBackendsTurnNobodyAway(int nodes, int rate, long seed) {
-    Outcome outcome = play(Scenario.calm(nodes, rate, 0).with(Trouble.KILLS), STANDING, seed);
+  void killingAThirdOfTheBackendsHoldsNoOrdinaryRequest(int nodes, int rate, long seed) {
+    Outcome outcome =
+        simulate(
+            Scenario.undisturbed(nodes, rate, 0).with(Disturbance.BACKEND_KILLS),
+            PRODUCTION_POLICY,
+            seed);
 
-    assertThat(outcome.innocents()).isGreaterThan(7_000);
-    assertThat(outcome.turnedAway()).isZero();
+    assertThat(outcome.ordinaryRequests()).isGreaterThan(7_000);
+    assertThat(outcome.wronglyHeld()).isZero();
   }
 
   /** The simulation shows the fault where nothing is held. */
   @Test
-  void withoutItEachCulpritEndsBackendsWithoutBound() {
-    Outcome outcome = play(Scenario.calm(12, 200, 1), NOTHING_HELD, 1);
+  void withoutQuarantineAPoisonRequestCrashesBackendsWithoutBound() {
+    Outcome outcome = simulate(Scenario.undisturbed(12, 200, 1), NO_QUARANTINE, 1);
 
-    assertThat(outcome.ends()).isGreaterThan(50);
+    assertThat(outcome.crashes()).isGreaterThan(50);
     assertThat(outcome.lateArrivals()).isGreaterThan(30);
   }
 }
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/QuarantineSimulation.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/QuarantineSimulation.java
@@ -20,33 +20,34 @@
  */
 final class QuarantineSimulation {
   /** What goes on besides the requests. */
-  enum Trouble {
+  enum Disturbance {
     /** Three of a hundred datagrams are lost. */
-    LOSS,
+    DATAGRAM_LOSS,
     /** A zone is cut off for some seconds. */
-    CUT_ZONE,
+    ZONE_PARTITION,
     /** Nodes start again, one after the other. */
-    RESTARTS,
+    NODE_RESTARTS,
     /** A third of the back ends ends, again and again. */
-    KILLS
+    BACKEND_KILLS
   }
 
   /** What is played. */
-  record Scenario(int nodes, int requestsPerSecond, int culprits, Set<Trouble> troubles) {
-    static Scenario calm(int nodes, int requestsPerSecond, int culprits) {
-      return new Scenario(nodes, requestsPerSecond, culprits, Set.of());
+  record Scenario(
+      int nodes, int requestsPerSecond, int poisonRequests, Set<Disturbance> disturbances) {
+    static Scenario undisturbed(int nodes, int requestsPerSecond, int poisonRequests) {
+      return new Scenario(nodes, requestsPerSecond, poisonRequests, Set.of());
     }
 
-    Scenario with(Trouble... more) {
-      return new Scenario(nodes, requestsPerSecond, culprits, Set.of(more));
+    Scenario with(Disturbance... more) {
+      return new Scenario(nodes, requestsPerSecond, poisonRequests, Set.of(more));
     }
 
-    boolean has(Trouble trouble) {
-      return troubles.contains(trouble);
+    boolean has(Disturbance disturbance) {
+      return disturbances.contains(disturbance);
     }
 
     double loss() {
-      return has(Trouble.LOSS) ? LOSS_SHARE : 0;
+      return has(Disturbance.DATAGRAM_LOSS) ? LOSS_SHARE : 0;
     }
   }
 
@@ -54,48 +55,48 @@
    * How it is decided.
    *
    * @param marksToHold ends from which on a request is held
-   * @param isolates whether a suspect does not run beside another one
+   * @param isolatesSuspects whether a suspect does not run beside another one
    */
-  record Way(String name, int marksToHold, boolean isolates) {}
+  record HoldPolicy(String name, int marksToHold, boolean isolatesSuspects) {}
 
   /**
    * What came of it.
    *
-   * @param ends back ends that ended under culprits
+   * @param crashes back ends that ended under culprits
    * @param lateArrivals the most arrivals of one culprit that were sent by nodes in touch three
    *     seconds or more after its third end
-   * @param innocents requests that are no culprits, by tries of their callers
-   * @param turnedAway of them, those refused as held
+   * @param ordinaryRequests requests that are no culprits, by tries of their callers
+   * @param wronglyHeld of them, those refused as held
    * @param failed of them, those that ended otherwise without an answer
    * @param datagramsPerNode sent about suspects
-   * @param lastNodeMillis from the third end until the last node in reach holds the culprit; -1 if
-   *     one never did
+   * @param slowestNodeMillis from the third end until the last node in reach holds the culprit; -1
+   *     if one never did
    */
   record Outcome(
-      int ends,
+      int crashes,
       int lateArrivals,
-      int innocents,
-      int turnedAway,
+      int ordinaryRequests,
+      int wronglyHeld,
       int failed,
       double datagramsPerNode,
-      long lastNodeMillis) {}
+      long slowestNodeMillis) {}
 
   private static final int ZONES = 4;
-  private static final long PLAYED_MILLIS = 40_000;
+  private static final long SIMULATED_MILLIS = 40_000;
   private static final double LOSS_SHARE = 0.03;
   private static final int SLOTS = 6;
-  private static final long RUN_MILLIS = 100;
+  private static final long POISON_RUN_MILLIS = 100;
   private static final long TICK_MILLIS = 50;
-  private static final long ROUND_MILLIS = 250;
+  private static final long REPORT_INTERVAL_MILLIS = 250;
   private static final long CONTACT_MILLIS = 3_000;
-  private static final long CUT_FROM_MILLIS = 5_000;
-  private static final long CUT_UNTIL_MILLIS = 12_000;
-  private static final long RESTART_EACH_MILLIS = 700;
-  private static final long KILL_EACH_MILLIS = 9_000;
+  private static final long PARTITION_START_MILLIS = 5_000;
+  private static final long PARTITION_END_MILLIS = 12_000;
+  private static final long RESTART_INTERVAL_MILLIS = 700;
+  private static final long KILL_INTERVAL_MILLIS = 9_000;
   private static final int MAX_ATTEMPTS = 2;
-  private static final int MAX_TRIES = 2;
-  private static final int COPIES = 2;
-  private static final int POPULAR = 50;
+  private static final int MAX_CLIENT_TRIES = 2;
+  private static final int CLIENTS_PER_POISON_REQUEST = 2;
+  private static final int POPULAR_REQUESTS = 50;
   private static final double POPULAR_SHARE = 0.1;
 
   /** Its clock stands still: after the first lines no more are written. */
@@ -117,13 +118,13 @@
       this.index = index;
       this.zone = index % ZONES;
       this.backend = new Backend(this, index + "-0");
-      forget();
+      clearSuspicions();
     }
 
-    private void forget() {
-      ledger = new SuspectLedger(way.marksToHold());
+    private void clearSuspicions() {
+      ledger = new SuspectLedger(policy.marksToHold());
       quarantine = new RequestQuarantine(ledger, request -> false, EVENTS, () -> now);
-      exchange = new SuspectExchange(quarantine, () -> others, this::send, () -> now);
+      exchange = new SuspectExchange(quarantine, () -> hosts, this::send, () -> now);
     }
 
     private void send(List<byte[]> datagrams, Collection<String> hosts) {
@@ -137,12 +138,12 @@
 
     private void transmit(byte[] bytes, Node to) {
       sentDatagrams++;
-      if (reaches(this, to) && random.nextDouble() >= scenario.loss()) {
-        after(1 + random.nextInt(3), () -> take(bytes, to));
+      if (canReach(this, to) && random.nextDouble() >= scenario.loss()) {
+        after(1 + random.nextInt(3), () -> receive(bytes, to));
       }
     }
 
-    private void take(byte[] bytes, Node to) {
+    private void receive(byte[] bytes, Node to) {
       try {
         to.quarantine.take((SuspectMessage) PeerDatagram.decode(bytes, bytes.length));
       } catch (IOException malformed) {
@@ -158,7 +159,7 @@
     /** In the order in which they began, so that a seed plays the same each time. */
     private final Set<Request> running = new LinkedHashSet<>();
 
-    private boolean ended;
+    private boolean crashed;
 
     Backend(Node node, String id) {
       this.node = node;
@@ -166,13 +167,13 @@
     }
   }
 
-  private static final class Culprit {
+  private static final class PoisonRequest {
     private final RequestFingerprint fingerprint;
-    private int ends;
-    private long thirdMillis = Long.MAX_VALUE;
+    private int crashes;
+    private long thirdCrashMillis = Long.MAX_VALUE;
     private int lateArrivals;
 
-    Culprit(RequestFingerprint fingerprint) {
+    PoisonRequest(RequestFingerprint fingerprint) {
       this.fingerprint = fingerprint;
     }
   }
@@ -180,72 +181,73 @@
   /** One try of a caller. */
   private static final class Request {
     private final RequestFingerprint fingerprint;
-    private final Culprit culprit;
+    private final PoisonRequest poison;
     private final int tries;
     private Node edge;
     private int attempts;
 
-    Request(RequestFingerprint fingerprint, Culprit culprit, int tries) {
+    Request(RequestFingerprint fingerprint, PoisonRequest poison, int tries) {
       this.fingerprint = fingerprint;
-      this.culprit = culprit;
+      this.poison = poison;
       this.tries = tries;
     }
   }
 
   private final Scenario scenario;
-  private final Way way;
+  private final HoldPolicy policy;
   private final Random random;
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(
           java.util.Comparator.comparingLong(Event::atMillis).thenComparingLong(Event::order));
   private final List<Node> nodes = new ArrayList<>();
-  private final List<String> others = new ArrayList<>();
-  private final List<Culprit> culprits = new ArrayList<>();
+  private final List<String> hosts = new ArrayList<>();
+  private final List<PoisonRequest> poisonRequests = new ArrayList<>();
   private long now;
   private long order;
   private long nextUnique = 1_000_000;
   private int starts;
-  private int ends;
-  private int innocents;
-  private int turnedAway;
+  private int crashes;
+  private int ordinaryRequests;
+  private int wronglyHeld;
   private int failed;
   private long sentDatagrams;
-  private long lastNodeMillis = -1;
+  private long slowestNodeMillis = -1;
 
-  QuarantineSimulation(Scenario scenario, Way way, long seed) {
+  QuarantineSimulation(Scenario scenario, HoldPolicy policy, long seed) {
     this.scenario = scenario;
-    this.way = way;
+    this.policy = policy;
     this.random = new Random(seed);
   }
 
   Outcome run() {
     for (int index = 0; index < scenario.nodes(); index++) {
       nodes.add(new Node(index));
-      others.add(Integer.toString(index));
+      hosts.add(Integer.toString(index));
     }
-    for (int index = 0; index < scenario.culprits(); index++) {
-      Culprit culprit = new Culprit(fingerprint(100 + index));
-      culprits.add(culprit);
-      for (int copy = 0; copy < COPIES; copy++) {
-        after(2_000 + random.nextInt(500), () -> sendCulprit(culprit));
+    for (int index = 0; index < scenario.poisonRequests(); index++) {
+      PoisonRequest poison = new PoisonRequest(fingerprint(100 + index));
+      poisonRequests.add(poison);
+      for (int copy = 0; copy < CLIENTS_PER_POISON_REQUEST; copy++) {
+        after(2_000 + random.nextInt(500), () -> sendPoisonRequest(poison));
       }
     }
-    after(0, this::sendInnocent);
+    after(0, this::sendOrdinaryRequest);
     after(0, this::tick);
-    if (scenario.has(Trouble.RESTARTS)) {
-      after(RESTART_EACH_MILLIS, this::restartOne);
+    if (scenario.has(Disturbance.NODE_RESTARTS)) {
+      after(RESTART_INTERVAL_MILLIS, this::restartOne);
     }
-    if (scenario.has(Trouble.KILLS)) {
-      after(KILL_EACH_MILLIS, this::endThird);
+    if (scenario.has(Disturbance.BACKEND_KILLS)) {
+      after(KILL_INTERVAL_MILLIS, this::killThird);
     }
-    while (!events.isEmpty() && events.peek().atMillis() < PLAYED_MILLIS) {
+    while (!events.isEmpty() && events.peek().atMillis() < SIMULATED_MILLIS) {
       Event next = events.poll();
       now = next.atMillis();
       next.action().run();
     }
-    int late = culprits.stream().mapToInt(each -> each.lateArrivals).max().orElse(0);
+    int late = poisonRequests.stream().mapToInt(each -> each.lateArrivals).max().orElse(0);
     double datagrams = sentDatagrams / (double) scenario.nodes();
-    return new Outcome(ends, late, innocents, turnedAway, failed, datagrams, lastNodeMillis);
+    return new Outcome(
+        crashes, late, ordinaryRequests, wronglyHeld, failed, datagrams, slowestNodeMillis);
   }
 
   private void after(long millis, Runnable action) {
@@ -256,40 +258,42 @@
     return new RequestFingerprint(number * 0x9e3779b97f4a7c15L, number);
   }
 
-  private boolean reaches(Node from, Node to) {
-    boolean cut =
-        scenario.has(Trouble.CUT_ZONE) && now >= CUT_FROM_MILLIS && now < CUT_UNTIL_MILLIS;
-    return !cut || (from.zone == 0) == (to.zone == 0);
+  private boolean canReach(Node from, Node to) {
+    boolean partitioned =
+        scenario.has(Disturbance.ZONE_PARTITION)
+            && now >= PARTITION_START_MILLIS
+            && now < PARTITION_END_MILLIS;
+    return !partitioned || (from.zone == 0) == (to.zone == 0);
   }
 
-  private boolean isInTouch(Node node) {
-    boolean cut =
-        scenario.has(Trouble.CUT_ZONE)
-            && now >= CUT_FROM_MILLIS
-            && now < CUT_UNTIL_MILLIS + CONTACT_MILLIS;
-    return now >= node.startedMillis + CONTACT_MILLIS && !(cut && node.zone == 0);
+  private boolean isConnected(Node node) {
+    boolean partitioned =
+        scenario.has(Disturbance.ZONE_PARTITION)
+            && now >= PARTITION_START_MILLIS
+            && now < PARTITION_END_MILLIS + CONTACT_MILLIS;
+    return now >= node.startedMillis + CONTACT_MILLIS && !(partitioned && node.zone == 0);
   }
 
   private Node anyNode() {
     return nodes.get(random.nextInt(nodes.size()));
   }
 
-  private void sendInnocent() {
+  private void sendOrdinaryRequest() {
     boolean popular = random.nextDouble() < POPULAR_SHARE;
-    long number = popular ? 1_000 + random.nextInt(POPULAR) : nextUnique++;
+    long number = popular ? 1_000 + random.nextInt(POPULAR_REQUESTS) : nextUnique++;
     start(new Request(fingerprint(number), null, 1), anyNode());
     double gap = -Math.log(1 - random.nextDouble()) * 1_000 / scenario.requestsPerSecond();
     // Several may come within one millisecond.
-    after(Math.round(gap), this::sendInnocent);
+    after(Math.round(gap), this::sendOrdinaryRequest);
   }
 
-  private void sendCulprit(Culprit culprit) {
-    start(new Request(culprit.fingerprint, culprit, 1), anyNode());
+  private void sendPoisonRequest(PoisonRequest poison) {
+    start(new Request(poison.fingerprint, poison, 1), anyNode());
   }
 
   private void start(Request request, Node edge) {
-    if (request.culprit == null && request.tries == 1) {
-      innocents++;
+    if (request.poison == null && request.tries == 1) {
+      ordinaryRequests++;
     }
     request.edge = edge;
     dispatch(request);
@@ -297,7 +301,7 @@
 
   private void dispatch(Request request) {
     Node edge = request.edge;
-    if (edge.quarantine.holdsAtEdge(request.fingerprint)) {
+    if (edge.quarantine.blocksOutbound(request.fingerprint)) {
       refusedAsHeld(request);
       return;
     }
@@ -307,10 +311,10 @@
       return;
     }
     request.attempts++;
-    noteArrival(request);
+    recordArrival(request);
     chosen.running.add(request);
-    long millis = request.culprit == null ? 20 + random.nextInt(160) : RUN_MILLIS;
-    after(millis, () -> ranToEnd(request, chosen));
+    long millis = request.poison == null ? 20 + random.nextInt(160) : POISON_RUN_MILLIS;
+    after(millis, () -> finish(request, chosen));
   }
 
   /** The less loaded of two live back ends in reach, several times if there is no room. */
@@ -326,15 +330,15 @@
   }
 
   private boolean mayRun(Request request, Backend backend) {
-    boolean hasRoom = !backend.ended && backend.running.size() < SLOTS;
-    if (!hasRoom || !reaches(request.edge, backend.node)) {
+    boolean hasRoom = !backend.crashed && backend.running.size() < SLOTS;
+    if (!hasRoom || !canReach(request.edge, backend.node)) {
       return false;
     }
     RequestQuarantine gate = backend.node.quarantine;
-    if (gate.holdsAtGate(request.fingerprint)) {
+    if (gate.blocksInbound(request.fingerprint)) {
       return false;
     }
-    return !way.isolates()
+    return !policy.isolatesSuspects()
         || !isSuspect(backend.node, request)
         || backend.running.stream()
             .noneMatch(
@@ -347,59 +351,62 @@
     return node.ledger.weight(request.fingerprint) > 0;
   }
 
-  private void noteArrival(Request request) {
-    Culprit culprit = request.culprit;
-    if (culprit != null && now - CONTACT_MILLIS > culprit.thirdMillis && isInTouch(request.edge)) {
-      culprit.lateArrivals++;
+  private void recordArrival(Request request) {
+    PoisonRequest poison = request.poison;
+    if (poison != null
+        && now - CONTACT_MILLIS > poison.thirdCrashMillis
+        && isConnected(request.edge)) {
+      poison.lateArrivals++;
     }
   }
 
-  private void ranToEnd(Request request, Backend backend) {
+  private void finish(Request request, Backend backend) {
     if (!backend.running.contains(request)) {
       return;
     }
-    if (request.culprit != null) {
-      ends++;
-      noteEnd(request.culprit);
-      end(backend);
+    if (request.poison != null) {
+      crashes++;
+      recordCrash(request.poison);
+      crash(backend);
       return;
     }
     backend.running.remove(request);
-    backend.node.quarantine.succeeded(request.fingerprint);
+    backend.node.quarantine.recordSuccess(request.fingerprint);
   }
 
-  private void noteEnd(Culprit culprit) {
-    culprit.ends++;
-    if (culprit.ends == 3) {
-      culprit.thirdMillis = now;
-      watchNews(culprit, now);
+  private void recordCrash(PoisonRequest poison) {
+    poison.crashes++;
+    if (poison.crashes == 3) {
+      poison.thirdCrashMillis = now;
+      awaitHeldEverywhere(poison, now);
     }
   }
 
-  private void watchNews(Culprit culprit, long sinceMillis) {
-    boolean known =
-        nodes.stream().allMatch(node -> node.quarantine.holdsAtEdge(culprit.fingerprint));
-    if (known) {
-      lastNodeMillis = Math.max(lastNodeMillis, now - sinceMillis);
+  private void awaitHeldEverywhere(PoisonRequest poison, long sinceMillis) {
+    boolean heldEverywhere =
+        nodes.stream().allMatch(node -> node.quarantine.blocksOutbound(poison.fingerprint));
+    if (heldEverywhere) {
+      slowestNodeMillis = Math.max(slowestNodeMillis, now - sinceMillis);
     } else {
-      after(10, () -> watchNews(culprit, sinceMillis));
+      after(10, () -> awaitHeldEverywhere(poison, sinceMillis));
     }
   }
 
-  private void end(Backend backend) {
+  private void crash(Backend backend) {
     Node node = backend.node;
     List<Request> lost = List.copyOf(backend.running);
-    backend.ended = true;
+    backend.crashed = true;
     backend.running.clear();
     Set<RequestFingerprint> suspects = new LinkedHashSet<>();
     lost.forEach(each -> suspects.add(each.fingerprint));
     if (!suspects.isEmpty()) {
       RequestQuarantine witness = node.quarantine;
-      after(TICK_MILLIS, () -> witness.backendEnded(new BackendStart(backend.id, 0), suspects));
+      after(
+          TICK_MILLIS, () -> witness.recordBackendCrash(new BackendStart(backend.id, 0), suspects));
     }
     after(3_000 + random.nextInt(2_000), () -> node.backend = new Backend(node, nextId(node)));
     for (Request request : lost) {
-      after(1, () -> lost(request));
+      after(1, () -> attemptLost(request));
     }
   }
 
@@ -408,7 +415,7 @@
     return node.index + "-" + starts;
   }
 
-  private void lost(Request request) {
+  private void attemptLost(Request request) {
     if (request.attempts < MAX_ATTEMPTS) {
       dispatch(request);
     } else {
@@ -417,17 +424,17 @@
   }
 
   private void refusedAsHeld(Request request) {
-    if (request.culprit == null) {
-      turnedAway++;
+    if (request.poison == null) {
+      wronglyHeld++;
       return;
     }
     notServed(request);
   }
 
   private void notServed(Request request) {
-    if (request.culprit != null) {
-      after(50 + random.nextInt(200), () -> sendCulprit(request.culprit));
-    } else if (request.tries < MAX_TRIES) {
+    if (request.poison != null) {
+      after(50 + random.nextInt(200), () -> sendPoisonRequest(request.poison));
+    } else if (request.tries < MAX_CLIENT_TRIES) {
       after(20, () -> start(new Request(request.fingerprint, null, request.tries + 1), anyNode()));
     } else {
       failed++;
@@ -436,7 +443,7 @@
 
   private void tick() {
     nodes.forEach(node -> node.exchange.tick());
-    if (now % ROUND_MILLIS == 0) {
+    if (now % REPORT_INTERVAL_MILLIS == 0) {
       nodes.forEach(this::report);
     }
     after(TICK_MILLIS, this::tick);
@@ -445,7 +452,7 @@
   private void report(Node node) {
     for (int copy = 0; copy < 2; copy++) {
       Node to = anyNode();
-      if (reaches(node, to) && random.nextDouble() >= scenario.loss()) {
+      if (canReach(node, to) && random.nextDouble() >= scenario.loss()) {
         to.exchange.heard(Integer.toString(node.index), node.quarantine.digest());
       }
     }
@@ -453,15 +460,15 @@
 
   private void restartOne() {
     Node node = anyNode();
-    node.forget();
+    node.clearSuspicions();
     node.startedMillis = now;
-    after(RESTART_EACH_MILLIS, this::restartOne);
+    after(RESTART_INTERVAL_MILLIS, this::restartOne);
   }
 
-  private void endThird() {
+  private void killThird() {
     nodes.stream()
-        .filter(node -> !node.backend.ended && random.nextInt(3) == 0)
-        .forEach(node -> end(node.backend));
-    after(KILL_EACH_MILLIS, this::endThird);
+        .filter(node -> !node.backend.crashed && random.nextInt(3) == 0)
+        .forEach(node -> crash(node.backend));
+    after(KILL_INTERVAL_MILLIS, this::killThird);
   }
 }
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/RequestTimesTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/RequestTimesTest.java
@@ -10,10 +10,10 @@
 import org.junit.jupiter.api.Test;
 
 final class RequestTimesTest {
-  private static final long BEGAN = 1_000;
+  private static final long ARRIVED = 1_000;
 
   /** One with a target of 400 ms whose caller gives 1,200 ms. */
-  private static MeshEdgePlan plan(int priority, boolean returned) {
+  private static MeshOutboundPlan plan(int priority, boolean isClientRetry) {
     RoutingRule rule =
         new RoutingRule(
             "r",
@@ -25,26 +25,26 @@
             2,
             400,
             priority);
-    return new MeshEdgePlan(
-        "id", rule, "s", 1, BEGAN + 1_200, BEGAN, 0, returned, Set.of(), new AttemptTally());
+    return new MeshOutboundPlan(
+        "id", rule, "s", 1, ARRIVED + 1_200, ARRIVED, 0, isClientRetry, Set.of(), new RetryState());
   }
 
   @Test
-  void timesAreCountedFromNow() {
-    MeshEdgePlan plan = plan(2, false);
+  void timesAreRelativeToNow() {
+    MeshOutboundPlan plan = plan(2, false);
 
-    assertThat(RequestTimes.targetMillis(plan, BEGAN)).isEqualTo(368);
-    assertThat(RequestTimes.targetMillis(plan, BEGAN + 400)).isEqualTo(-32);
-    assertThat(RequestTimes.refuseByMillis(plan, BEGAN)).isEqualTo(88);
-    assertThat(RequestTimes.refuseByMillis(plan, BEGAN + 100)).isNegative();
-    assertThat(RequestTimes.startByMillis(plan, BEGAN)).isEqualTo(540);
+    assertThat(RequestTimes.targetInMillis(plan, ARRIVED)).isEqualTo(368);
+    assertThat(RequestTimes.targetInMillis(plan, ARRIVED + 400)).isEqualTo(-32);
+    assertThat(RequestTimes.refuseWithinMillis(plan, ARRIVED)).isEqualTo(88);
+    assertThat(RequestTimes.refuseWithinMillis(plan, ARRIVED + 100)).isNegative();
+    assertThat(RequestTimes.startWithinMillis(plan, ARRIVED)).isEqualTo(540);
   }
 
   @Test
-  void urgentOnesAreDueFirstAndThoseWhoComeBackAWholeTargetLater() {
-    assertThat(RequestTimes.dueMillis(plan(1, false), BEGAN)).isEqualTo(40);
-    assertThat(RequestTimes.dueMillis(plan(2, false), BEGAN)).isEqualTo(400);
-    assertThat(RequestTimes.dueMillis(plan(1, true), BEGAN)).isEqualTo(440);
-    assertThat(RequestTimes.dueMillis(plan(2, true), BEGAN)).isEqualTo(800);
+  void urgentRequestsAreDueFirstAndClientRetriesOneTargetLatencyLater() {
+    assertThat(RequestTimes.dueInMillis(plan(1, false), ARRIVED)).isEqualTo(40);
+    assertThat(RequestTimes.dueInMillis(plan(2, false), ARRIVED)).isEqualTo(400);
+    assertThat(RequestTimes.dueInMillis(plan(1, true), ARRIVED)).isEqualTo(440);
+    assertThat(RequestTimes.dueInMillis(plan(2, true), ARRIVED)).isEqualTo(800);
   }
 }
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/SuspectExchangeTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/SuspectExchangeTest.java
@@ -18,7 +18,7 @@
 
 /** Nodes that tell each other of suspected requests, in virtual time, over a network with loss. */
 final class SuspectExchangeTest {
-  private static final RequestFingerprint CULPRIT = new RequestFingerprint(1, 1);
+  private static final RequestFingerprint POISON_REQUEST = new RequestFingerprint(1, 1);
   private static final long TICK_MILLIS = 50;
 
   /** Each node reports what it knows to two others in this time. */
@@ -37,7 +37,7 @@
     private final SuspectExchange exchange;
 
     Node(int index) {
-      this.exchange = new SuspectExchange(quarantine, () -> others(index), this::send, () -> now);
+      this.exchange = new SuspectExchange(quarantine, () -> peersOf(index), this::send, () -> now);
     }
 
     private void send(List<byte[]> sent, Collection<String> hosts) {
@@ -47,7 +47,7 @@
     }
   }
 
-  private Collection<String> others(int index) {
+  private Collection<String> peersOf(int index) {
     return IntStream.range(0, nodes.size())
         .filter(each -> each != index)
         .mapToObj(Integer::toString)
@@ -66,11 +66,11 @@
     }
   }
 
-  private void grow(int count) {
+  private void growTo(int count) {
     IntStream.range(nodes.size(), count).forEach(index -> nodes.add(new Node(index)));
   }
 
-  private void run(long millis) {
+  private void runFor(long millis) {
     for (long end = now + millis; now < end; now += TICK_MILLIS) {
       nodes.forEach(node -> node.exchange.tick());
       if (now % ROUND_MILLIS == 0) {
@@ -89,35 +89,35 @@
   }
 
   private boolean isHeldEverywhere() {
-    return nodes.stream().allMatch(node -> node.quarantine.holdsAtEdge(CULPRIT));
+    return nodes.stream().allMatch(node -> node.quarantine.blocksOutbound(POISON_REQUEST));
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5})
-  void allNodesKnowWithinTwoSecondsWhileThirtyOfAHundredDatagramsAreLost(long seed) {
+  void allNodesHoldTheRequestWithinTwoSecondsAtThirtyPercentDatagramLoss(long seed) {
     random = new Random(seed);
     loss = 0.3;
-    grow(95);
+    growTo(95);
     for (int backend = 0; backend < 3; backend++) {
       nodes
           .get(backend)
           .quarantine
-          .backendEnded(new BackendStart("b-" + backend, 0), List.of(CULPRIT));
+          .recordBackendCrash(new BackendStart("b-" + backend, 0), List.of(POISON_REQUEST));
     }
-    run(2_000);
+    runFor(2_000);
 
     assertThat(isHeldEverywhere()).isTrue();
   }
 
   @Test
-  void withoutLossEachNodeIsToldOnceOfEachEnd() {
-    grow(12);
+  void withoutLossEachNodeReceivesEachCrashOnce() {
+    growTo(12);
     for (int backend = 0; backend < 3; backend++) {
       nodes
           .get(backend)
           .quarantine
-          .backendEnded(new BackendStart("b-" + backend, 0), List.of(CULPRIT));
-      run(500);
+          .recordBackendCrash(new BackendStart("b-" + backend, 0), List.of(POISON_REQUEST));
+      runFor(500);
     }
 
     assertThat(isHeldEverywhere()).isTrue();
@@ -125,41 +125,44 @@
   }
 
   @Test
-  void aNodeThatStartsLaterIsToldEverything() {
-    grow(12);
+  void aNodeThatStartsLaterReceivesAllSuspicions() {
+    growTo(12);
     for (int backend = 0; backend < 3; backend++) {
-      nodes.get(0).quarantine.backendEnded(new BackendStart("b-" + backend, 0), List.of(CULPRIT));
+      nodes
+          .get(0)
+          .quarantine
+          .recordBackendCrash(new BackendStart("b-" + backend, 0), List.of(POISON_REQUEST));
     }
-    run(1_000);
-    grow(13);
-    run(1_500);
+    runFor(1_000);
+    growTo(13);
+    runFor(1_500);
 
     assertThat(isHeldEverywhere()).isTrue();
   }
 
   @Test
-  void nothingIsSentWhereNoBackendHasEnded() {
-    grow(12);
-    nodes.forEach(node -> node.quarantine.succeeded(CULPRIT));
-    run(5_000);
+  void nothingIsSentIfNoBackendHasCrashed() {
+    growTo(12);
+    nodes.forEach(node -> node.quarantine.recordSuccess(POISON_REQUEST));
+    runFor(5_000);
 
     assertThat(datagrams).isZero();
   }
 
   @Test
-  void aGoodEndAnywhereReleasesTheRequestEverywhere() {
-    grow(12);
+  void aSuccessOnAnyNodeReleasesTheRequestOnAllNodes() {
+    growTo(12);
     for (int backend = 0; backend < 3; backend++) {
       nodes
           .get(backend)
           .quarantine
-          .backendEnded(new BackendStart("b-" + backend, 0), List.of(CULPRIT));
+          .recordBackendCrash(new BackendStart("b-" + backend, 0), List.of(POISON_REQUEST));
     }
-    run(500);
-    nodes.get(7).quarantine.succeeded(CULPRIT);
-    run(500);
+    runFor(500);
+    nodes.get(7).quarantine.recordSuccess(POISON_REQUEST);
+    runFor(500);
 
-    assertThat(nodes).noneMatch(node -> node.quarantine.holdsAtEdge(CULPRIT));
-    assertThat(nodes).noneMatch(node -> node.quarantine.concerns(CULPRIT.target()));
+    assertThat(nodes).noneMatch(node -> node.quarantine.blocksOutbound(POISON_REQUEST));
+    assertThat(nodes).noneMatch(node -> node.quarantine.mayHold(POISON_REQUEST.target()));
   }
 }
