--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/BackendCrashDetector.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/BackendCrashDetector.java
@@ -11,42 +11,45 @@
 import java.util.function.LongSupplier;
 
 /**
- * Tells the end of the back end beside this node from the end of a connection to it: a new
- * connection is not accepted, or does not last, and nothing that ran there before goes on. A
- * connection that is open proves nothing, since the kernel accepts it for a process that ends; an
- * answer to a later request does. Thread-safe.
+ * Distinguishes a crash of the local backend from the loss of a single connection to it. After a
+ * crash, a new connection is refused or closes soon, and no request that was sent to the process
+ * earlier is still running. An open connection alone does not prove that the process is alive,
+ * because the kernel still accepts connections for a process that is exiting; a response to a later
+ * request does. Thread-safe.
  */
 final class BackendCrashDetector {
-  /** All connections of a process end with it; how long the last may take, milliseconds. */
+  /** Longest time over which the connections of an exiting process close, milliseconds. */
   private static final long CONNECTION_LOSS_WINDOW_MILLIS = 30;
 
   /**
-   * How long a new connection has to last to show that a process goes on that is asked nothing,
-   * milliseconds; less than back ends keep idle connections open.
+   * How long an idle new connection must stay open to show that the process is alive, milliseconds.
+   * Shorter than the time for which backends keep idle connections open.
    */
   private static final long MIN_PROBE_LIFETIME_MILLIS = 3_000;
 
-  /** Asks whether a request that was sent to that start of the back end earlier still runs. */
+  /**
+   * Tells whether a request sent to a start of the backend before a given time is still running.
+   */
   interface RunningRequests {
     boolean isAnySentBefore(String backendId, long atMillis);
   }
 
   /**
-   * A back end that ended.
+   * A crash of the backend.
    *
-   * @param backend id of that start of it
-   * @param requests those that ran there
+   * @param backend id of the crashed start of the backend
+   * @param requests the requests that were running on it
    */
   record Crash(String backend, Set<RequestFingerprint> requests) {}
 
-  /** Lost requests whose cause is being found out. */
+  /** Requests lost with their connections, while it is still open whether the backend crashed. */
   private static final class SuspectedCrash {
     private final String backend;
     private final long sinceMillis;
     private final Set<RequestFingerprint> requests = new HashSet<>();
     private boolean unreachable;
 
-    /** The new connection, if one opened. */
+    /** The probe connection; null until it is established. */
     private OriginConnection probeConnection;
 
     SuspectedCrash(String backend, long sinceMillis) {
@@ -67,7 +70,7 @@
   private final ConnectionPool pool;
   private final LongSupplier clockMillis;
 
-  /** Null while nothing is suspected. */
+  /** Null while no crash is suspected. */
   private SuspectedCrash suspected;
 
   BackendCrashDetector(ConnectionPool pool, LongSupplier clockMillis) {
@@ -75,7 +78,10 @@
     this.clockMillis = clockMillis;
   }
 
-  /** The connection of a request was lost while the back end had it. */
+  /**
+   * Records that the connection of a running request was lost, and opens a probe connection if this
+   * start of the backend was not suspected yet.
+   */
   void connectionLost(String backend, RequestFingerprint request) {
     SuspectedCrash started = null;
     SuspectedCrash abandoned = null;
@@ -93,7 +99,7 @@
     }
   }
 
-  /** The back end has answered a request that was sent at a moment: it had not ended by then. */
+  /** Records a response to a request sent at the given time: the backend was alive at that time. */
   void responseReceived(String backend, long sentMillis) {
     SuspectedCrash abandoned;
     synchronized (this) {
@@ -110,14 +116,17 @@
     releaseProbe(abandoned);
   }
 
-  /** Gives back the connection that was to tell, if one opened; not under the lock. */
+  /**
+   * Returns the probe connection, if it was established, to the pool. Must not be called while
+   * holding the lock.
+   */
   private void releaseProbe(SuspectedCrash abandoned) {
     if (abandoned != null && abandoned.probeConnection != null) {
       pool.release(abandoned.probeConnection);
     }
   }
 
-  /** Returns the back end's end once it is certain. */
+  /** Returns the crash once it is certain. */
   Optional<Crash> pollCrash(RunningRequests running) {
     SuspectedCrash decided;
     synchronized (this) {
@@ -134,7 +143,10 @@
     return Optional.of(new Crash(decided.backend, decided.requests));
   }
 
-  /** Whether the new connection is still open; it replaces the one that was lost. */
+  /**
+   * Returns whether the probe connection is still open; if so, hands it to the pool in place of the
+   * lost connection.
+   */
   private boolean releaseIfStillOpen(SuspectedCrash decided) {
     boolean isOpen = decided.probeConnection != null && decided.probeConnection.isIdle();
     if (isOpen) {
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/BodyUploadScheduler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/BodyUploadScheduler.java
@@ -13,22 +13,26 @@
 import org.glassfish.grizzly.http.util.Header;
 
 /**
- * Lets other nodes send long bodies a few at a time, in the order in which they asked. All at once
- * they would stand in front of every small request at a narrow link. Thread-safe.
+ * Limits how many request bodies other nodes send at the same time, in the order in which they
+ * asked for {@code 100 Continue}. If all were sent at once, they would delay every small request on
+ * a link with little bandwidth. Thread-safe.
  */
 final class BodyUploadScheduler {
-  /** Bodies that may be under way at a time: while one ends, the next begins to come. */
+  /** Bodies sent at the same time: with two, the next one starts to arrive while one ends. */
   private static final int MAX_CONCURRENT_UPLOADS = 2;
 
-  /** Time without a byte after which a body no longer keeps others waiting, milliseconds. */
+  /**
+   * Time without a received byte after which a body no longer counts against the limit,
+   * milliseconds.
+   */
   private static final long STALLED_MILLIS = 1_000;
 
   private static final long RETRY_AFTER_MILLIS = 100;
 
-  /** What had been read of a body, and since when. */
+  /** Bytes received of a body, and the time at which that number last changed. */
   private record Progress(long receivedBytes, long sinceMillis) {}
 
-  /** Before it is looked at for the first time. */
+  /** Progress of a body that has not been checked yet. */
   private static final Progress NOT_OBSERVED = new Progress(-1, 0);
 
   private final Map<Exchange, Long> waiting = new LinkedHashMap<>();
@@ -36,18 +40,18 @@
   private final Predicate<Exchange> isAccepted;
 
   /**
-   * Creates grants of which none is given.
+   * Creates a scheduler without uploads.
    *
-   * @param isTaken whether the back end still takes a request
+   * @param isAccepted whether the backend still accepts a request
    */
   BodyUploadScheduler(Predicate<Exchange> isAccepted) {
     this.isAccepted = isAccepted;
   }
 
   /**
-   * Has the sender wait for its turn, if it waits to be told to send the body.
+   * Queues the request's body if the sender expects {@code 100 Continue}; does nothing otherwise.
    *
-   * @param startByMillis when the request is refused if it still waits for its turn
+   * @param startByMillis time at which the request is refused if its body is still queued
    */
   void enqueue(Exchange exchange, long startByMillis) {
     if (exchange.request().field(Header.Expect.toString()).isEmpty()) {
@@ -59,7 +63,7 @@
     startWaitingUploads();
   }
 
-  /** Its body is there, or the request is over. */
+  /** Frees the place of a request whose body has been received or that has ended. */
   void release(Exchange exchange) {
     remove(exchange);
     startWaitingUploads();
@@ -70,7 +74,9 @@
     activeUploads.remove(exchange);
   }
 
-  /** Refuses those that have waited for too long, and passes over bodies that do not come. */
+  /**
+   * Refuses requests that were queued too long, and stops counting bodies that make no progress.
+   */
   void tick(long nowMillis) {
     for (Exchange expired : removeExpired(nowMillis)) {
       expired.refuse(
@@ -102,7 +108,7 @@
     return isSame ? before : new Progress(receivedBytes, nowMillis);
   }
 
-  /** Requests whose bodies wait for their turn. */
+  /** Returns the number of requests whose bodies are queued. */
   synchronized int waitingCount() {
     return waiting.size();
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/EventLoopDelayListener.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/EventLoopDelayListener.java
@@ -2,9 +2,9 @@
 
 import io.umberpath.node.proxy.loop.IterationListener;
 
-/** Counts the iterations of event loops that kept arrivals waiting, and tells of long ones. */
+/** Records how long event loop iterations delayed reading, and logs the long ones. */
 record EventLoopDelayListener(MeshMetrics metrics, MeshEvents events) implements IterationListener {
-  /** Length of an iteration from which on it is worth a line, microseconds. */
+  /** Duration from which an iteration is logged, microseconds. */
   private static final long LOG_THRESHOLD_MICROS = 100_000;
 
   private static final long MICROS_PER_MILLI = 1_000;
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/Fingerprints.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/Fingerprints.java
@@ -8,11 +8,13 @@
 import java.util.OptionalLong;
 import org.glassfish.grizzly.http.util.Header;
 
-/** Fingerprints of requests on the wire; every node works out the same from what it gets. */
+/**
+ * Computes fingerprints of requests. Every node computes the same fingerprint for the same request.
+ */
 final class Fingerprints {
   private Fingerprints() {}
 
-  /** The part of a request's fingerprint that its head tells. */
+  /** Returns the part of the fingerprint that depends on the request's head. */
   static long targetOf(RequestHead head) {
     String target = head.query().map(query -> head.path() + '?' + query).orElse(head.path());
     return RequestFingerprint.targetOf(
@@ -22,7 +24,7 @@
         head.field(Header.Authorization.toString()).orElse(null));
   }
 
-  /** The fingerprint; empty while too little of the body has been received to tell. */
+  /** Returns the fingerprint; empty if not enough of the body has been received. */
   static Optional<RequestFingerprint> of(Exchange exchange, long targetHash) {
     OptionalLong bodyHash = exchange.body().hash();
     return bodyHash.isPresent()
@@ -31,14 +33,15 @@
   }
 
   /**
-   * Its form in a log line about a request that ended so; empty if it is not known, or the request
-   * certainly did not run: those lines are many, and what they refuse has done no harm.
+   * Returns the fingerprint for a log line about a request with this verdict. Empty if it is
+   * unknown or if the request certainly did not run: such lines are frequent, and the refused
+   * requests did no harm.
    */
   static String logText(Exchange exchange, long targetHash, Verdict verdict) {
     return verdict instanceof Verdict.NotRun ? "" : logText(exchange, targetHash);
   }
 
-  /** Its form in log lines; empty if it is not known. */
+  /** Returns the fingerprint for log lines; empty if it is unknown. */
   static String logText(Exchange exchange, long targetHash) {
     return of(exchange, targetHash).map(RequestFingerprint::text).orElse("");
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/HeaderNames.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/HeaderNames.java
@@ -1,15 +1,15 @@
 package io.umberpath.node.mesh;
 
 /**
- * Names of the headers that callers and back ends speak.
+ * Names of the headers exchanged with clients and backends.
  *
- * @param requestId names one attempt of a caller; every answer carries it back
- * @param deadline milliseconds until the caller gives up
- * @param expectedInstance the only back end that may run the request
- * @param callerService service beside the node where the request began
- * @param notExecuted on an answer: the back end did not run the request
- * @param instance on an answer: the back end that gave it
- * @param backendLoad on an answer: what the back end says of its load, see {@link
+ * @param requestId id of one attempt of a client; every response echoes it
+ * @param deadline milliseconds until the client gives up
+ * @param expectedInstance the only backend that may run the request
+ * @param callerService service of the node where the request entered the mesh
+ * @param notExecuted in a response: the backend did not run the request
+ * @param instance in a response: id of the backend that sent it
+ * @param backendLoad in a response: the backend's own load report, see {@link
  *     StoreDocuments#statement}
  */
 public record HeaderNames(
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/HopHeader.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/HopHeader.java
@@ -3,18 +3,19 @@
 import java.util.Optional;
 
 /**
- * What a node tells the node beside the chosen back end about a request, in one header.
+ * Header with which a node passes routing and timing data of a request to the node of the chosen
+ * backend. All times are relative to the time of sending, in milliseconds.
  *
- * @param instance the chosen back end
- * @param route name of its route
- * @param dueInMillis in how long it is due, milliseconds; what is due earlier goes first
- * @param toleratedWaitMillis expected wait beyond which to refuse rather than queue, milliseconds
- * @param targetInMillis in how long its work has to be done for its answer to be in time,
- *     milliseconds
- * @param refuseWithinMillis until when a refusal lets its caller come back in time, milliseconds
- *     from now
- * @param startWithinMillis in how long it is to be refused if it has not begun, milliseconds
- * @param isRetry whether it may have run at another back end before
+ * @param instance id of the chosen backend
+ * @param route name of the request's route
+ * @param dueInMillis time until the request is due; the queue is ordered by due time, earliest
+ *     first
+ * @param toleratedWaitMillis expected queueing time above which the request is to be refused, not
+ *     queued
+ * @param targetInMillis time until the backend has to be done for the response to be in time
+ * @param refuseWithinMillis time within which a refusal still lets the client retry in time
+ * @param startWithinMillis time after which the request is refused if it has not started
+ * @param isRetry whether the request may have run on another backend before
  */
 record HopHeader(
     String instance,
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/LocalBackend.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/LocalBackend.java
@@ -13,7 +13,7 @@
 import java.util.function.Predicate;
 import java.util.function.Supplier;
 
-/** What this node believes of the back end beside it. Thread-safe. */
+/** State of the local backend as this node knows it. Thread-safe. */
 final class LocalBackend {
   private static final int DEFAULT_SLOTS = 4;
 
@@ -23,7 +23,7 @@
   private final LocalBackendSpeed speed;
   private final Set<BackendStart> endedStarts = ConcurrentHashMap.newKeySet();
 
-  /** The latest start listed under each id that was ever listed. */
+  /** The latest listed start of each backend id that was ever listed. */
   private final Map<String, BackendStart> lastKnownStarts = new ConcurrentHashMap<>();
 
   private final ColdStartLimiter coldStarts;
@@ -35,11 +35,12 @@
   private volatile long bornMillis = BackendStart.UNKNOWN_BORN_MILLIS;
 
   /**
-   * Creates one that knows nothing of it.
+   * Creates the state of a backend that has not been seen yet.
    *
-   * @param attested whether a start of the back end lives although its entry has lapsed
-   * @param speed how fast the back end is
-   * @param clockMillis rising clock, milliseconds
+   * @param isAttested whether a start of the backend is known to be alive although its entry has
+   *     expired
+   * @param speed speed of the backend
+   * @param clockMillis monotonic clock, milliseconds
    */
   LocalBackend(
       MeshSettings settings,
@@ -55,32 +56,37 @@
     this.coldStarts = new ColdStartLimiter(settings.coldStarts(), clockMillis.getAsLong());
   }
 
-  /** This node takes no new work for its back end. */
+  /** From now on this node accepts no new work for its backend. */
   void startDraining() {
     draining = true;
   }
 
-  /** Whether the zone of this node is evacuated: its back ends finish what they have. */
+  /**
+   * Returns whether this node's zone is evacuated, so that its backends only finish running
+   * requests.
+   */
   boolean isEvacuated() {
     return view.get().backends().isEvacuated(settings.zone());
   }
 
-  /** Requests that the back end works on at once. */
+  /** Returns the number of requests that the backend runs concurrently. */
   int slots() {
     return slots;
   }
 
-  /** How fast the start of it is that runs. */
+  /** Returns the speed of the running start of the backend. */
   LocalBackendSpeed speed() {
     return speed;
   }
 
-  /** The start that is listed, or was last; see {@link BackendEntry#bornMillis}. */
+  /**
+   * Returns the start time of the listed or last listed start; see {@link BackendEntry#bornMillis}.
+   */
   long bornMillis() {
     return bornMillis;
   }
 
-  /** Looks at the back end's entries; returns whether the number of slots has changed. */
+  /** Reads the backend's entries; returns whether the number of slots has changed. */
   boolean refresh() {
     List<BackendEntry> entries = view.get().backends().at(settings.backend());
     for (BackendEntry entry : entries) {
@@ -93,14 +99,14 @@
     entries.forEach(this::refreshColdStart);
     boolean evacuated = isEvacuated();
     if (wasEvacuated && !evacuated) {
-      // A back end may turn cold while its zone is evacuated, and its entry may say so later.
+      // A backend may become cold while its zone is evacuated, and its entry may report that later.
       startColdPeriod(warmupMillis());
     }
     wasEvacuated = evacuated;
     return changed;
   }
 
-  /** The start under an id that this node knows of, listed or not. */
+  /** Returns the known start of a backend id, whether or not it is still listed. */
   BackendStart startOf(String instance) {
     return view.get()
         .backends()
@@ -110,7 +116,10 @@
         .orElseGet(() -> new BackendStart(instance, BackendStart.UNKNOWN_BORN_MILLIS));
   }
 
-  /** An entry that was written anew tells for how long the back end was cold then. */
+  /**
+   * Starts a cold period if the entry was written anew; the entry tells how long the backend is
+   * cold.
+   */
   private void refreshColdStart(BackendEntry entry) {
     if (entry != lastSeenEntry) {
       lastSeenEntry = entry;
@@ -138,19 +147,25 @@
         : Optional.empty();
   }
 
-  /** Bounds what the back end gets while it is cold. */
+  /** Limits the request rate while the backend is cold. */
   ColdStartLimiter coldStarts() {
     return coldStarts;
   }
 
-  /** Asked for one start of the back end, another one has answered; so the first has ended. */
+  /**
+   * Records which start of the backend responded. If it is not the expected one, the expected one
+   * has ended.
+   */
   void recordRespondingInstance(String expectedInstance, String respondingInstance) {
     if (!expectedInstance.equals(respondingInstance)) {
       endedStarts.add(startOf(expectedInstance));
     }
   }
 
-  /** Whether that start of the back end has not left as far as is known: its end is a crash. */
+  /**
+   * Returns whether that start of the backend is not known to be draining or gone, so that its end
+   * is a crash.
+   */
   boolean isServing(String instance) {
     return view.get()
         .backends()
@@ -159,7 +174,7 @@
         .orElseGet(() -> !lastKnownStarts.containsKey(instance) || isAttested.test(instance));
   }
 
-  /** Whether new work for that start of the back end is to be passed on. */
+  /** Returns whether new work for that start of the backend may be forwarded. */
   boolean acceptsNewWork(String instance) {
     if (draining || endedStarts.contains(startOf(instance)) || isEvacuated()) {
       return false;
@@ -170,10 +185,10 @@
       return entry.get().state() == BackendEntry.State.READY;
     }
     if (lastKnownStarts.containsKey(instance)) {
-      // What was listed and is no more has left, unless its entry only lapsed.
+      // An instance that is no longer listed has gone, unless only its entry expired.
       return isAttested.test(instance);
     }
-    // What was never listed here has just begun, for all that this node knows.
+    // An instance that was never listed on this node is assumed to have just started.
     startColdPeriod(warmupMillis());
     return true;
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/LocalBackendFailures.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/LocalBackendFailures.java
@@ -5,12 +5,15 @@
 import io.umberpath.traffic.outlier.AttemptResult;
 import io.umberpath.traffic.outlier.FailureShare;
 
-/** What the answers of the back end beside this node say of it. Thread-safe. */
+/** Tracks the share of failed attempts at the local backend. Thread-safe. */
 final class LocalBackendFailures {
-  /** From here on an answer does not show that the request ran to a good end. */
+  /** Lowest status code that counts as a failure. */
   static final int FIRST_SERVER_ERROR = 500;
 
-  /** Share from which on it is logged, percent: below, the choice puts it down to chance. */
+  /**
+   * Share above which failures are logged, percent. Load balancing attributes lower shares to
+   * chance.
+   */
   private static final int LOG_THRESHOLD_PERCENT = 20;
 
   private final MeshEvents events;
@@ -22,18 +25,19 @@
   }
 
   /**
-   * An attempt at the back end ended.
+   * Records the end of an attempt at the backend.
    *
-   * @param backend the back end
-   * @param refusal null if it ended with a whole answer
-   * @param status status of that answer
+   * @param backend id of the backend
+   * @param refusal null if the attempt ended with a complete response
+   * @param status status code of that response
    */
   synchronized void recordAttempt(long nowMillis, String backend, Refusal refusal, int status) {
     failureShare.ended(
         nowMillis, refusal == null ? resultOfResponse(status) : resultOfFailure(refusal.verdict()));
     int percent = failureShare.percent(nowMillis);
     boolean isFailing = percent > LOG_THRESHOLD_PERCENT;
-    // Half of it before the end is logged, so that a share around the bound makes no lines.
+    // The share must fall to half the threshold before the end is logged; otherwise a share that
+    // varies around the threshold would be logged again and again.
     if (isFailing && !isLoggedAsFailing
         || isLoggedAsFailing && percent < LOG_THRESHOLD_PERCENT / 2) {
       isLoggedAsFailing = isFailing;
@@ -41,12 +45,12 @@
     }
   }
 
-  /** Forgets what was seen: it was of an earlier start of the back end. */
+  /** Discards all attempts, which belong to an earlier start of the backend. */
   synchronized void reset() {
     failureShare = new FailureShare();
   }
 
-  /** Share of the attempts that failed lately, percent. */
+  /** Returns the share of recent attempts that failed, percent. */
   synchronized int percent(long nowMillis) {
     return failureShare.percent(nowMillis);
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/LocalBackendSpeed.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/LocalBackendSpeed.java
@@ -8,7 +8,9 @@
 import java.util.function.Function;
 import java.util.function.LongSupplier;
 
-/** How fast the back end beside this node is, as it says and as is seen. Thread-safe. */
+/**
+ * Speed of the local backend, from its own load reports and from measured durations. Thread-safe.
+ */
 final class LocalBackendSpeed {
   private final Function<String, Either<String, BackendStatement>> loadReportParser;
   private final MeshEvents events;
@@ -18,9 +20,9 @@
   private double slownessByAge = 1;
 
   /**
-   * Creates one that knows nothing.
+   * Creates an estimate without data.
    *
-   * @param statements reads what the back end says of itself, or tells what is wrong with it
+   * @param loadReportParser parses a load report of the backend, or returns what is wrong with it
    */
   LocalBackendSpeed(
       Function<String, Either<String, BackendStatement>> loadReportParser,
@@ -32,9 +34,9 @@
   }
 
   /**
-   * An answer has come.
+   * Records the load report of a response.
    *
-   * @param text what the back end says of itself; null if it says nothing
+   * @param text the backend's load report; null if the response has none
    */
   void recordLoadReport(String text) {
     if (text == null) {
@@ -50,12 +52,15 @@
     }
   }
 
-  /** How long a request that has just been answered would have run at the usual speed. */
+  /**
+   * Records the duration of an answered request; returns what it would have been at the usual
+   * speed.
+   */
   synchronized long recordDuration(String route, long micros) {
     return speed.answered(clockMillis.getAsLong(), route, micros);
   }
 
-  /** Looks at what runs there. */
+  /** Updates the estimate from the requests that are running. */
   synchronized void observeRunning(Collection<Slowness.Running> running) {
     slownessByAge = Slowness.of(running);
     if (speed.isBelieved() != areReportsTrusted) {
@@ -64,13 +69,13 @@
     }
   }
 
-  /** Another start is there, of which nothing is known. */
+  /** Discards all data after the backend has restarted. */
   synchronized void reset() {
     speed = new BackendSpeed();
     slownessByAge = 1;
   }
 
-  /** The factor by which work takes longer now than usual. */
+  /** Returns the factor by which requests currently take longer than usual. */
   synchronized double slowness() {
     return speed.slowness(clockMillis.getAsLong(), slownessByAge);
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/LogRateLimiter.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/LogRateLimiter.java
@@ -1,6 +1,6 @@
 package io.umberpath.node.mesh;
 
-/** How many lines of one kind may be written a second; the rest is counted. Thread-safe. */
+/** Limits the log lines of one kind per second and counts the dropped ones. Thread-safe. */
 final class LogRateLimiter {
   private static final long SECOND_MILLIS = 1_000;
 
@@ -13,7 +13,7 @@
     this.maxPerSecond = maxPerSecond;
   }
 
-  /** Whether a line may be written now; counts it as dropped if not. */
+  /** Returns whether a line may be written now; counts it as dropped if not. */
   synchronized boolean tryAcquire(long nowMillis) {
     long now = nowMillis / SECOND_MILLIS;
     if (now != currentSecond) {
@@ -28,7 +28,7 @@
     return false;
   }
 
-  /** Lines dropped since the last call. */
+  /** Returns the number of lines dropped since the last call. */
   synchronized long drainDropped() {
     long count = dropped;
     dropped = 0;
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MemoryGauges.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MemoryGauges.java
@@ -7,13 +7,16 @@
 import java.util.Map;
 import java.util.function.Supplier;
 
-/** Gauges of the heap and of what its collections cost: a full heap shows as processor time. */
+/**
+ * Gauges of heap usage and garbage collection; an almost full heap shows up as CPU time spent in
+ * collections.
+ */
 final class MemoryGauges {
   private static final double MILLIS_PER_SECOND = 1_000;
 
   private MemoryGauges() {}
 
-  /** Name of each gauge, without the prefix, to its value. */
+  /** Returns the value suppliers by gauge name without the prefix. */
   static Map<String, Supplier<Number>> all() {
     MemoryMXBean memory = ManagementFactory.getMemoryMXBean();
     List<GarbageCollectorMXBean> collectors = ManagementFactory.getGarbageCollectorMXBeans();
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshEvent.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshEvent.java
@@ -2,101 +2,107 @@
 
 import java.util.Locale;
 
-/** Kinds of log lines; {@code docs/OPERATIONS.md} explains each. */
+/**
+ * Kinds of log events; {@code docs/OPERATIONS.md} explains each. The number is the most lines per
+ * second.
+ */
 public enum MeshEvent {
-  /** Which clock ages and deadlines are on. */
+  /** The clock used for ages and deadlines was selected. */
   CLOCK_OPENED(10),
-  /** The process did not run for a while. */
+  /** The process was suspended or not scheduled for a while. */
   NODE_PAUSED(5),
-  /** What had arrived was read late, since the thread that reads was busy. */
+  /** Received data was read late because the event loop thread was busy. */
   READING_LATE(10),
-  /** How long a change takes to the last node at most, by design. */
+  /** The longest time that a change takes by design to reach the last node. */
   CHANGE_BUDGET(10),
-  /** The process takes requests. */
+  /** The process accepts requests. */
   NODE_STARTED(10),
-  /** The process was told to stop. */
+  /** The process was asked to stop. */
   NODE_STOPPING(10),
-  /** The process ends. */
+  /** The process exits. */
   NODE_STOPPED(10),
-  /** The settings were read again. */
+  /** The settings were reloaded. */
   SETTINGS_RELOADED(10),
-  /** Changed settings were refused; the old ones hold. */
+  /** Changed settings were rejected; the previous ones stay in force. */
   SETTINGS_REFUSED(10),
-  /** The store does not answer. */
+  /** The store does not respond. */
   STORE_LOST(10),
-  /** The store answers again. */
+  /** The store responds again. */
   STORE_REGAINED(10),
-  /** The store does not have the changes that this node asked for. */
+  /** The store no longer has the changes that this node asked for. */
   STORE_HISTORY_GONE(5),
-  /** A whole read of the store is behind what this node holds, and is not taken. */
+  /** A full read of the store is older than this node's state, and is ignored. */
   STORE_READ_DROPPED(5),
-  /** The store has come back from an older copy; or what was kept over that goes. */
+  /**
+   * The store was restored from an older copy, or the entries kept because of that have been
+   * released.
+   */
   STORE_ERA(5),
-  /** The store shows an older configuration than the accepted one, which stays in force. */
+  /** The store has an older configuration than the accepted one, which stays in force. */
   CONFIGURATION_OLDER(5),
   /** A newer configuration is in force. */
   CONFIGURATION_TAKEN(20),
-  /** A configuration was refused whole; the old one holds. */
+  /** A configuration was rejected as a whole; the previous one stays in force. */
   CONFIGURATION_REFUSED(10),
-  /** A back end takes work. */
+  /** A backend accepts work. */
   BACKEND_ADDED(50),
-  /** A back end takes no new work. */
+  /** A backend accepts no new work. */
   BACKEND_DRAINING(50),
-  /** A back end is no longer listed. */
+  /** A backend is no longer listed. */
   BACKEND_GONE(50),
-  /** A back end has started again under its id. */
+  /** A backend was restarted under the same id. */
   BACKEND_RESTARTED(50),
-  /** A zone's back ends are to get no new work, or get it again. */
+  /** A zone's evacuation begins or ends: its backends are to get no new work, or get it again. */
   ZONE_EVACUATION(10),
-  /** A back end lives although its entry has lapsed, or is no longer known to. */
+  /** A backend with an expired entry is known to be alive, or no longer is. */
   BACKEND_ATTESTED(10),
-  /** A back end's entry cannot be read. */
+  /** A backend's entry cannot be parsed. */
   BACKEND_REFUSED(10),
-  /** What the back end beside this node says of its load cannot be read. */
+  /** The load report of the local backend cannot be parsed. */
   STATEMENT_REFUSED(2),
-  /** What the back end beside this node says of its speed is believed, or no longer. */
+  /** The speed reported by the local backend is now trusted, or no longer. */
   STATEMENTS_BELIEVED(2),
-  /** Another node has not been heard of for too long. */
+  /** No report of another node was received for too long. */
   PEER_SILENT(20),
-  /** A silent node is heard again. */
+  /** Reports of a silent node are received again. */
   PEER_HEARD(20),
-  /** A datagram is no message between nodes. */
+  /** A datagram is not a valid message between nodes. */
   REPORT_REFUSED(5),
   /** A report could not be sent. */
   REPORT_UNSENT(5),
-  /** Newer changes were taken from another node. */
+  /** Newer changes were adopted from another node. */
   STATE_ADOPTED(20),
-  /** Newer changes could not be taken from another node. */
+  /** Newer changes could not be fetched from another node. */
   STATE_PULL_FAILED(10),
-  /** This node begins to call the store for its zone, or leaves it to others. */
+  /** This node starts to read the store for its zone, or leaves that to others. */
   STORE_READER(10),
-  /** A request of a caller ended without an answer of a back end. */
+  /** A client's request ended without a response of a backend. */
   REQUEST_FAILED(40),
-  /** A connection ended with requests unanswered that had been read from it. */
+  /** A connection ended while requests read from it were unanswered. */
   CONNECTION_ENDED(40),
-  /** A request of a caller was answered; a sample. */
+  /** A client's request was answered; only a sample is logged. */
   REQUEST_SERVED(2),
-  /** An attempt failed, and whether another follows. */
+  /** An attempt failed; the line tells whether it is retried. */
   ATTEMPT_FAILED(40),
-  /** The node beside the back end refused a request as not run. */
+  /** The backend's node refused a request as not run. */
   GATE_REFUSED(40),
-  /** A request of another node lacks what such requests carry. */
+  /** A request of another node lacks a mandatory header. */
   GATE_HEAD_REFUSED(5),
-  /** The back end beside this node failed a request that may have run. */
+  /** The local backend failed a request that may have run. */
   GATE_FAILED(40),
-  /** The back end beside this node ended while it ran a request; a line for each. */
+  /** The local backend crashed while running a request; one line per request. */
   BACKEND_ENDED(20),
-  /** Many answers of the back end beside this node fail, or no longer. */
+  /** Many responses of the local backend fail, or no longer do. */
   BACKEND_FAILING(5),
-  /** A request is kept from all back ends. */
+  /** A request is quarantined: it is kept from all backends. */
   REQUEST_HELD(20),
-  /** A request is no longer kept from back ends. */
+  /** A request is no longer quarantined. */
   REQUEST_CLEARED(20),
-  /** A request that is held is sent to a back end once more. */
+  /** A quarantined request is sent to a backend as a trial. */
   REQUEST_TRIED(5),
-  /** Lines of other kinds were dropped. */
+  /** Log lines of another kind were dropped. */
   LINES_DROPPED(5),
-  /** A fault in the program itself. */
+  /** An internal error of the program. */
   FAULT(10);
 
   private final int linesPerSecond;
@@ -106,12 +112,12 @@
     this.linesPerSecond = linesPerSecond;
   }
 
-  /** Most lines of this kind in a second. */
+  /** Returns the most lines of this kind per second. */
   public int linesPerSecond() {
     return linesPerSecond;
   }
 
-  /** Name in log lines. */
+  /** Returns the name in log lines. */
   public String label() {
     return label;
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshEvents.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshEvents.java
@@ -48,7 +48,11 @@
   private final LongSupplier clockMillis;
   private final Map<MeshEvent, LogRateLimiter> rateLimiters = new EnumMap<>(MeshEvent.class);
 
-  /** Creates a log on a rising clock, milliseconds. */
+  /**
+   * Creates a log.
+   *
+   * @param clockMillis monotonic clock, milliseconds
+   */
   public MeshEvents(LongSupplier clockMillis) {
     this.clockMillis = clockMillis;
     for (MeshEvent event : MeshEvent.values()) {
@@ -56,7 +60,7 @@
     }
   }
 
-  /** Lines about requests, within the same bounds. */
+  /** Returns the log for request events; it shares this log's rate limits. */
   RequestEvents requests() {
     return new RequestEvents(this);
   }
@@ -71,11 +75,12 @@
 
   static FluentLogger.Api line(MeshEvent event, boolean written) {
     FluentLogger.Api api = written ? logger.atInfo() : logger.atFinest();
-    // The event's name says where a line is from; a walk of the stack costs more than the line.
+    // The event name identifies the origin of a line; a stack walk would cost more than the line
+    // itself.
     return api.withInjectedLogSite(LogSite.INVALID).with(LogFields.EVENT, event.label());
   }
 
-  /** Writes how many lines were dropped since the last call. */
+  /** Logs how many lines of each kind were dropped since the last call. */
   void reportDropped() {
     rateLimiters.forEach(
         (event, rateLimiter) -> {
@@ -86,7 +91,7 @@
         });
   }
 
-  /** Which clock ages and deadlines are on. */
+  /** Logs the clock used for ages and deadlines. */
   public void clockOpened(BootClock.Source clock) {
     line(MeshEvent.CLOCK_OPENED)
         .with(SOURCE, label(clock))
@@ -94,28 +99,32 @@
             "%s",
             clock == BootClock.Source.BOOT_TIME
                 ? "counts suspended time"
-                : "does not count suspended time: ages look young after a suspension");
+                : "does not count suspended time: ages are too low after a suspension");
   }
 
-  /** This process did not run for a while: it was paused, or its machine suspended. */
+  /**
+   * Logs that this process did not run for a while: it was paused, or its machine was suspended.
+   */
   void paused(long millis) {
     line(MeshEvent.NODE_PAUSED).with(MILLIS, millis).log("idle connections are closed");
   }
 
   /**
-   * A selector thread was busy for long: what arrived meanwhile is read only now.
+   * Logs that a selector thread was busy for long, so that data received meanwhile is read only
+   * now.
    *
-   * @param sockets sockets that it was busy with
+   * @param sockets number of sockets served in that iteration
    */
   void readingLate(long millis, int sockets) {
     line(MeshEvent.READING_LATE)
         .with(MILLIS, millis)
         .with(COUNT, (long) sockets)
-        .log("sockets served in one turn");
+        .log("sockets served in one iteration");
   }
 
   /**
-   * What the node's own times allow a change to take, beside the bound.
+   * Logs the longest time that a change may take according to the node's own intervals, and its
+   * bound.
    *
    * @param boundMillis 0 if the settings give none
    */
@@ -127,7 +136,7 @@
         .log("bound %d ms%s", boundMillis, fits ? "" : ": the reserve is too small");
   }
 
-  /** The process takes requests. */
+  /** Logs that the process accepts requests. */
   public void started(MeshSettings settings, long millisSinceStart) {
     line(MeshEvent.NODE_STARTED)
         .with(SERVICE, settings.service())
@@ -141,12 +150,12 @@
   }
 
   /**
-   * A planned stop is done.
+   * Logs the end of a graceful shutdown.
    *
-   * @param cutOff requests that may have run and were broken off
-   * @param refused requests that were refused as not run at its end
-   * @param openCallers connections of callers and other nodes that end with the process
-   * @param unwrittenBytes bytes of answers that no socket has taken
+   * @param cutOff requests that may have run and were cut off
+   * @param refused requests refused as not run at the end
+   * @param openConnections connections of clients and other nodes still open when the process exits
+   * @param unwrittenBytes response bytes not written to a socket
    */
   void stopped(int cutOff, int refused, int openConnections, long unwrittenBytes, long millis) {
     line(MeshEvent.NODE_STOPPED)
@@ -158,20 +167,20 @@
             cutOff, refused, openConnections, unwrittenBytes);
   }
 
-  /** The settings were read again. */
+  /** Logs that the settings were reloaded. */
   public void reloaded(String outcome) {
     line(MeshEvent.SETTINGS_RELOADED).log("%s", outcome);
   }
 
-  /** Changed settings were refused. */
+  /** Logs that changed settings were rejected. */
   public void settingsRefused(String problem) {
-    line(MeshEvent.SETTINGS_REFUSED).with(CAUSE, problem).log("settings kept");
+    line(MeshEvent.SETTINGS_REFUSED).with(CAUSE, problem).log("previous settings stay in force");
   }
 
   /**
-   * The store has answered a call.
+   * Logs a response of the store if it is unusual.
    *
-   * @param held position of what this node holds, the answer taken
+   * @param heldPosition position of this node's state after the response was applied
    */
   void storeCalled(StoreAnswer answer, StorePosition heldPosition) {
     if (answer instanceof StoreAnswer.HistoryGone gone) {
@@ -208,21 +217,24 @@
         .log("in force");
   }
 
-  /** The store came back from an older copy, and this node has read it. */
+  /** Logs that the store was restored from an older copy, which this node has read. */
   void storeEraBegan(StorePosition before, StorePosition after, String source, int kept) {
     line(MeshEvent.STORE_ERA)
         .with(POSITION, after.toString())
         .with(SOURCE, source)
         .with(COUNT, (long) kept)
-        .log("begins; held before: %s", before);
+        .log("begins; position before: %s", before);
   }
 
-  /** What was kept that the copy did not have is now as the store shows it. */
+  /**
+   * Logs that no entry missing from the restored copy is kept any more: all are as the store has
+   * them.
+   */
   void storeEraSettled(StorePosition at, int kept) {
     line(MeshEvent.STORE_ERA)
         .with(POSITION, at.toString())
         .with(COUNT, (long) kept)
-        .log("no entry is kept any more");
+        .log("all kept entries released");
   }
 
   void configurationOlder(long accepted, long shown, long revision, String source) {
@@ -230,7 +242,7 @@
         .with(CONFIGURATION, accepted)
         .with(REVISION, revision)
         .with(SOURCE, source)
-        .log("stays in force: the store shows version %d", shown);
+        .log("stays in force: the store has version %d", shown);
   }
 
   void configurationRefused(long revision, String problem, String source) {
@@ -238,7 +250,7 @@
         .with(REVISION, revision)
         .with(SOURCE, source)
         .with(CAUSE, problem)
-        .log("the configuration before it stays in force");
+        .log("the previous configuration stays in force");
   }
 
   void backendRefused(String key, long revision, String problem) {
@@ -246,15 +258,15 @@
         .with(BACKEND, key)
         .with(REVISION, revision)
         .with(CAUSE, problem)
-        .log("entry passed over");
+        .log("entry ignored");
   }
 
-  /** What the back end beside this node says of itself cannot be read. */
+  /** Logs that the load report of the local backend cannot be parsed. */
   void statementRefused(String problem) {
     line(MeshEvent.STATEMENT_REFUSED).with(CAUSE, problem).log("passed over");
   }
 
-  /** Whether what the back end beside this node says of its speed is believed has changed. */
+  /** Logs whether the speed reported by the local backend is now trusted. */
   void statementsBelieved(boolean areTrusted, String inputs) {
     line(MeshEvent.STATEMENTS_BELIEVED)
         .with(CAUSE, inputs)
@@ -271,7 +283,8 @@
       if (restarted) {
         backend(MeshEvent.BACKEND_RESTARTED, entry)
             .with(REVISION, revision)
-            .log("%s: born %d, before %d", source, entry.bornMillis(), old.get().bornMillis());
+            .log(
+                "%s: start time %d, before %d", source, entry.bornMillis(), old.get().bornMillis());
       }
       if (changed) {
         boolean ready = entry.state() == BackendEntry.State.READY;
@@ -345,13 +358,13 @@
     line(MeshEvent.STATE_PULL_FAILED)
         .with(LogFields.ADDRESS, peer)
         .with(CAUSE, String.valueOf(failure.getMessage()))
-        .log("another node is tried");
+        .log("trying another node");
   }
 
   /**
-   * This node begins to call the store, or ends.
+   * Logs that this node starts or stops reading the store.
    *
-   * @param inputs what that was decided from
+   * @param inputs the values on which the decision was based
    */
   void storeReader(boolean reads, String inputs) {
     line(MeshEvent.STORE_READER).with(CAUSE, inputs).log("%s", reads ? "begins" : "ends");
@@ -381,7 +394,7 @@
     return value.name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
 
-  /** The back end beside this node ended; one line for each request that it ran. */
+  /** Logs a crash of the local backend; one line for each request that it was running. */
   void backendEnded(String backend, RequestFingerprint request, int runningCount) {
     line(MeshEvent.BACKEND_ENDED)
         .with(BACKEND, backend)
@@ -391,10 +404,10 @@
   }
 
   /**
-   * From now on many answers of the back end beside this node fail, or no longer.
+   * Logs that many responses of the local backend fail, or no longer do.
    *
-   * @param percent share of its answers that failed lately
-   * @param kinds how many answers of each kind that is from
+   * @param percent share of its recent responses that failed
+   * @param kinds number of recent responses of each kind
    */
   void backendFailing(String backend, boolean isFailing, int percent, String kinds) {
     line(MeshEvent.BACKEND_FAILING)
@@ -405,15 +418,15 @@
   }
 
   /**
-   * A request is from now on kept from all back ends, or no longer.
+   * Logs that a request is now quarantined, or no longer.
    *
-   * @param ends ends of back ends that are held against it
+   * @param crashCount crashes attributed to the request
    */
   void requestHeld(RequestFingerprint request, boolean isHeld, int crashCount) {
     line(isHeld ? MeshEvent.REQUEST_HELD : MeshEvent.REQUEST_CLEARED)
         .with(FINGERPRINT, request.text())
         .with(COUNT, (long) crashCount)
-        .log("%s", isHeld ? "back ends ended under it" : "it ran to a good end");
+        .log("%s", isHeld ? "backends crashed while running it" : "it ran to a good end");
   }
 
   void requestTried(RequestFingerprint request) {
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshInboundHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshInboundHandler.java
@@ -32,15 +32,16 @@
 import org.glassfish.grizzly.http.util.Header;
 
 /**
- * Requests of other nodes for the back end beside this one. It is the only way to that back end, so
- * that it knows exactly how many requests run there; what it refuses before the first byte
- * certainly did not run.
+ * Handles requests of other nodes for the local backend. All requests to that backend pass through
+ * this handler, so it knows exactly how many are running, and a request that it refuses before
+ * sending the first byte has certainly not run. Metrics call this side {@code hop}, logs {@code
+ * gate}.
  */
 final class MeshInboundHandler implements RequestHandler {
-  /** Load of the back end, on every answer to another node. */
+  /** Load of the backend, in every response to another node. */
   static final String LOAD_HEADER = "Umberpath-Load";
 
-  /** On answers of routes whose requests back ends send, not callers. */
+  /** Set in responses of routes whose requests are sent by backends, not by external clients. */
   static final String NESTED_HEADER = "Umberpath-Nested";
 
   private static final int MISDIRECTED = 421;
@@ -49,10 +50,10 @@
       new Verdict.MayHaveRun(Verdict.Reason.CONNECTION_LOST);
   private static final long MICROS_PER_MILLI = 1_000;
 
-  /** Time an answer takes back to the caller at least, milliseconds. */
+  /** Least time that a response takes back to the client, milliseconds. */
   private static final long RESPONSE_TRANSIT_MILLIS = 8;
 
-  /** Requests of a route after which its mean time is believed. */
+  /** Requests of a route after which its mean duration is used. */
   private static final int MIN_TIME_SAMPLES = 5;
 
   private final MeshSettings settings;
@@ -100,8 +101,8 @@
   }
 
   /**
-   * Sends an admitted request; while it waited, the back end may have begun to leave, and others
-   * may have ended under the same request.
+   * Sends an admitted request. While the request was queued, the backend may have started to drain,
+   * or the request may have been quarantined because it crashed other backends.
    */
   private boolean send(Exchange exchange) {
     MeshInboundPlan plan = planOf(exchange);
@@ -124,16 +125,17 @@
     return gate;
   }
 
-  /** Lets time pass: refuses what can no longer be met. */
+  /** Refuses requests that can no longer be served in time. */
   void tick(long nowMillis) {
     uploads.tick(nowMillis);
     gate.tick(nowMillis);
   }
 
   /**
-   * Looks whether the back end has ended; what it ran is suspected, unless it was leaving.
+   * Checks whether the backend has crashed. Its running requests become suspects unless it was
+   * draining.
    *
-   * @return its id if it has
+   * @return id of the crashed start
    */
   Optional<String> lookForCrash() {
     Optional<BackendCrashDetector.Crash> crash = crashDetector.pollCrash(this::isAnySentBefore);
@@ -156,7 +158,10 @@
     quarantine.recordBackendCrash(backend.startOf(crash.backend()), crash.requests());
   }
 
-  /** Looks at what runs: how slow the back end is by its age, and how much of it is repeated. */
+  /**
+   * Updates the backend's slowness from the age of running requests, and the share of retries among
+   * them.
+   */
   void observe() {
     resetAfterRestart();
     List<Slowness.Running> running = new ArrayList<>();
@@ -171,7 +176,7 @@
     retriedWorkShare = running.isEmpty() ? 0 : retries / (double) running.size();
   }
 
-  /** What an earlier start took for its work says nothing of this one. */
+  /** Discards measurements when the backend has restarted; they do not apply to the new process. */
   private void resetAfterRestart() {
     long born = backend.bornMillis();
     if (born != observedBornMillis) {
@@ -184,12 +189,15 @@
     }
   }
 
-  /** Share of what the back end works on that may have run elsewhere before. */
+  /**
+   * Returns the share of the backend's running requests that may have run on another backend
+   * before.
+   */
   double retriedWorkShare() {
     return retriedWorkShare;
   }
 
-  /** What this node states of its back end. */
+  /** Returns the load of the backend that this node reports. */
   GateLoad load() {
     int slownessPercent = (int) Math.round(speed.slowness() * GateLoad.USUAL_PERCENT);
     long serviceMicros = gate.meanServiceMicros();
@@ -269,7 +277,7 @@
       return;
     }
     if (!exchange.body().isHeld()) {
-      // A slot that waits for a body does no work.
+      // A slot that waits for a body does no work, so the request is not queued for a slot yet.
       uploads.enqueue(exchange, plan.arrivedMillis() + plan.hop().startWithinMillis());
       exchange.dispatchOnceBodyIsHeld();
       return;
@@ -300,7 +308,10 @@
                 isNested));
   }
 
-  /** The edge decides; this one helps out where it has not heard yet. */
+  /**
+   * Returns whether the request is quarantined. The client's node checks this first; the check here
+   * covers nodes that have not received the suspicion yet.
+   */
   private boolean isQuarantined(Exchange exchange, MeshInboundPlan plan) {
     return quarantine.mayHold(plan.targetHash())
         && Fingerprints.of(exchange, plan.targetHash())
@@ -379,7 +390,7 @@
 
   @Override
   public void attemptEnded(Exchange exchange, String originId, Refusal refusal, long micros) {
-    // The slot is given back when the request ends; there is one attempt.
+    // The slot is released when the request ends; this side makes a single attempt.
     MeshInboundPlan plan = planOf(exchange);
     failures.recordAttempt(
         clockMillis.getAsLong(), plan.instance(), refusal, exchange.answeredStatus());
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshInboundPlan.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshInboundPlan.java
@@ -5,16 +5,16 @@
 import java.util.Set;
 
 /**
- * Plan of another node's request for the back end beside this node.
+ * Plan of another node's request for the local backend.
  *
- * @param requestId the caller's id of its attempt
- * @param hop what the other node says
- * @param deadlineMillis when it is given up, on the proxy's clock
- * @param unreadBeforeMillis for how long it may have lain unread at the node before
- * @param beganMillis when its head arrived, on the proxy's clock
- * @param target what makes it the same request as another, but for the body; see {@link
+ * @param requestId the client's id of its attempt
+ * @param hop data from the other node
+ * @param deadlineMillis deadline, on the proxy's clock
+ * @param previousHopUnreadMillis how long the request may have been unread at the previous node
+ * @param arrivedMillis time at which the request's head arrived, on the proxy's clock
+ * @param targetHash hash of everything that identifies the request except its body; see {@link
  *     RequestFingerprint#target}
- * @param replacedHeaders headers this node sets itself
+ * @param replacedHeaders headers that this node sets itself
  */
 record MeshInboundPlan(
     String requestId,
@@ -30,7 +30,7 @@
     return hop.route();
   }
 
-  /** When its caller gives up at the latest, on the proxy's clock, milliseconds. */
+  /** Returns the latest time at which the client gives up, on the proxy's clock, milliseconds. */
   long latestDeadlineMillis() {
     return deadlineMillis + previousHopUnreadMillis;
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshMetrics.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshMetrics.java
@@ -17,16 +17,18 @@
 import java.util.function.Supplier;
 
 /**
- * Counters, gauges and latency histograms in the Prometheus text format. Made once somebody asks
- * for them, since making them takes a twentieth of a start; what happened before is not counted,
- * and no rate can be told of it anyway. Thread-safe.
+ * Counters, gauges and latency histograms in the Prometheus text format. The registry is created
+ * when metrics are first requested, because creating it takes a twentieth of the startup time.
+ * Earlier events are not counted; rates could not be computed from them anyway. Thread-safe.
  */
 final class MeshMetrics implements ProxyStats {
   private static final String PREFIX = "umberpath.";
   private static final Duration MIN_DURATION = Duration.ofMillis(1);
   private static final Duration MAX_DURATION = Duration.ofSeconds(10);
 
-  /** From the beginning, since what is in flight when counting begins ends later. */
+  /**
+   * Counted from the start, since requests in flight when metrics are first requested end later.
+   */
   private final InFlightCounts inFlight = new InFlightCounts();
 
   private final AtomicBoolean requested = new AtomicBoolean();
@@ -35,9 +37,9 @@
   private volatile Timer lateIterations;
 
   /**
-   * Begins to count.
+   * Creates the registry and starts to count.
    *
-   * @param gauges name of a gauge, without the prefix, to its value
+   * @param gauges value suppliers by gauge name without the prefix
    */
   void begin(Map<String, Supplier<Number>> gauges) {
     PrometheusMeterRegistry created = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
@@ -53,9 +55,9 @@
   }
 
   /**
-   * The page; empty before counting has begun.
+   * Returns the metrics page; empty until the registry is created.
    *
-   * @param beginner called at the first call, to have {@link #begin} called on another thread
+   * @param starter called once, on the first call, to have {@link #begin} called on another thread
    */
   String page(Runnable starter) {
     PrometheusMeterRegistry current = registry;
@@ -65,7 +67,9 @@
     return current == null ? "" : current.scrape();
   }
 
-  /** An iteration of the event loop kept what had arrived waiting for so long. */
+  /**
+   * Records the duration of an event loop iteration, which delayed the reading of received data.
+   */
   void recordLateIteration(long micros) {
     Timer timer = lateIterations;
     if (timer != null) {
@@ -88,7 +92,6 @@
     inFlight.add(side, change);
   }
 
-  /** Gives every timer a histogram with bounded buckets. */
   private static final class Histograms implements MeterFilter {
     @Override
     public DistributionStatisticConfig configure(Meter.Id id, DistributionStatisticConfig config) {
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshOutboundHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshOutboundHandler.java
@@ -31,9 +31,12 @@
 import org.glassfish.grizzly.http.HttpRequestPacket;
 import org.glassfish.grizzly.http.util.Header;
 
-/** Requests of callers: finds the route, picks a back end, sends to the node beside it. */
+/**
+ * Handles requests of local clients: finds the route, chooses a backend and sends the request to
+ * the backend's node. Metrics and logs call this side {@code edge}.
+ */
 final class MeshOutboundHandler implements RequestHandler {
-  /** Largest body that is sent on the chance of a free slot, bytes. */
+  /** Largest body sent to a node that may refuse the request because its backend is full, bytes. */
   private static final long MAX_OPTIMISTIC_BODY_BYTES = 16 * 1024;
 
   private static final long RETRY_AFTER_NOT_READY_MILLIS = 300;
@@ -60,8 +63,8 @@
   /**
    * Creates the handler.
    *
-   * @param repeatShare share of what the back end beside this node works on that may have run
-   *     elsewhere before: what it calls meanwhile counts as repeated by that share
+   * @param retriedWorkShare share of the local backend's running requests that may have run on
+   *     another backend before; that share of its nested calls counts as retries
    */
   MeshOutboundHandler(
       MeshSettings settings,
@@ -87,17 +90,17 @@
     replacedHeaders.add(Header.Expect.toString());
   }
 
-  /** From now on answers ask callers to go elsewhere with their next request. */
+  /** From now on responses ask clients to send their next request elsewhere. */
   void startDraining() {
     draining = true;
   }
 
-  /** Requests that come late in a planned stop are refused as not run. */
+  /** Sets which requests are refused as not run in a graceful shutdown. */
   void setShutdownRefusals(ShutdownRefusalPolicy policy) {
     shutdownRefusals = policy;
   }
 
-  /** From now on requests are refused as not run. */
+  /** From now on all requests are refused as not run. */
   void refuseRequests() {
     refusingRequests = true;
   }
@@ -180,7 +183,10 @@
     }
   }
 
-  /** The caller's deadline; very long if it states none, empty if it is malformed. */
+  /**
+   * Returns the timeout that the client set, milliseconds: a very long one if it set none, empty if
+   * it is malformed.
+   */
   private Optional<Long> clientTimeout(RequestHead head) {
     Optional<String> text = head.field(settings.headers().deadline());
     return text.isEmpty() ? Optional.of((long) Integer.MAX_VALUE) : Headers.number(text.get());
@@ -233,7 +239,7 @@
     }
   }
 
-  /** The back end is chosen when the body can follow at once. */
+  /** Waits for the whole body, so that the body can be sent as soon as a backend is chosen. */
   private static void awaitBody(Exchange exchange) {
     if (exchange.request().field(Header.Expect.toString()).isPresent()) {
       exchange.continueBody();
@@ -242,12 +248,12 @@
   }
 
   /**
-   * Whether the request is kept from all back ends, and so refused. No time to come back is named:
-   * whoever comes again is refused again.
+   * Refuses the request if it is quarantined; returns whether it was refused. The refusal has no
+   * retry time, since a retry would be refused again.
    */
   private boolean refuseIfQuarantined(Exchange exchange, MeshOutboundPlan plan) {
-    // What earlier tries of the request have done counts too: one ended 25 back ends, two a try,
-    // as each try began at nought.
+    // Crashes caused by earlier requests with the same fingerprint count too: when each client
+    // retry started at zero, one request ended 25 backends, two per retry.
     boolean isQuarantined =
         quarantine.mayHold(plan.targetHash())
             && Fingerprints.of(exchange, plan.targetHash())
@@ -339,7 +345,10 @@
         : Optional.of(Refusal.mayHaveRun(Verdict.Reason.BAD_ANSWER));
   }
 
-  /** This node has read the request: what another cannot read is not the caller's doing. */
+  /**
+   * Maps the verdict of another node. This node has parsed the request, so it is not the client's
+   * fault if another node cannot read it.
+   */
   private static Verdict verdictFromPeer(Verdict verdict) {
     boolean isUnreadable = verdict.equals(new Verdict.NotRun(Verdict.Reason.BAD_REQUEST));
     return isUnreadable ? new Verdict.NotRun(Verdict.Reason.UNREADABLE) : verdict;
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshOutboundPlan.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshOutboundPlan.java
@@ -6,19 +6,19 @@
 import java.util.Set;
 
 /**
- * Plan of a caller's request.
+ * Plan of a local client's request.
  *
- * @param requestId the caller's id of this attempt
- * @param rule its route
- * @param service the part of the route it goes to
- * @param configurationVersion version of the configuration that said so
- * @param deadlineMillis when it is given up, on the proxy's clock
- * @param beganMillis when its head arrived, on the proxy's clock
- * @param target what makes it the same request as another, but for the body; see {@link
+ * @param requestId the client's id of this attempt
+ * @param rule the request's route
+ * @param service the service of the route that was chosen for the request
+ * @param configurationVersion version of the configuration that contains the route
+ * @param deadlineMillis deadline, on the proxy's clock
+ * @param arrivedMillis time at which the request's head arrived, on the proxy's clock
+ * @param targetHash hash of everything that identifies the request except its body; see {@link
  *     RequestFingerprint#target}
- * @param returned whether its caller comes back after an earlier attempt
- * @param replacedHeaders headers this node sets itself
- * @param tally what its attempts have used
+ * @param isClientRetry whether the client has sent this request before
+ * @param replacedHeaders headers that this node sets itself
+ * @param retryState counts and outcomes of the request's attempts
  */
 record MeshOutboundPlan(
     String requestId,
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshProxy.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshProxy.java
@@ -20,7 +20,7 @@
 import java.util.function.Supplier;
 import org.glassfish.grizzly.filterchain.Filter;
 
-/** The request path: listeners, connections and the two handlers. */
+/** The data plane of a node: listeners, connections and the outbound and inbound handlers. */
 final class MeshProxy implements AutoCloseable {
   private static final int MAX_HEADER_BYTES = 64 * 1024;
   private static final long DEFAULT_MAX_BODY_BYTES = 64L * 1024 * 1024;
@@ -127,7 +127,6 @@
         : DEFAULT_MAX_BODY_BYTES;
   }
 
-  /** Opens the listeners. */
   void start() throws IOException {
     transport.start();
     inboundListener = listen(settings.inbound(), inboundFilter);
@@ -138,12 +137,12 @@
     return transport.listen(address.host(), address.port(), last);
   }
 
-  /** Opens a further listener. */
+  /** Opens an additional listener. */
   void listen(PeerAddress address, Filter last) throws IOException {
     transport.listen(address.host(), address.port(), last);
   }
 
-  /** Connections to the back end beside this node. */
+  /** Returns the pool of connections to the local backend. */
   ConnectionPool backendPool() {
     return backendPool;
   }
@@ -152,22 +151,22 @@
     return inbound;
   }
 
-  /** Requests in flight. */
+  /** Returns the number of requests in flight. */
   int inFlight() {
     return active.size();
   }
 
-  /** Whether the back end beside this node works on a request. */
+  /** Returns whether the local backend is running a request. */
   boolean isBackendBusy() {
     return inbound.gate().running() > 0;
   }
 
-  /** From now on callers are asked to go elsewhere with their next request. */
+  /** From now on clients are asked to send their next request elsewhere. */
   void leave() {
     outbound.startDraining();
   }
 
-  /** Latest deadline of the requests that the back end beside this node works on. */
+  /** Returns the latest deadline of the requests running on the local backend. */
   private long latestBackendDeadlineMillis() {
     return active
         .plans()
@@ -178,30 +177,30 @@
   }
 
   /**
-   * Refuses callers' requests as not run from a moment on, but for those that end in time.
+   * From the given time on, refuses clients' requests as not run, except those that end in time.
    *
-   * @param fromMillis the moment, on the clock
-   * @param cutOffMillis when what is in flight is cut off, on the clock
+   * @param fromMillis start time, on the node's clock
+   * @param cutOffMillis time at which requests in flight are cut off, on the node's clock
    */
   void refuseLateClientRequests(long fromMillis, long cutOffMillis) {
     outbound.setShutdownRefusals(
         new ShutdownRefusalPolicy(fromMillis, cutOffMillis, this::latestBackendDeadlineMillis));
   }
 
-  /** From now on callers' requests are refused as not run. */
+  /** From now on clients' requests are refused as not run. */
   void refuseClientRequests() {
     outbound.refuseRequests();
   }
 
-  /** Accepts no more connections of callers. */
+  /** Stops accepting connections of clients. */
   void closeOutboundListener() {
     outboundListener.closeWhenEmpty();
   }
 
   /**
-   * Accepts no more connections and ends those that are open, each with all its answers.
+   * Stops accepting connections, and closes the open ones after all their responses are written.
    *
-   * @param endMillis when it returns at the latest, on the clock
+   * @param endMillis latest time at which this method returns, on the node's clock
    */
   void endConnections(long endMillis) throws InterruptedException {
     inboundListener.closeWhenEmpty();
@@ -210,9 +209,9 @@
   }
 
   /**
-   * Ends what is past its deadline.
+   * Ends requests that are past their deadline.
    *
-   * @param isTimerLate whether the caller had no processor for a while
+   * @param isTimerLate whether the calling timer thread was not scheduled for a while
    */
   void keepDeadlines(boolean isTimerLate) {
     if (active.size() > 0 && !transport.checkTimeouts(expireOverdueTask, isTimerLate)) {
@@ -227,9 +226,9 @@
   }
 
   /**
-   * Gives up connections that do not open, and looks how fast the back end is.
+   * Closes connections that are not established in time, and updates the backend's speed.
    *
-   * @param isTimerLate whether the caller had no processor for a while
+   * @param isTimerLate whether the calling timer thread was not scheduled for a while
    */
   void sweep(boolean isTimerLate) {
     transport.checkTimeouts(sweepTask, isTimerLate);
@@ -241,13 +240,13 @@
     origins.giveUpLate();
   }
 
-  /** Closes connections to other nodes and to the back end on which nothing is under way. */
+  /** Closes idle connections to other nodes and to the backend. */
   void closeIdleOrigins() {
     origins.expire(0);
     backendPool.expire(0);
   }
 
-  /** Closes connections of callers and other nodes that have rested for too long. */
+  /** Closes connections of clients and other nodes that exceeded their idle timeout. */
   void closeIdle() {
     MeshView current = view.get();
     RequestLimits limits = current.isComplete() ? current.configuration().limits() : null;
@@ -257,22 +256,25 @@
     inboundFilter.expire(IDLE_HOP_MILLIS, LINGER_MILLIS);
   }
 
-  /** Connections of callers and other nodes that are open. */
+  /** Returns the number of open connections from clients and other nodes. */
   int openIncomingConnections() {
     return outboundFilter.open() + inboundFilter.open();
   }
 
-  /** Bytes of answers that no socket has taken yet. */
+  /** Returns the number of response bytes not yet written to a socket. */
   long unwrittenBytes() {
     return outboundFilter.unwrittenBytes() + inboundFilter.unwrittenBytes();
   }
 
-  /** Connections to other nodes that are open. */
+  /** Returns the number of open connections to other nodes. */
   int openConnectionsToNodes() {
     return origins.open();
   }
 
-  /** Cuts off what is in flight and not being answered; returns how many may have run. */
+  /**
+   * Aborts requests in flight whose response has not started; returns how many of them may have
+   * run.
+   */
   int abortAll() {
     return active.abortAll();
   }
@@ -282,7 +284,7 @@
     try {
       transport.stop();
     } catch (IOException ignored) {
-      // The process ends.
+      // Ignored because the process is exiting.
       return;
     }
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshRefusalStyle.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshRefusalStyle.java
@@ -5,8 +5,8 @@
 import io.umberpath.node.proxy.inbound.RefusalStyle;
 
 /**
- * Refusals whose status is a promise: 503 only if the request has not run and never will; 502 or
- * 504 if that is not known. {@code Retry-After} has fractions of a second.
+ * Refusals with a strict meaning of the status code: 503 only if the request has not run and never
+ * will, 502 or 504 if that is unknown. {@code Retry-After} has fractions of a second.
  */
 final class MeshRefusalStyle implements RefusalStyle {
   private static final int UNAVAILABLE = 503;
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/OutboundRetryPolicy.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/OutboundRetryPolicy.java
@@ -9,20 +9,23 @@
 import java.util.function.IntSupplier;
 
 /**
- * Whether a request is sent again, within its route's bounds and the budget that all nodes share.
- * Thread-safe.
+ * Decides whether a request is retried, within the limits of its route and the retry budget that
+ * all nodes share. Thread-safe.
  */
 final class OutboundRetryPolicy {
-  /** Offers that a full node may refuse instead of queueing the request. */
+  /** Attempts per request that a node with a full backend may refuse instead of queueing. */
   static final int MAX_OVERLOAD_REFUSALS = 2;
 
-  /** Most nodes that one request is offered to. */
+  /** Most attempts for one request, refused ones included. */
   private static final int MAX_ATTEMPTS = 5;
 
-  /** Time a further attempt needs at least, milliseconds. */
+  /** Least time before the deadline that a further attempt needs, milliseconds. */
   private static final long MIN_REMAINING_MILLIS = 15;
 
-  /** Routes whose requests the back end beside this node sends, as gates have said of them. */
+  /**
+   * Routes whose requests are sent by the local backend, as reported by the inbound side of other
+   * nodes.
+   */
   private final Set<String> nestedRoutes = ConcurrentHashMap.newKeySet();
 
   private final RetryWindow window;
@@ -30,11 +33,11 @@
   private final DoubleSupplier retriedWorkShare;
 
   /**
-   * Creates one that has counted nothing.
+   * Creates a policy with an unused retry budget.
    *
-   * @param nodes nodes that share the budget
-   * @param repeatShare share of what the back end beside this node works on that may have run
-   *     elsewhere before: what it calls meanwhile counts as repeated by that share
+   * @param nodeCount number of nodes that share the budget
+   * @param retriedWorkShare share of the local backend's running requests that may have run on
+   *     another backend before; that share of its nested calls counts as retries
    */
   OutboundRetryPolicy(
       MeshSettings.Retry bounds, IntSupplier nodeCount, DoubleSupplier retriedWorkShare) {
@@ -43,7 +46,7 @@
     this.retriedWorkShare = retriedWorkShare;
   }
 
-  /** A request for the service begins here. */
+  /** Records a new request for the service in the retry budget. */
   void recordRequest(long nowMillis, String route, String service) {
     synchronized (window) {
       if (nestedRoutes.contains(route)) {
@@ -54,34 +57,34 @@
     }
   }
 
-  /** A gate said that the route's requests are sent by back ends. */
+  /** Marks the route as one whose requests are sent by backends. */
   void addNestedRoute(String route) {
     nestedRoutes.add(route);
   }
 
-  /** Whether an attempt that ended so may have arrived at a back end. */
+  /** Returns whether an attempt with this verdict may have been delivered to a backend. */
   static boolean mayHaveReachedBackend(Verdict verdict) {
     return !(verdict instanceof Verdict.NotRun notRun)
         || notRun.reason() == Verdict.Reason.REJECTED;
   }
 
-  /** Why the request is not sent again; empty if it is. */
+  /** Returns the reason why the request is not retried; empty if it is retried. */
   String noRetryReason(Exchange exchange, MeshOutboundPlan plan, Verdict verdict, long nowMillis) {
     if (!exchange.body().isReplayable()) {
-      return "body not kept";
+      return "body not buffered";
     }
     if (nowMillis + MIN_REMAINING_MILLIS > plan.deadlineMillis()) {
-      return "no time left";
+      return "not enough time left";
     }
     if (exchange.history().count() >= MAX_ATTEMPTS) {
-      return "offered often enough";
+      return "attempt limit reached";
     }
     if (verdict instanceof Verdict.NotRun notRun && !mayHaveReachedBackend(verdict)) {
       return switch (notRun.reason()) {
         case OVERLOADED ->
             plan.retryState().overloadRefusals() > MAX_OVERLOAD_REFUSALS ? "all are full" : "";
         case DRAINING, UNREACHABLE, NOT_READY, UNREADABLE -> "";
-        default -> "refused for good";
+        default -> "refusal is final";
       };
     }
     boolean certainlyNotRun = verdict instanceof Verdict.NotRun;
@@ -89,12 +92,12 @@
       return "may have run and must not run twice";
     }
     if (plan.retryState().possiblyDelivered() >= plan.rule().maxAttempts()) {
-      return "attempts of the route used up";
+      return "attempt limit of the route reached";
     }
     synchronized (window) {
       return window.tryRetry(nowMillis, plan.service(), nodeCount.getAsInt())
           ? ""
-          : "retry budget used up";
+          : "retry budget exhausted";
     }
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/PlannedStop.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/PlannedStop.java
@@ -3,49 +3,57 @@
 import java.util.function.LongSupplier;
 
 /**
- * A planned stop of a node that says it is not ready, in steps, each of which ends by an event or
- * at its bound:
+ * Graceful shutdown of a node that already reports itself as not ready. Each step ends with its
+ * event or at its time limit:
  *
  * <ol>
- *   <li>Callers notice, other nodes are told; what comes is still served.
- *   <li>What still comes is refused as not run; what is in flight finishes, with the calls that the
- *       back end makes for it.
- *   <li>Nothing is in flight: listeners and connections end in order, see {@link
+ *   <li>Clients notice the readiness change and other nodes are notified; new requests are still
+ *       served.
+ *   <li>New requests are refused as not run; requests in flight finish, including the nested calls
+ *       that the backend makes for them.
+ *   <li>Once nothing is in flight, listeners and connections are closed in order, see {@link
  *       io.umberpath.node.proxy.inbound.ConnectionDrain}.
  * </ol>
  */
 final class PlannedStop {
-  /** How long callers have to notice that this node leaves: two questions, a second apart. */
+  /**
+   * Time for clients to notice that this node is draining: two readiness probes, one second apart.
+   */
   private static final long CLIENT_NOTICE_MILLIS = 2_200;
 
   /**
-   * When callers that come all the same are refused: what they want might not finish. While the
-   * back end beside this node works on a request, which may depend on calls that it makes, {@link
-   * LateRequests} tells which.
+   * Time after which requests that might not finish are refused. While the local backend is running
+   * a request, which may depend on nested calls, {@link ShutdownRefusalPolicy} decides which ones.
    */
   private static final long CLIENTS_REFUSED_MILLIS = 2_800;
 
   /**
-   * Time before the cut-off from which those calls are refused, too, and callers' connections are
-   * not accepted any more.
+   * Time before the cut-off from which nested calls are refused too and no client connection is
+   * accepted.
    */
   private static final long NESTED_CALLS_REFUSED_RESERVE_MILLIS = 1_000;
 
-  /** When other nodes are told; until then this node works on for its back end. */
+  /**
+   * Time after which other nodes are notified; until then this node forwards requests to its
+   * backend.
+   */
   private static final long PEERS_NOTIFIED_MILLIS = 1_400;
 
-  /** When requests of other nodes are refused, all of which have heard by then. */
+  /** Time after which requests of other nodes are refused; all nodes have been notified by then. */
   private static final long PEERS_REFUSED_MILLIS = 1_800;
 
-  /** Work may be broken off in the last part of the grace time, which is divided by this. */
+  /**
+   * Requests may be cut off in the last part of the grace period, which is the period divided by
+   * this.
+   */
   private static final int CUT_OFF_RESERVE_DIVISOR = 6;
 
-  /** Longest time before the kill at which what is left is cut off, milliseconds. */
+  /** Longest time between the cut-off and the end of the grace period, milliseconds. */
   private static final long MAX_CUT_OFF_RESERVE_MILLIS = 1_000;
 
   /**
-   * Time after that in which refusals are written and answers that are on their way arrive; the
-   * rest is for the end of the process.
+   * Time after the cut-off for writing refusals and receiving responses that are already arriving;
+   * the remaining time is left for the exit of the process.
    */
   private static final long FLUSH_MILLIS = 300;
 
@@ -59,9 +67,9 @@
   private final LongSupplier clockMillis;
 
   /**
-   * Creates a stop that has not begun.
+   * Creates a shutdown that has not started.
    *
-   * @param tellPeers tells the other nodes that the back end beside this one takes no new work
+   * @param notifyPeers notifies the other nodes that the local backend accepts no new work
    */
   PlannedStop(
       MeshProxy proxy,
@@ -77,7 +85,7 @@
   }
 
   /**
-   * Stops; returns when nothing is in flight any more, or what is left was cut off.
+   * Shuts down; returns when nothing is in flight, or after the remaining requests were cut off.
    *
    * @param graceMillis time until the process is killed, milliseconds
    */
@@ -89,7 +97,7 @@
     long cutOffMillis = startMillis + graceMillis - cutOffReserveMillis;
     proxy.refuseLateClientRequests(startMillis + CLIENTS_REFUSED_MILLIS, cutOffMillis);
     awaitIdle(startMillis, cutOffMillis);
-    // From here on nothing is sent on: it might have no time to be answered.
+    // No request is forwarded from here on: there might not be enough time for the response.
     backend.startDraining();
     proxy.refuseClientRequests();
     proxy.endConnections(cutOffMillis);
@@ -104,7 +112,10 @@
         cutOff, refused, proxy.openIncomingConnections(), proxy.unwrittenBytes(), elapsedMillis);
   }
 
-  /** Returns when callers have noticed and nothing is in flight any more, or at the bound. */
+  /**
+   * Waits until clients have noticed the shutdown and nothing is in flight, or until the time
+   * limit.
+   */
   private void awaitIdle(long startMillis, long endMillis) throws InterruptedException {
     boolean peersNotified = false;
     long idleSinceMillis = startMillis;
@@ -128,10 +139,13 @@
     }
   }
 
-  /** Refuses callers, unless the back end is at work and there is time for the calls it makes. */
+  /**
+   * Refuses clients' requests, unless the backend is busy and there is still time for its nested
+   * calls.
+   */
   private void refuseClientRequests(boolean isTooLateForNestedCalls) {
     if (isTooLateForNestedCalls) {
-      // A connection that comes now may lie unread until the process has gone.
+      // A connection accepted now might remain unread until the process has exited.
       proxy.closeOutboundListener();
     }
     if (isTooLateForNestedCalls || !proxy.isBackendBusy()) {
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/RequestCosts.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/RequestCosts.java
@@ -5,33 +5,36 @@
 import io.umberpath.traffic.routing.GateBalancer;
 import io.umberpath.traffic.routing.RouteMeans;
 
-/** What a request costs at each back end, for the choice among them. Thread-safe. */
+/** Computes what a request costs on each backend, for load balancing. Thread-safe. */
 final class RequestCosts {
   /**
-   * Bytes to and from another zone that are thought to cost a whole request. The share rises with
-   * the square: most bytes are those of the few large requests, small ones hardly count.
+   * Transferred bytes whose cross-zone cost equals a whole request. The cost grows with the square
+   * of the bytes: most traffic comes from the few large requests, and small requests hardly matter.
    */
   private static final double CROSS_ZONE_BYTES_PER_REQUEST = 8 * 1024;
 
-  /** Most that a request is thought to lose by its bytes: it may still be worth more elsewhere. */
+  /**
+   * Upper limit of the cross-zone cost as a share of a request; below 1, since a request may still
+   * be served better in another zone.
+   */
   private static final double MAX_CROSS_ZONE_COST = 0.8;
 
-  /** Heads of request and answer between two nodes, bytes. */
+  /** Assumed size of the request and response heads between two nodes, bytes. */
   private static final long HEAD_BYTES = 700;
 
-  /** Body assumed where a request does not state its length, bytes. */
+  /** Assumed body size of a request without a content length, bytes. */
   private static final long DEFAULT_BODY_BYTES = 8 * 1024;
 
   private final RouteMeans responseBytes = new RouteMeans(1);
 
-  /** A request of the route was answered. */
+  /** Records the response size of a request of the route. */
   void recordResponse(String route, long contentLength) {
     synchronized (responseBytes) {
       responseBytes.add(route, Math.max(0, contentLength));
     }
   }
 
-  /** What the request needs, and what its bytes cost in another zone. */
+  /** Returns the target latency of the request and its cross-zone cost. */
   GateBalancer.RequestConstraints constraints(
       Exchange exchange, MeshOutboundPlan plan, long nowMillis) {
     RequestHead request = exchange.request();
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/RequestEvents.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/RequestEvents.java
@@ -6,7 +6,7 @@
 import io.umberpath.node.proxy.http.VerdictHeader;
 import io.umberpath.node.proxy.inbound.UnansweredRequests;
 
-/** Writes the lines that tell what became of requests. Thread-safe; never waits. */
+/** Logs the outcomes of requests. Thread-safe; never blocks. */
 final class RequestEvents {
   private static final MetadataKey<String> BACKEND = MetadataKey.single("backend", String.class);
   private static final MetadataKey<String> SOURCE = MetadataKey.single("source", String.class);
@@ -47,7 +47,10 @@
         .log("attempts %d, sent to back ends %d", attempts, plan.retryState().possiblyDelivered());
   }
 
-  /** A connection ended, and requests that were read from it, or bytes of some, have no answer. */
+  /**
+   * Logs that a connection ended while requests, or bytes of requests, read from it were
+   * unanswered.
+   */
   void connectionEnded(UnansweredRequests unanswered) {
     UnansweredRequests.Input input = unanswered.input();
     events
@@ -63,7 +66,7 @@
   }
 
   void requestServed(MeshOutboundPlan plan, int attempts, long millis) {
-    // Each request comes here, and nearly all go beyond the bound.
+    // Called for every request, and nearly all lines are above the rate limit.
     if (!events.tryAcquireLine(MeshEvent.REQUEST_SERVED)) {
       return;
     }
@@ -76,9 +79,9 @@
   }
 
   /**
-   * An attempt failed.
+   * Logs a failed attempt.
    *
-   * @param against why the request is not sent again; empty if it is
+   * @param noRetryReason why the request is not retried; empty if it is retried
    */
   void attemptFailed(
       MeshOutboundPlan plan,
@@ -97,8 +100,8 @@
   }
 
   /**
-   * A request for the back end beside this node was refused or failed. Refusals have a bound of
-   * their own: while a back end is away they are so many that they would crowd out its failures.
+   * Logs a refused or failed request for the local backend. Refusals have a separate rate limit:
+   * while a backend is unavailable they are so frequent that they would displace its failures.
    */
   void gateFailed(
       MeshInboundPlan plan,
@@ -120,9 +123,10 @@
   }
 
   /**
-   * A request of another node cannot be read: a fault of the program there or here.
+   * Logs that a request of another node cannot be read: a bug in the software of that node or this
+   * one.
    *
-   * @param lacking the header that is missing or malformed
+   * @param header the header that is missing or malformed
    */
   void gateHeadRefused(String requestId, String header) {
     events
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/RequestQuarantine.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/RequestQuarantine.java
@@ -17,8 +17,8 @@
 import java.util.stream.Collectors;
 
 /**
- * Keeps requests from back ends that would end under them, by what all nodes have seen ({@link
- * SuspectLedger}). Thread-safe; never waits for anything but its own lock.
+ * Keeps requests that crash backends away from them, based on the crashes that all nodes have seen
+ * ({@link SuspectLedger}). Thread-safe; waits for nothing but its own lock.
  */
 final class RequestQuarantine {
   private static final long MILLIS_PER_SECOND = 1_000;
@@ -28,7 +28,7 @@
   private final MeshEvents events;
   private final LongSupplier clockMillis;
 
-  /** What other nodes have not been told yet; guarded by this object's lock. */
+  /** Suspicions not sent to the other nodes yet; guarded by this object's lock. */
   private final List<Suspicion> unsentSuspicions = new ArrayList<>();
 
   private volatile Set<Long> heldTargets = Set.of();
@@ -36,10 +36,10 @@
   private volatile long digest;
 
   /**
-   * Creates one that knows nothing.
+   * Creates an empty quarantine.
    *
-   * @param ledger empty
-   * @param owner whether this node is the one that may try a request that is held once more
+   * @param ledger an empty ledger
+   * @param isTrialOwner whether this node is the one that may retry a given held request as a trial
    */
   RequestQuarantine(
       SuspectLedger ledger,
@@ -52,13 +52,19 @@
     this.clockMillis = clockMillis;
   }
 
-  /** Whether a request of that target may be held; most often the body need not be looked at. */
+  /**
+   * Returns whether a request with this target may be held. If not, which is the usual case, the
+   * body need not be hashed.
+   */
   boolean mayHold(long targetHash) {
     Set<Long> targets = heldTargets;
     return !targets.isEmpty() && targets.contains(targetHash);
   }
 
-  /** Whether this node keeps a caller's request from all back ends; if not, it may be a trial. */
+  /**
+   * Returns whether this node refuses a client's request. If a trial of a held request is due here,
+   * this call starts the trial and returns false.
+   */
   boolean blocksOutbound(RequestFingerprint request) {
     long now = clockMillis.getAsLong();
     synchronized (this) {
@@ -74,7 +80,7 @@
     }
   }
 
-  /** Whether a request of another node is kept from the back end beside this one. */
+  /** Returns whether a request of another node is kept from the local backend. */
   boolean blocksInbound(RequestFingerprint request) {
     long now = clockMillis.getAsLong();
     synchronized (this) {
@@ -82,15 +88,15 @@
     }
   }
 
-  /** The back end beside this node ended while it ran these requests. */
+  /** Records that the local backend crashed while running these requests. */
   synchronized void recordBackendCrash(
       BackendStart backend, Collection<RequestFingerprint> running) {
-    Set<RequestFingerprint> heldBefore = held(running);
+    Set<RequestFingerprint> heldBefore = heldAmong(running);
     unsentSuspicions.addAll(ledger.ended(clockMillis.getAsLong(), backend, running));
     publishChanges(heldBefore, running);
   }
 
-  /** A request ran to a good end on the back end beside this node. */
+  /** Records that a request completed successfully on the local backend. */
   synchronized void recordSuccess(RequestFingerprint request) {
     boolean heldBefore = ledger.isHeld(request);
     Optional<Suspicion> cleared = ledger.succeeded(clockMillis.getAsLong(), request);
@@ -100,19 +106,22 @@
     }
   }
 
-  /** Takes what another node knows; what this node knows against it is news for all. */
+  /**
+   * Merges the suspicions of another node. Where this node knows more, its own suspicions are
+   * queued for all nodes.
+   */
   synchronized void take(SuspectMessage message) {
     long now = clockMillis.getAsLong();
     List<Suspicion> received = message.asOf(now);
     List<RequestFingerprint> affected = received.stream().map(Suspicion::request).toList();
-    Set<RequestFingerprint> heldBefore = held(affected);
+    Set<RequestFingerprint> heldBefore = heldAmong(affected);
     for (Suspicion each : received) {
       ledger.take(now, each).stream().skip(1).forEach(unsentSuspicions::add);
     }
     publishChanges(heldBefore, affected);
   }
 
-  private Set<RequestFingerprint> held(Collection<RequestFingerprint> requests) {
+  private Set<RequestFingerprint> heldAmong(Collection<RequestFingerprint> requests) {
     Set<RequestFingerprint> held = new HashSet<>();
     for (RequestFingerprint request : requests) {
       if (ledger.isHeld(request)) {
@@ -134,7 +143,7 @@
     }
   }
 
-  /** Drops what is too old to count. */
+  /** Removes expired suspicions. */
   synchronized void forget() {
     if (suspects > 0) {
       ledger.forget(clockMillis.getAsLong());
@@ -148,19 +157,19 @@
     digest = ledger.digest();
   }
 
-  /** What the other nodes are to be told since the last call. */
+  /** Returns the suspicions recorded since the last call, to be sent to the other nodes. */
   synchronized List<Suspicion> drainUnsent() {
     List<Suspicion> drained = List.copyOf(unsentSuspicions);
     unsentSuspicions.clear();
     return drained;
   }
 
-  /** All that is known, for a node that knows less. */
+  /** Returns all suspicions, for a node that lacks some. */
   synchronized List<Suspicion> allSuspicions() {
     return ledger.all();
   }
 
-  /** The requests that are held, for operators: a line each. */
+  /** Returns the held requests for operators, one per line. */
   synchronized String page() {
     long now = clockMillis.getAsLong();
     StringBuilder lines = new StringBuilder();
@@ -178,21 +187,21 @@
             .filter(mark -> !mark.cleared())
             .collect(Collectors.summarizingLong(CrashMark::atMillis));
     long secondsSinceLast = (nowMillis - crashTimes.getMax()) / MILLIS_PER_SECOND;
-    return "%s held, ended %d back ends, the last %d s ago%n"
+    return "%s held, crashed %d backends, the last %d s ago%n"
         .formatted(held.request().text(), crashTimes.getCount(), secondsSinceLast);
   }
 
-  /** The same at all nodes that know the same; 0 if nothing is known. */
+  /** Returns a digest that is equal on all nodes with equal suspicions; 0 if there are none. */
   long digest() {
     return digest;
   }
 
-  /** Requests under which back ends ended, whether or not they are held. */
+  /** Returns the number of requests suspected of a crash, whether or not they are held. */
   int suspects() {
     return suspects;
   }
 
-  /** Targets of requests that are held. */
+  /** Returns the number of distinct targets of held requests. */
   int held() {
     return heldTargets.size();
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/RequestTimes.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/RequestTimes.java
@@ -1,31 +1,42 @@
 package io.umberpath.node.mesh;
 
-/** The times that a request's route and caller set for it, counted from now, milliseconds. */
+/**
+ * Computes the time limits of a request from its route and its client's timeout, relative to now in
+ * milliseconds.
+ */
 final class RequestTimes {
-  /** Lowest rank of priority that goes before the others whatever their target latency. */
+  /** Requests up to this priority value go before all others, whatever their target latency. */
   private static final int MAX_URGENT_PRIORITY = 1;
 
   /** Share of the target latency after which an urgent request is due. */
   private static final double URGENT_DUE_SHARE = 0.1;
 
-  /** The same for other requests, for each rank. */
+  /** For other requests: due time per priority value, as a share of the target latency. */
   private static final double DUE_SHARE_PER_PRIORITY = 0.5;
 
-  /** The same, added for one whose caller comes back: it can no longer be in time for its first. */
+  /**
+   * Added for client retries, as a share of the target latency: they can no longer meet the target
+   * of the client's first attempt.
+   */
   private static final double CLIENT_RETRY_DUE_SHARE = 1;
 
-  /** Share of the target latency by which the back end has to be done; the rest is the way back. */
+  /**
+   * Share of the target latency by which the backend has to be done; the rest is for the way back.
+   */
   private static final double WORK_SHARE_OF_TARGET = 0.92;
 
-  /** Share of the target latency within which a refusal still serves the caller. */
+  /** Share of the target latency within which a refusal still helps the client. */
   private static final double REFUSAL_SHARE_OF_TARGET = 0.22;
 
-  /** Share of the time a caller gives that its request may wait for a slot. */
+  /** Share of the client's timeout that its request may wait for a slot. */
   private static final double WAIT_SHARE_OF_TIMEOUT = 0.45;
 
   private RequestTimes() {}
 
-  /** In how long a request is due: sooner with a short target latency and a high priority. */
+  /**
+   * Returns the time until a request is due: the shorter its target latency and the higher its
+   * priority, the sooner.
+   */
   static long dueInMillis(MeshOutboundPlan plan, long nowMillis) {
     int priority = plan.rule().priority();
     double dueShare =
@@ -37,19 +48,24 @@
     return dueMillis - nowMillis;
   }
 
-  /** In how long the back end has to be done for the caller to have its answer in time. */
+  /**
+   * Returns the time until the backend has to be done for the client to get its response in time.
+   */
   static long targetInMillis(MeshOutboundPlan plan, long nowMillis) {
     long workMillis = Math.round(plan.rule().targetLatencyMillis() * WORK_SHARE_OF_TARGET);
     return plan.arrivedMillis() + workMillis - nowMillis;
   }
 
-  /** Until when a refusal is soon enough for the caller to come back. */
+  /** Returns the time within which a refusal is early enough for the client to retry. */
   static long refuseWithinMillis(MeshOutboundPlan plan, long nowMillis) {
     long refusalMillis = Math.round(plan.rule().targetLatencyMillis() * REFUSAL_SHARE_OF_TARGET);
     return plan.arrivedMillis() + refusalMillis - nowMillis;
   }
 
-  /** In how long a request that has not begun is given up, while its caller has time to return. */
+  /**
+   * Returns the time after which a request that has not started is refused, early enough for the
+   * client to retry.
+   */
   static long startWithinMillis(MeshOutboundPlan plan, long nowMillis) {
     long maxWaitMillis =
         Math.round((plan.deadlineMillis() - plan.arrivedMillis()) * WAIT_SHARE_OF_TIMEOUT);
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/RetryState.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/RetryState.java
@@ -3,7 +3,7 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** What the attempts of one request have used so far. Thread-safe. */
+/** Counts and outcomes of the attempts made so far for one request. Thread-safe. */
 final class RetryState {
   private int possiblyDelivered;
   private int overloadRefusals;
@@ -11,27 +11,27 @@
   private final Set<String> failedBackends = new HashSet<>();
   private final Set<String> overloadedBackends = new HashSet<>();
 
-  /** An attempt ended that may have arrived at a back end. */
+  /** Records the end of an attempt whose request may have been delivered to the backend. */
   synchronized void recordPossiblyDelivered(String backendId) {
     possiblyDelivered++;
     failedBackends.add(backendId);
   }
 
-  /** An attempt ended that certainly did not arrive at a back end. */
+  /** Records the end of an attempt whose request was certainly not delivered to the backend. */
   synchronized void recordNotDelivered(String backendId) {
     failedBackends.add(backendId);
   }
 
-  /** The node beside a back end refused because that is full. */
+  /** Records that the backend's node refused the request because the backend is full. */
   synchronized void recordOverloadRefusal(String backendId) {
     overloadRefusals++;
     overloadedBackends.add(backendId);
   }
 
   /**
-   * Back ends that the next attempt leaves out.
+   * Returns the backends that the next attempt must not choose.
    *
-   * @param alsoFull whether those that were full are left out too
+   * @param includeOverloaded whether backends that refused for overload are excluded too
    */
   synchronized Set<String> excludedBackends(boolean includeOverloaded) {
     Set<String> excluded = new HashSet<>(failedBackends);
@@ -41,22 +41,25 @@
     return excluded;
   }
 
-  /** Notes the wait beyond which the next attempt is better refused than queued. */
+  /** Sets the expected queueing time above which the next attempt is to be refused, not queued. */
   synchronized void setToleratedWaitMillis(long waitMillis) {
     toleratedWaitMillis = waitMillis;
   }
 
-  /** Wait beyond which the attempt under way is better refused than queued, milliseconds. */
+  /**
+   * Returns the expected queueing time in milliseconds above which the current attempt is to be
+   * refused, not queued.
+   */
   synchronized long toleratedWaitMillis() {
     return toleratedWaitMillis;
   }
 
-  /** Attempts that may have arrived at a back end. */
+  /** Returns the number of attempts that may have been delivered to a backend. */
   synchronized int possiblyDelivered() {
     return possiblyDelivered;
   }
 
-  /** Attempts refused by a node because its back end was full. */
+  /** Returns the number of attempts that a node refused because its backend was full. */
   synchronized int overloadRefusals() {
     return overloadRefusals;
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/ShutdownRefusalPolicy.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/ShutdownRefusalPolicy.java
@@ -3,16 +3,19 @@
 import java.util.function.LongSupplier;
 
 /**
- * Which requests a node refuses late in its planned stop, since it might have to cut them off. One
- * that ends before the cut-off by its own deadline is served. So is one that may be a call of the
- * back end beside the node, which ends with the work that makes it.
+ * Decides which requests a node refuses late in a graceful shutdown because it might have to cut
+ * them off. Requests whose deadline is before the cut-off are accepted, and so are requests that
+ * may be nested calls of the local backend, which end with the request that makes them.
  */
 final class ShutdownRefusalPolicy {
-  /** A node that does not stop refuses none. */
+  /** Policy of a node that is not shutting down. */
   static final ShutdownRefusalPolicy REFUSE_NONE =
       new ShutdownRefusalPolicy(Long.MAX_VALUE, 0, () -> Long.MAX_VALUE);
 
-  /** How much later than its work a call may seem to end, by the time on the way. */
+  /**
+   * How much later than the deadline of the backend's request the deadline of its nested call may
+   * seem to be, because of the transfer time.
+   */
   private static final long NESTED_CALL_SLACK_MILLIS = 500;
 
   private final long refuseFromMillis;
@@ -20,11 +23,11 @@
   private final LongSupplier latestBackendDeadlineMillis;
 
   /**
-   * Creates one.
+   * Creates a policy.
    *
-   * @param fromMillis when requests begin to be late, on the node's clock
-   * @param cutOffMillis when what is in flight is cut off, on the node's clock
-   * @param latestWorkDeadlineMillis latest deadline of the requests that the back end works on
+   * @param refuseFromMillis time from which requests are refused, on the node's clock
+   * @param cutOffMillis time at which requests in flight are cut off, on the node's clock
+   * @param latestBackendDeadlineMillis latest deadline of the requests running on the local backend
    */
   ShutdownRefusalPolicy(
       long refuseFromMillis, long cutOffMillis, LongSupplier latestBackendDeadlineMillis) {
@@ -34,9 +37,9 @@
   }
 
   /**
-   * Whether a request is refused.
+   * Returns whether a request is refused.
    *
-   * @param deadlineMillis when its caller gives up, on the node's clock
+   * @param deadlineMillis time at which the client gives up, on the node's clock
    */
   boolean shouldRefuse(long deadlineMillis, long nowMillis) {
     return nowMillis >= refuseFromMillis
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/Signals.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/Signals.java
@@ -3,15 +3,16 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Handles the signal to read the settings again. The virtual machine would end the process at it.
- * Reached by reflection, for the compiler refuses the class as internal.
+ * Runs a task on the signal that requests a reload of the settings. Without a handler, the signal
+ * would terminate the JVM. The signal classes are used by reflection because the compiler rejects
+ * them as internal API.
  */
 public final class Signals {
   private static final String RELOAD_SIGNAL = "HUP";
 
   private Signals() {}
 
-  /** Runs the task at each signal; does nothing where signals cannot be handled. */
+  /** Runs the task on each reload signal; does nothing where signals cannot be handled. */
   public static void onReload(Runnable task) {
     try {
       Class<?> signal = Class.forName("sun.misc.Signal");
@@ -31,7 +32,7 @@
           .invoke(
               null, signal.getConstructor(String.class).newInstance(RELOAD_SIGNAL), taskHandler);
     } catch (ReflectiveOperationException | IllegalArgumentException unavailable) {
-      // Without it a changed file is taken at the next start.
+      // Without signals, a changed file takes effect at the next start.
       return;
     }
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/StatusFilter.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/StatusFilter.java
@@ -12,10 +12,10 @@
 import org.glassfish.grizzly.memory.Buffers;
 import org.glassfish.grizzly.memory.MemoryManager;
 
-/** Answers small questions about this node: ready, metrics. */
+/** HTTP filter that serves small status pages of this node, such as readiness and metrics. */
 final class StatusFilter extends BaseFilter {
   /**
-   * An answer.
+   * A response.
    *
    * @param status HTTP status
    * @param text body
@@ -24,7 +24,7 @@
 
   private final Function<String, Answer> responses;
 
-  /** Creates a filter that looks up the answer of a path. */
+  /** Creates a filter that computes the response for a path. */
   StatusFilter(Function<String, Answer> responses) {
     this.responses = responses;
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/SuspectExchange.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/SuspectExchange.java
@@ -9,14 +9,14 @@
 import java.util.function.Supplier;
 
 /**
- * Tells the other nodes under which requests back ends end: news to all of them at once, and
- * everything to a node whose report shows that it knows something else. Thread-safe.
+ * Distributes the suspicions about requests that crash backends: new ones to all nodes at once, and
+ * all of them to a node whose reported digest differs. Thread-safe.
  */
 final class SuspectExchange {
-  /** Least time between two times that one node is told everything, milliseconds. */
+  /** Least interval between two full transfers to the same node, milliseconds. */
   private static final long FULL_SYNC_INTERVAL_MILLIS = 1_000;
 
-  /** Nodes that are told everything in a second at most. */
+  /** Most nodes that get a full transfer within that interval. */
   private static final int MAX_FULL_SYNCS_PER_INTERVAL = 8;
 
   /** Sends datagrams to nodes. */
@@ -29,7 +29,7 @@
   private final Sender sender;
   private final LongSupplier clockMillis;
 
-  /** When nodes were told everything in the last second; guarded by this object's lock. */
+  /** Times of the full transfers in the last interval, by host; guarded by this object's lock. */
   private final Map<String, Long> fullSyncMillis = new HashMap<>();
 
   SuspectExchange(
@@ -43,7 +43,7 @@
     this.clockMillis = clockMillis;
   }
 
-  /** Tells what is new. */
+  /** Sends new suspicions to all other nodes. */
   void tick() {
     List<Suspicion> unsent = quarantine.drainUnsent();
     if (!unsent.isEmpty()) {
@@ -51,7 +51,7 @@
     }
   }
 
-  /** Another node has reported what it knows: the digest of it. */
+  /** Handles the digest that another node reported for its suspicions. */
   void heard(String host, long digest) {
     if (digest == quarantine.digest()) {
       return;
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/SuspectMessage.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/SuspectMessage.java
@@ -12,18 +12,18 @@
 import java.util.List;
 
 /**
- * One datagram about requests under which back ends ended.
+ * A datagram with suspicions about requests that crash backends.
  *
- * @param suspicions with ages in place of times: no clock of another node is needed to tell how
- *     long ago something was
+ * @param suspicions suspicions that carry ages instead of times, so that receivers need not know
+ *     the sender's clock
  */
 record SuspectMessage(List<Suspicion> suspicions) implements PeerDatagram {
-  /** Tells it from the kinds of {@link PeerMessage}. */
+  /** Distinguishes this message from the kinds of {@link PeerMessage}. */
   static final int KIND = 2;
 
   private static final int INITIAL_BYTES = 128;
 
-  /** Datagrams that hold all suspicions, each short enough to pass whole. */
+  /** Encodes all suspicions into datagrams, each small enough to be sent unfragmented. */
   static List<byte[]> encode(long nowMillis, List<Suspicion> suspicions) {
     List<byte[]> datagrams = new ArrayList<>();
     PeerDatagram.split(suspicions, some -> write(nowMillis, some), datagrams);
@@ -62,18 +62,21 @@
   static SuspectMessage readEntries(JsonParser in) throws IOException {
     List<Suspicion> suspicions = new ArrayList<>();
     for (JsonToken token = in.nextToken(); token != JsonToken.END_ARRAY; token = in.nextToken()) {
-      PeerDatagram.require(token == JsonToken.START_ARRAY, "has no suspicion where one is due");
+      PeerDatagram.require(
+          token == JsonToken.START_ARRAY, "has no suspicion where one is expected");
       suspicions.add(readSuspicion(in));
     }
     return new SuspectMessage(List.copyOf(suspicions));
   }
 
   private static Suspicion readSuspicion(JsonParser in) throws IOException {
-    PeerDatagram.require(in.nextToken() == JsonToken.VALUE_NUMBER_INT, "names no request");
+    PeerDatagram.require(
+        in.nextToken() == JsonToken.VALUE_NUMBER_INT, "has no request fingerprint");
     RequestFingerprint request = new RequestFingerprint(in.getLongValue(), number(in));
     List<CrashMark> marks = new ArrayList<>();
     for (JsonToken token = in.nextToken(); token != JsonToken.END_ARRAY; token = in.nextToken()) {
-      PeerDatagram.require(token == JsonToken.VALUE_NUMBER_INT, "has no mark where one is due");
+      PeerDatagram.require(
+          token == JsonToken.VALUE_NUMBER_INT, "has no crash mark where one is expected");
       int crash = in.getIntValue();
       long ageMillis = Math.max(0, number(in));
       Boolean cleared = in.nextBooleanValue();
@@ -85,11 +88,11 @@
 
   private static long number(JsonParser in) throws IOException {
     PeerDatagram.require(
-        in.nextToken() == JsonToken.VALUE_NUMBER_INT, "has no number where one is due");
+        in.nextToken() == JsonToken.VALUE_NUMBER_INT, "has no number where one is expected");
     return in.getLongValue();
   }
 
-  /** The suspicions with times on this node's clock. */
+  /** Returns the suspicions with times on this node's clock. */
   List<Suspicion> asOf(long nowMillis) {
     return suspicions.stream()
         .map(each -> new Suspicion(each.request(), asOf(nowMillis, each.marks())))
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/BackendCrashDetectorTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/BackendCrashDetectorTest.java
@@ -17,7 +17,7 @@
   private static final RequestFingerprint ONE = new RequestFingerprint(1, 1);
   private static final RequestFingerprint OTHER = new RequestFingerprint(2, 2);
 
-  /** How to fail the connections that were asked for. */
+  /** Failure callbacks of the connection attempts, in order. */
   private final List<Consumer<Throwable>> connectAttempts = new ArrayList<>();
 
   private long now = 5_000;
@@ -88,7 +88,7 @@
         .satisfies(crash -> assertThat(crash.requests()).containsExactly(OTHER));
   }
 
-  /** An answer may be read after the end that came behind it. */
+  /** A response may be read after the loss of a connection although it was received before it. */
   @Test
   void onlyAResponseToALaterRequestProvesTheBackendAlive() {
     detector.connectionLost("i-1", ONE);
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/LocalBackendTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/LocalBackendTest.java
@@ -63,7 +63,7 @@
     return new BackendEntry(id, "booking", ADDRESS, "zone", 6, state, warmupMillis);
   }
 
-  /** Cold back ends of the service bear ten requests a second, for three seconds. */
+  /** While cold, backends of the service accept ten requests per second, for three seconds. */
   private static MeshView viewOf(Set<String> evacuated, BackendEntry... entries) {
     ServiceDefinition service = new ServiceDefinition("booking", "/health", 130, 3_000, 10);
     RoutingConfiguration configuration =
@@ -86,7 +86,7 @@
         new StorePosition(0, 1));
   }
 
-  /** The entry of a back end that was replaced stands in the store for some seconds more. */
+  /** The entry of a replaced backend stays in the store for some seconds. */
   @Test
   void refusesRequestsForAnEndedStartWhileItsEntryIsStillListed() {
     assertThat(backend.acceptsNewWork("first")).isTrue();
@@ -147,7 +147,7 @@
     assertThat(backend.acceptsNewWork("first")).isFalse();
   }
 
-  /** The operator empties a zone; its back ends may come back cold without saying so yet. */
+  /** After an evacuation, backends may be cold before their entries report it. */
   @Test
   void anEvacuatedZoneRefusesNewWorkAndIsColdAfterwards() {
     BackendEntry first = entry("first", BackendEntry.State.READY);
@@ -177,7 +177,7 @@
     assertThat(backend.coldStarts().isCold(nowMillis)).isFalse();
   }
 
-  /** Another node may hear of a start first and send to it. */
+  /** Another node may learn of a new start first and send requests to it. */
   @Test
   void aStartThatIsNotListedYetIsAssumedCold() {
     view = viewOf(Set.of(), entry("first", BackendEntry.State.READY));
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/QuarantineComparisonTrial.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/QuarantineComparisonTrial.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Prints what each way of deciding comes to in each scenario; run by hand. */
+/** Prints the results of each hold policy in each scenario; run by hand. */
 final class QuarantineComparisonTrial {
   private static final List<HoldPolicy> POLICIES =
       List.of(
@@ -35,21 +35,24 @@
     String size = nodes + " nodes, ";
     Scenario undisturbed = Scenario.undisturbed(nodes, rate, 1);
     scenarios.put(
-        size + "0 culprits, kills",
+        size + "0 poison, kills",
         Scenario.undisturbed(nodes, rate, 0).with(Disturbance.BACKEND_KILLS));
-    scenarios.put(size + "1 culprit", undisturbed);
-    scenarios.put(size + "5 culprits", Scenario.undisturbed(nodes, rate, 5));
+    scenarios.put(size + "1 poison", undisturbed);
+    scenarios.put(size + "5 poison", Scenario.undisturbed(nodes, rate, 5));
     scenarios.put(
-        size + "5 culprits, kills",
+        size + "5 poison, kills",
         Scenario.undisturbed(nodes, rate, 5).with(Disturbance.BACKEND_KILLS));
     scenarios.put(
-        size + "1 culprit, loss, cut, restarts",
+        size + "1 poison, loss, split, restarts",
         undisturbed.with(
             Disturbance.DATAGRAM_LOSS, Disturbance.ZONE_PARTITION, Disturbance.NODE_RESTARTS));
     return scenarios;
   }
 
-  /** Each figure but the first is over all seeds: the most, or the sum where it counts requests. */
+  /**
+   * Crashes and datagrams are means over the seeds; late arrivals and the slowest node are maxima;
+   * counts of requests are sums.
+   */
   private static void print(String name, HoldPolicy policy, Scenario scenario, int seeds) {
     int crashes = 0;
     int lateArrivals = 0;
@@ -69,8 +72,8 @@
       slowestNodeMillis = Math.max(slowestNodeMillis, outcome.slowestNodeMillis());
     }
     System.out.printf(
-        "%-42s %-16s ends %6.1f late<=%3d innocents %8d turned away %5d failed %6d datagrams/node"
-            + " %7.1f last node %5d ms%n",
+        "%-42s %-16s crashes %6.1f late<=%3d ordinary %8d wrongly held %5d failed %6d datagrams/node"
+            + " %7.1f slowest node %5d ms%n",
         name,
         policy.name(),
         crashes / (double) seeds,
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/QuarantineFleetTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/QuarantineFleetTest.java
@@ -10,14 +10,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What the quarantine does for a whole fleet, in virtual time, at the sizes that are run. */
+/**
+ * Simulates the quarantine of a whole fleet in virtual time, at the fleet sizes used in practice.
+ */
 final class QuarantineFleetTest {
   private static final HoldPolicy PRODUCTION_POLICY =
       new HoldPolicy("three", MeshNode.MARKS_TO_HOLD, false);
   private static final HoldPolicy NO_QUARANTINE =
       new HoldPolicy("nothing", Integer.MAX_VALUE, false);
 
-  /** Arrivals of a culprit that users accept once every node has to know. */
+  /** Acceptable late arrivals of a poison request at backends once every node must hold it. */
   private static final int MAX_LATE_ARRIVALS = 3;
 
   private static Outcome simulate(Scenario scenario, HoldPolicy policy, long seed) {
@@ -65,7 +67,7 @@
     assertThat(outcome.wronglyHeld()).isZero();
   }
 
-  /** The simulation shows the fault where nothing is held. */
+  /** Shows that the simulation reproduces the failure if nothing is held. */
   @Test
   void withoutQuarantineAPoisonRequestCrashesBackendsWithoutBound() {
     Outcome outcome = simulate(Scenario.undisturbed(12, 200, 1), NO_QUARANTINE, 1);
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/QuarantineSimulation.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/QuarantineSimulation.java
@@ -14,24 +14,25 @@
 import java.util.Set;
 
 /**
- * A fleet in virtual time: nodes with a back end each, which decide about requests with the node's
- * own classes, over a network with delay and loss. Callers send requests to any node; some of them
- * are culprits, which end each back end that runs them and come again at once at any node.
+ * Simulates a fleet in virtual time: nodes with one backend each, which decide about requests with
+ * the production classes, over a network with delay and loss. Clients send requests to random
+ * nodes. Poison requests crash each backend that runs them, and their clients soon resend them to a
+ * random node.
  */
 final class QuarantineSimulation {
-  /** What goes on besides the requests. */
+  /** Disturbances besides the requests. */
   enum Disturbance {
-    /** Three of a hundred datagrams are lost. */
+    /** Three percent of the datagrams are lost. */
     DATAGRAM_LOSS,
-    /** A zone is cut off for some seconds. */
+    /** One zone is partitioned from the others for some seconds. */
     ZONE_PARTITION,
-    /** Nodes start again, one after the other. */
+    /** Nodes restart one after the other. */
     NODE_RESTARTS,
-    /** A third of the back ends ends, again and again. */
+    /** A third of the backends is killed at regular intervals. */
     BACKEND_KILLS
   }
 
-  /** What is played. */
+  /** The simulated fleet, load and disturbances. */
   record Scenario(
       int nodes, int requestsPerSecond, int poisonRequests, Set<Disturbance> disturbances) {
     static Scenario undisturbed(int nodes, int requestsPerSecond, int poisonRequests) {
@@ -52,25 +53,25 @@
   }
 
   /**
-   * How it is decided.
+   * The rule by which requests are held.
    *
-   * @param marksToHold ends from which on a request is held
-   * @param isolatesSuspects whether a suspect does not run beside another one
+   * @param marksToHold crashes from which on a request is held
+   * @param isolatesSuspects whether a suspect never runs beside another suspect
    */
   record HoldPolicy(String name, int marksToHold, boolean isolatesSuspects) {}
 
   /**
-   * What came of it.
+   * Results of a simulation.
    *
-   * @param crashes back ends that ended under culprits
-   * @param lateArrivals the most arrivals of one culprit that were sent by nodes in touch three
-   *     seconds or more after its third end
-   * @param ordinaryRequests requests that are no culprits, by tries of their callers
-   * @param wronglyHeld of them, those refused as held
-   * @param failed of them, those that ended otherwise without an answer
-   * @param datagramsPerNode sent about suspects
-   * @param slowestNodeMillis from the third end until the last node in reach holds the culprit; -1
-   *     if one never did
+   * @param crashes backend crashes caused by poison requests
+   * @param lateArrivals highest number of arrivals of one poison request that were sent by
+   *     connected nodes more than three seconds after its third crash
+   * @param ordinaryRequests ordinary requests, not counting client retries
+   * @param wronglyHeld attempts to send ordinary requests that were refused as held
+   * @param failed ordinary requests that failed for another reason
+   * @param datagramsPerNode datagrams about suspects sent per node
+   * @param slowestNodeMillis time from the third crash until the last node holds the poison
+   *     request; -1 if that never happened
    */
   record Outcome(
       int crashes,
@@ -99,10 +100,10 @@
   private static final int POPULAR_REQUESTS = 50;
   private static final double POPULAR_SHARE = 0.1;
 
-  /** Its clock stands still: after the first lines no more are written. */
+  /** With this constant clock, only the first lines within the rate limit are logged. */
   private static final MeshEvents EVENTS = new MeshEvents(() -> 0);
 
-  /** Something that happens at a time. */
+  /** An action scheduled at a time. */
   private record Event(long atMillis, long order, Runnable action) {}
 
   private final class Node {
@@ -156,7 +157,7 @@
     private final Node node;
     private final String id;
 
-    /** In the order in which they began, so that a seed plays the same each time. */
+    /** In start order, so that runs with the same seed are identical. */
     private final Set<Request> running = new LinkedHashSet<>();
 
     private boolean crashed;
@@ -178,7 +179,7 @@
     }
   }
 
-  /** One try of a caller. */
+  /** One client try of a request. */
   private static final class Request {
     private final RequestFingerprint fingerprint;
     private final PoisonRequest poison;
@@ -283,7 +284,7 @@
     long number = popular ? 1_000 + random.nextInt(POPULAR_REQUESTS) : nextUnique++;
     start(new Request(fingerprint(number), null, 1), anyNode());
     double gap = -Math.log(1 - random.nextDouble()) * 1_000 / scenario.requestsPerSecond();
-    // Several may come within one millisecond.
+    // Several requests may arrive within one millisecond.
     after(Math.round(gap), this::sendOrdinaryRequest);
   }
 
@@ -317,7 +318,9 @@
     after(millis, () -> finish(request, chosen));
   }
 
-  /** The less loaded of two live back ends in reach, several times if there is no room. */
+  /**
+   * Returns the least loaded of eight drawn backends that may run the request; null if none may.
+   */
   private Backend choose(Request request) {
     Backend best = null;
     for (int draw = 0; draw < 8; draw++) {
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/RequestTimesTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/RequestTimesTest.java
@@ -12,7 +12,7 @@
 final class RequestTimesTest {
   private static final long ARRIVED = 1_000;
 
-  /** One with a target of 400 ms whose caller gives 1,200 ms. */
+  /** A request with a target latency of 400 ms and a client timeout of 1,200 ms. */
   private static MeshOutboundPlan plan(int priority, boolean isClientRetry) {
     RoutingRule rule =
         new RoutingRule(
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/SuspectExchangeTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/SuspectExchangeTest.java
@@ -16,12 +16,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Nodes that tell each other of suspected requests, in virtual time, over a network with loss. */
+/** Simulates, in virtual time, nodes that exchange suspicions over a network with datagram loss. */
 final class SuspectExchangeTest {
   private static final RequestFingerprint POISON_REQUEST = new RequestFingerprint(1, 1);
   private static final long TICK_MILLIS = 50;
 
-  /** Each node reports what it knows to two others in this time. */
+  /** Interval at which each node reports its digest to two other nodes. */
   private static final long ROUND_MILLIS = 250;
 
   private final List<Node> nodes = new ArrayList<>();
