--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshEvents.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshEvents.java
@@ -39,9 +39,9 @@
       MetadataKey.single("configuration", Long.class);
   private static final MetadataKey<Long> BEHIND = MetadataKey.single("behindMillis", Long.class);
   private static final MetadataKey<Long> CONNECT = MetadataKey.single("connectMillis", Long.class);
-  private static final MetadataKey<Long> ANSWER = MetadataKey.single("answerMillis", Long.class);
+  private static final MetadataKey<Long> RESPONSE = MetadataKey.single("answerMillis", Long.class);
   private static final MetadataKey<Long> READ = MetadataKey.single("readMillis", Long.class);
-  private static final MetadataKey<Long> TAKE = MetadataKey.single("takeMillis", Long.class);
+  private static final MetadataKey<Long> APPLY = MetadataKey.single("takeMillis", Long.class);
   private static final MetadataKey<Long> MILLIS = MetadataKey.single("millis", Long.class);
   private static final MetadataKey<Long> COUNT = MetadataKey.single("count", Long.class);
 
@@ -182,20 +182,20 @@
    *
    * @param heldPosition position of this node's state after the response was applied
    */
-  void storeCalled(StoreAnswer answer, StorePosition heldPosition) {
-    if (answer instanceof StoreAnswer.HistoryGone gone) {
+  void storeCalled(StoreAnswer response, StorePosition heldPosition) {
+    if (response instanceof StoreAnswer.HistoryGone gone) {
       line(MeshEvent.STORE_HISTORY_GONE)
           .with(POSITION, heldPosition.toString())
           .log("the store is in era %d", gone.storeEra());
     }
-    if (answer instanceof StoreAnswer.Page page
+    if (response instanceof StoreAnswer.Page page
         && !page.more()
         && heldPosition.isAfter(page.at())) {
       line(MeshEvent.STORE_READ_DROPPED)
           .with(POSITION, heldPosition.toString())
           .log("the store is at %s", page.at());
     }
-    if (answer instanceof StoreAnswer.Throttled) {
+    if (response instanceof StoreAnswer.Throttled) {
       line(MeshEvent.STORE_LOST).with(CAUSE, "throttled").log("store");
     }
   }
@@ -378,9 +378,9 @@
         .with(POSITION, changes.at().toString())
         .with(BEHIND, times.behind())
         .with(CONNECT, times.connect())
-        .with(ANSWER, times.answer())
+        .with(RESPONSE, times.answer())
         .with(READ, times.read())
-        .with(TAKE, times.take())
+        .with(APPLY, times.take())
         .log(
             "%s: %d items, %d patches; facts: %d configurations, %d departures",
             changes.isWhole() ? "whole state" : "changes",
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshInboundHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshInboundHandler.java
@@ -58,7 +58,7 @@
 
   private final MeshSettings settings;
   private final ConnectionPool pool;
-  private final SlotGate gate;
+  private final SlotGate admissionQueue;
   private final BodyUploadScheduler uploads =
       new BodyUploadScheduler(exchange -> isAccepted(exchange.plan()));
   private final LocalBackend backend;
@@ -94,7 +94,7 @@
     this.requestEvents = events.requests();
     this.failures = new LocalBackendFailures(events);
     this.clockMillis = clockMillis;
-    this.gate = new SlotGate(admission, this::send, clockMillis);
+    this.admissionQueue = new SlotGate(admission, this::send, clockMillis);
     replacedHeaders.add(settings.headers().deadline());
     replacedHeaders.add(settings.headers().expectedInstance());
     replacedHeaders.add(Header.Expect.toString());
@@ -122,13 +122,13 @@
   }
 
   SlotGate gate() {
-    return gate;
+    return admissionQueue;
   }
 
   /** Refuses requests that can no longer be served in time. */
   void tick(long nowMillis) {
     uploads.tick(nowMillis);
-    gate.tick(nowMillis);
+    admissionQueue.tick(nowMillis);
   }
 
   /**
@@ -145,7 +145,7 @@
 
   private boolean isAnySentBefore(String instance, long atMillis) {
     long elapsedMicros = (clockMillis.getAsLong() - atMillis) * MICROS_PER_MILLI;
-    return gate.runningExchanges().stream()
+    return admissionQueue.runningExchanges().stream()
         .filter(exchange -> planOf(exchange).instance().equals(instance))
         .anyMatch(exchange -> exchange.history().sinceSentMicros() > elapsedMicros);
   }
@@ -166,7 +166,7 @@
     resetAfterRestart();
     List<Slowness.Running> running = new ArrayList<>();
     int retries = 0;
-    for (Exchange exchange : gate.runningExchanges()) {
+    for (Exchange exchange : admissionQueue.runningExchanges()) {
       long expectedDurationMicros = expectedMicros(planOf(exchange).route());
       running.add(
           new Slowness.Running(exchange.history().sinceSentMicros(), expectedDurationMicros));
@@ -178,9 +178,9 @@
 
   /** Discards measurements when the backend has restarted; they do not apply to the new process. */
   private void resetAfterRestart() {
-    long born = backend.bornMillis();
-    if (born != observedBornMillis) {
-      observedBornMillis = born;
+    long bornMillis = backend.bornMillis();
+    if (bornMillis != observedBornMillis) {
+      observedBornMillis = bornMillis;
       failures.reset();
       synchronized (routeTimes) {
         routeTimes.clear();
@@ -200,12 +200,12 @@
   /** Returns the load of the backend that this node reports. */
   GateLoad load() {
     int slownessPercent = (int) Math.round(speed.slowness() * GateLoad.USUAL_PERCENT);
-    long serviceMicros = gate.meanServiceMicros();
+    long serviceMicros = admissionQueue.meanServiceMicros();
     int slots =
         backend.coldStarts().usableSlots(clockMillis.getAsLong(), backend.slots(), serviceMicros);
     return new GateLoad(
-        gate.running(),
-        gate.queued() + uploads.waitingCount(),
+        admissionQueue.running(),
+        admissionQueue.queued() + uploads.waitingCount(),
         slots,
         serviceMicros,
         slownessPercent,
@@ -290,7 +290,7 @@
     HopHeader hop = plan.hop();
     long arrivedMillis = plan.arrivedMillis();
     boolean isNested = isNested(exchange);
-    gate.ask(
+    admissionQueue.ask(
         exchange,
         id ->
             new AdmissionRequest(
@@ -357,11 +357,11 @@
   }
 
   @Override
-  public void addAnswerHeaders(RequestPlan plan, HttpResponsePacket answer) {
+  public void addAnswerHeaders(RequestPlan plan, HttpResponsePacket response) {
     GateLoad load = plan == null ? load() : load().withRoute(expectedMicros(plan.route()));
-    answer.getHeaders().setValue(LOAD_HEADER).setString(load.encode());
+    response.getHeaders().setValue(LOAD_HEADER).setString(load.encode());
     if (plan != null && isNested(plan.route())) {
-      answer.getHeaders().setValue(NESTED_HEADER).setString("1");
+      response.getHeaders().setValue(NESTED_HEADER).setString("1");
     }
   }
 
@@ -418,7 +418,7 @@
   @Override
   public void ended(Exchange exchange, Verdict verdict) {
     uploads.release(exchange);
-    gate.ended(exchange);
+    admissionQueue.ended(exchange);
     MeshInboundPlan plan = planOf(exchange);
     if (plan != null && !(verdict instanceof Verdict.Completed)) {
       long millis = clockMillis.getAsLong() - plan.arrivedMillis();
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshOutboundHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshOutboundHandler.java
@@ -299,12 +299,12 @@
             RequestTimes.targetInMillis(plan, nowMillis),
             RequestTimes.refuseWithinMillis(plan, nowMillis),
             RequestTimes.startWithinMillis(plan, nowMillis),
-            plan.retryState().possiblyDelivered() > 0);
+            plan.retryState().possiblyDeliveredCount() > 0);
     set(outgoing, HopHeader.HEADER, hop.encode());
   }
 
   private static boolean mayBeRefusedForLoad(Exchange exchange, MeshOutboundPlan plan) {
-    return plan.retryState().overloadRefusals() < OutboundRetryPolicy.MAX_OVERLOAD_REFUSALS
+    return plan.retryState().overloadRefusalCount() < OutboundRetryPolicy.MAX_OVERLOAD_REFUSALS
         && exchange.request().contentLength() <= MAX_OPTIMISTIC_BODY_BYTES
         && exchange.body().isReplayable();
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/OutboundRetryPolicy.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/OutboundRetryPolicy.java
@@ -82,7 +82,7 @@
     if (verdict instanceof Verdict.NotRun notRun && !mayHaveReachedBackend(verdict)) {
       return switch (notRun.reason()) {
         case OVERLOADED ->
-            plan.retryState().overloadRefusals() > MAX_OVERLOAD_REFUSALS ? "all are full" : "";
+            plan.retryState().overloadRefusalCount() > MAX_OVERLOAD_REFUSALS ? "all are full" : "";
         case DRAINING, UNREACHABLE, NOT_READY, UNREADABLE -> "";
         default -> "refusal is final";
       };
@@ -91,7 +91,7 @@
     if (!certainlyNotRun && !plan.rule().kind().isRepeatable()) {
       return "may have run and must not run twice";
     }
-    if (plan.retryState().possiblyDelivered() >= plan.rule().maxAttempts()) {
+    if (plan.retryState().possiblyDeliveredCount() >= plan.rule().maxAttempts()) {
       return "attempt limit of the route reached";
     }
     synchronized (window) {
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/RequestEvents.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/RequestEvents.java
@@ -44,7 +44,9 @@
         .with(FINGERPRINT, fingerprint)
         .with(MILLIS, millis)
         .with(UNREAD, unreadMillis)
-        .log("attempts %d, sent to back ends %d", attempts, plan.retryState().possiblyDelivered());
+        .log(
+            "attempts %d, sent to back ends %d",
+            attempts, plan.retryState().possiblyDeliveredCount());
   }
 
   /**
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/RequestQuarantine.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/RequestQuarantine.java
@@ -32,7 +32,7 @@
   private final List<Suspicion> unsentSuspicions = new ArrayList<>();
 
   private volatile Set<Long> heldTargets = Set.of();
-  private volatile int suspects;
+  private volatile int suspectCount;
   private volatile long digest;
 
   /**
@@ -145,7 +145,7 @@
 
   /** Removes expired suspicions. */
   synchronized void forget() {
-    if (suspects > 0) {
+    if (suspectCount > 0) {
       ledger.forget(clockMillis.getAsLong());
       heldTargets = ledger.heldTargets();
       updateSummary();
@@ -153,7 +153,7 @@
   }
 
   private void updateSummary() {
-    suspects = ledger.size();
+    suspectCount = ledger.size();
     digest = ledger.digest();
   }
 
@@ -198,7 +198,7 @@
 
   /** Returns the number of requests suspected of a crash, whether or not they are held. */
   int suspects() {
-    return suspects;
+    return suspectCount;
   }
 
   /** Returns the number of distinct targets of held requests. */
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/RetryState.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/RetryState.java
@@ -5,15 +5,15 @@
 
 /** Counts and outcomes of the attempts made so far for one request. Thread-safe. */
 final class RetryState {
-  private int possiblyDelivered;
-  private int overloadRefusals;
+  private int possiblyDeliveredCount;
+  private int overloadRefusalCount;
   private long toleratedWaitMillis;
   private final Set<String> failedBackends = new HashSet<>();
   private final Set<String> overloadedBackends = new HashSet<>();
 
   /** Records the end of an attempt whose request may have been delivered to the backend. */
   synchronized void recordPossiblyDelivered(String backendId) {
-    possiblyDelivered++;
+    possiblyDeliveredCount++;
     failedBackends.add(backendId);
   }
 
@@ -24,7 +24,7 @@
 
   /** Records that the backend's node refused the request because the backend is full. */
   synchronized void recordOverloadRefusal(String backendId) {
-    overloadRefusals++;
+    overloadRefusalCount++;
     overloadedBackends.add(backendId);
   }
 
@@ -55,12 +55,12 @@
   }
 
   /** Returns the number of attempts that may have been delivered to a backend. */
-  synchronized int possiblyDelivered() {
-    return possiblyDelivered;
+  synchronized int possiblyDeliveredCount() {
+    return possiblyDeliveredCount;
   }
 
   /** Returns the number of attempts that a node refused because its backend was full. */
-  synchronized int overloadRefusals() {
-    return overloadRefusals;
+  synchronized int overloadRefusalCount() {
+    return overloadRefusalCount;
   }
 }
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/LocalBackendTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/LocalBackendTest.java
@@ -131,7 +131,7 @@
   }
 
   @Test
-  void anAttestedBackendWithALapsedEntryAcceptsNewWork() {
+  void anAttestedBackendWithAnExpiredEntryAcceptsNewWork() {
     backend.refresh();
     view = viewOf();
     assertThat(backend.acceptsNewWork("first")).isFalse();
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/QuarantineSimulation.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/QuarantineSimulation.java
@@ -184,7 +184,7 @@
     private final RequestFingerprint fingerprint;
     private final PoisonRequest poison;
     private final int tries;
-    private Node edge;
+    private Node entryNode;
     private int attempts;
 
     Request(RequestFingerprint fingerprint, PoisonRequest poison, int tries) {
@@ -206,7 +206,7 @@
   private long now;
   private long order;
   private long nextUnique = 1_000_000;
-  private int starts;
+  private int startCount;
   private int crashes;
   private int ordinaryRequests;
   private int wronglyHeld;
@@ -228,7 +228,7 @@
     for (int index = 0; index < scenario.poisonRequests(); index++) {
       PoisonRequest poison = new PoisonRequest(fingerprint(100 + index));
       poisonRequests.add(poison);
-      for (int copy = 0; copy < CLIENTS_PER_POISON_REQUEST; copy++) {
+      for (int client = 0; client < CLIENTS_PER_POISON_REQUEST; client++) {
         after(2_000 + random.nextInt(500), () -> sendPoisonRequest(poison));
       }
     }
@@ -245,10 +245,10 @@
       now = next.atMillis();
       next.action().run();
     }
-    int late = poisonRequests.stream().mapToInt(each -> each.lateArrivals).max().orElse(0);
+    int lateArrivals = poisonRequests.stream().mapToInt(each -> each.lateArrivals).max().orElse(0);
     double datagrams = sentDatagrams / (double) scenario.nodes();
     return new Outcome(
-        crashes, late, ordinaryRequests, wronglyHeld, failed, datagrams, slowestNodeMillis);
+        crashes, lateArrivals, ordinaryRequests, wronglyHeld, failed, datagrams, slowestNodeMillis);
   }
 
   private void after(long millis, Runnable action) {
@@ -292,23 +292,23 @@
     start(new Request(poison.fingerprint, poison, 1), anyNode());
   }
 
-  private void start(Request request, Node edge) {
+  private void start(Request request, Node entryNode) {
     if (request.poison == null && request.tries == 1) {
       ordinaryRequests++;
     }
-    request.edge = edge;
+    request.entryNode = entryNode;
     dispatch(request);
   }
 
   private void dispatch(Request request) {
-    Node edge = request.edge;
-    if (edge.quarantine.blocksOutbound(request.fingerprint)) {
-      refusedAsHeld(request);
+    Node entryNode = request.entryNode;
+    if (entryNode.quarantine.blocksOutbound(request.fingerprint)) {
+      handleHeld(request);
       return;
     }
     Backend chosen = choose(request);
     if (chosen == null) {
-      notServed(request);
+      retryOrFail(request);
       return;
     }
     request.attempts++;
@@ -334,11 +334,11 @@
 
   private boolean mayRun(Request request, Backend backend) {
     boolean hasRoom = !backend.crashed && backend.running.size() < SLOTS;
-    if (!hasRoom || !canReach(request.edge, backend.node)) {
+    if (!hasRoom || !canReach(request.entryNode, backend.node)) {
       return false;
     }
-    RequestQuarantine gate = backend.node.quarantine;
-    if (gate.blocksInbound(request.fingerprint)) {
+    RequestQuarantine backendQuarantine = backend.node.quarantine;
+    if (backendQuarantine.blocksInbound(request.fingerprint)) {
       return false;
     }
     return !policy.isolatesSuspects()
@@ -358,7 +358,7 @@
     PoisonRequest poison = request.poison;
     if (poison != null
         && now - CONTACT_MILLIS > poison.thirdCrashMillis
-        && isConnected(request.edge)) {
+        && isConnected(request.entryNode)) {
       poison.lateArrivals++;
     }
   }
@@ -414,27 +414,27 @@
   }
 
   private String nextId(Node node) {
-    starts++;
-    return node.index + "-" + starts;
+    startCount++;
+    return node.index + "-" + startCount;
   }
 
   private void attemptLost(Request request) {
     if (request.attempts < MAX_ATTEMPTS) {
       dispatch(request);
     } else {
-      notServed(request);
+      retryOrFail(request);
     }
   }
 
-  private void refusedAsHeld(Request request) {
+  private void handleHeld(Request request) {
     if (request.poison == null) {
       wronglyHeld++;
       return;
     }
-    notServed(request);
+    retryOrFail(request);
   }
 
-  private void notServed(Request request) {
+  private void retryOrFail(Request request) {
     if (request.poison != null) {
       after(50 + random.nextInt(200), () -> sendPoisonRequest(request.poison));
     } else if (request.tries < MAX_CLIENT_TRIES) {
@@ -453,7 +453,7 @@
   }
 
   private void report(Node node) {
-    for (int copy = 0; copy < 2; copy++) {
+    for (int contact = 0; contact < 2; contact++) {
       Node to = anyNode();
       if (canReach(node, to) && random.nextDouble() >= scenario.loss()) {
         to.exchange.heard(Integer.toString(node.index), node.quarantine.digest());
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/SuspectExchangeTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/SuspectExchangeTest.java
@@ -80,7 +80,7 @@
   }
 
   private void report(int index) {
-    for (int copy = 0; copy < 2; copy++) {
+    for (int contact = 0; contact < 2; contact++) {
       Node to = nodes.get(random.nextInt(nodes.size()));
       if (random.nextDouble() >= loss) {
         to.exchange.heard(Integer.toString(index), nodes.get(index).quarantine.digest());
