--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshOutboundHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshOutboundHandler.java
@@ -32,8 +32,8 @@
 import org.glassfish.grizzly.http.util.Header;
 
 /**
- * Handles requests of local clients: finds the route, chooses a backend and sends the request to
- * the backend's node. Metrics and logs call this side {@code edge}.
+ * Handles requests of clients, among them the local backend: finds the route, chooses a backend and
+ * sends the request to the backend's node. Metrics and logs call this side {@code edge}.
  */
 final class MeshOutboundHandler implements RequestHandler {
   /** Largest body sent to a node that may refuse the request because its backend is full, bytes. */
@@ -252,8 +252,8 @@
    * retry time, since a retry would be refused again.
    */
   private boolean refuseIfQuarantined(Exchange exchange, MeshOutboundPlan plan) {
-    // Crashes caused by earlier requests with the same fingerprint count too: when each client
-    // retry started at zero, one request ended 25 backends, two per retry.
+    // Crashes caused by earlier tries of the same request count too: when each try of a client
+    // started at zero, one request crashed 25 backends, two per try.
     boolean isQuarantined =
         quarantine.mayHold(plan.targetHash())
             && Fingerprints.of(exchange, plan.targetHash())
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshOutboundPlan.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshOutboundPlan.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 
 /**
- * Plan of a local client's request.
+ * Plan of a client's request.
  *
  * @param requestId the client's id of this attempt
  * @param rule the request's route
