--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshInboundPlan.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshInboundPlan.java
@@ -10,7 +10,7 @@
  * @param requestId the client's id of its attempt
  * @param hop data from the other node
  * @param deadlineMillis deadline, on the proxy's clock
- * @param previousHopUnreadMillis how long the request may have been unread at the previous node
+ * @param unreadBeforeMillis how long the request may have been unread at the previous node
  * @param arrivedMillis time at which the request's head arrived, on the proxy's clock
  * @param targetHash hash of everything that identifies the request except its body; see {@link
  *     RequestFingerprint#target}
@@ -20,7 +20,7 @@
     String requestId,
     HopHeader hop,
     long deadlineMillis,
-    long previousHopUnreadMillis,
+    long unreadBeforeMillis,
     long arrivedMillis,
     long targetHash,
     Set<String> replacedHeaders)
@@ -32,7 +32,7 @@
 
   /** Returns the latest time at which the client gives up, on the proxy's clock, milliseconds. */
   long latestDeadlineMillis() {
-    return deadlineMillis + previousHopUnreadMillis;
+    return deadlineMillis + unreadBeforeMillis;
   }
 
   String instance() {
