--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/BackendCrashDetector.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/BackendCrashDetector.java
@@ -11,146 +11,160 @@
 import java.util.function.LongSupplier;
 
 /**
- * Tells the end of the back end beside this node from the end of a connection to it: a new
- * connection is not accepted, or does not last, and nothing that ran there before goes on. A
- * connection that is open proves nothing, since the kernel accepts it for a process that ends; an
- * answer to a later request does. Thread-safe.
+ * Distinguishes a crash of the local backend from the loss of a single connection to it. After a
+ * crash, a new connection is refused or closes soon, and no request that was sent to the process
+ * earlier is still running. An open connection alone does not prove that the process is alive,
+ * because the kernel still accepts connections for a process that is exiting; a response to a later
+ * request does. Thread-safe.
  */
 final class BackendCrashDetector {
-  /** All connections of a process end with it; how long the last may take, milliseconds. */
-  private static final long GATHER_MILLIS = 30;
+  /** Longest time over which the connections of an exiting process close, milliseconds. */
+  private static final long CONNECTION_LOSS_WINDOW_MILLIS = 30;
 
   /**
-   * How long a new connection has to last to show that a process goes on that is asked nothing,
-   * milliseconds; less than back ends keep idle connections open.
+   * How long an idle new connection must stay open to show that the process is alive, milliseconds.
+   * Shorter than the time for which backends keep idle connections open.
    */
-  private static final long LASTING_MILLIS = 3_000;
+  private static final long MIN_PROBE_LIFETIME_MILLIS = 3_000;
 
-  /** Asks whether a request that was sent to that start of the back end earlier still runs. */
-  interface Running {
-    boolean isAnySentBefore(String backend, long atMillis);
+  /**
+   * Tells whether a request sent to a start of the backend before a given time is still running.
+   */
+  interface RunningRequests {
+    boolean isAnySentBefore(String backendId, long atMillis);
   }
 
   /**
-   * A back end that ended.
+   * A crash of the backend.
    *
-   * @param backend id of that start of it
-   * @param requests those that ran there
+   * @param backend id of the crashed start of the backend
+   * @param requests the requests that were running on it
    */
   record Crash(String backend, Set<RequestFingerprint> requests) {}
 
-  /** Lost requests whose cause is being found out. */
-  private static final class Suspected {
+  /** Requests lost with their connections, while it is still open whether the backend crashed. */
+  private static final class SuspectedCrash {
     private final String backend;
     private final long sinceMillis;
     private final Set<RequestFingerprint> requests = new HashSet<>();
     private boolean unreachable;
 
-    /** The new connection, if one opened. */
-    private OriginConnection opened;
+    /** The probe connection; null until it is established. */
+    private OriginConnection probeConnection;
 
-    Suspected(String backend, long sinceMillis) {
+    SuspectedCrash(String backend, long sinceMillis) {
       this.backend = backend;
       this.sinceMillis = sinceMillis;
     }
 
-    boolean isTold(long nowMillis) {
-      long waited = nowMillis - sinceMillis;
-      boolean isOpen = opened != null && opened.isIdle();
+    boolean isDecidable(long nowMillis) {
+      long waitedMillis = nowMillis - sinceMillis;
+      boolean isOpen = probeConnection != null && probeConnection.isIdle();
       return isOpen
-          ? waited >= LASTING_MILLIS
-          : waited >= GATHER_MILLIS && (unreachable || opened != null);
+          ? waitedMillis >= MIN_PROBE_LIFETIME_MILLIS
+          : waitedMillis >= CONNECTION_LOSS_WINDOW_MILLIS
+              && (unreachable || probeConnection != null);
     }
   }
 
   private final ConnectionPool pool;
   private final LongSupplier clockMillis;
 
-  /** Null while nothing is suspected. */
-  private Suspected suspected;
+  /** Null while no crash is suspected. */
+  private SuspectedCrash suspected;
 
   BackendCrashDetector(ConnectionPool pool, LongSupplier clockMillis) {
     this.pool = pool;
     this.clockMillis = clockMillis;
   }
 
-  /** The connection of a request was lost while the back end had it. */
-  void lost(String backend, RequestFingerprint request) {
-    Suspected begun = null;
-    Suspected dropped = null;
+  /**
+   * Records that the connection of a running request was lost, and opens a probe connection if this
+   * start of the backend was not suspected yet.
+   */
+  void connectionLost(String backend, RequestFingerprint request) {
+    SuspectedCrash started = null;
+    SuspectedCrash abandoned = null;
     synchronized (this) {
       if (suspected == null || !suspected.backend.equals(backend)) {
-        dropped = suspected;
-        begun = new Suspected(backend, clockMillis.getAsLong());
-        suspected = begun;
+        abandoned = suspected;
+        started = new SuspectedCrash(backend, clockMillis.getAsLong());
+        suspected = started;
       }
       suspected.requests.add(request);
     }
-    giveBack(dropped);
-    if (begun != null) {
-      pool.acquireNew(new Probe(begun));
+    releaseProbe(abandoned);
+    if (started != null) {
+      pool.acquireNew(new Probe(started));
     }
   }
 
-  /** The back end has answered a request that was sent at a moment: it had not ended by then. */
-  void answered(String backend, long sentMillis) {
-    Suspected dropped;
+  /** Records a response to a request sent at the given time: the backend was alive at that time. */
+  void responseReceived(String backend, long sentMillis) {
+    SuspectedCrash abandoned;
     synchronized (this) {
-      boolean isProof =
+      boolean provesAlive =
           suspected != null
               && suspected.backend.equals(backend)
               && sentMillis > suspected.sinceMillis;
-      if (!isProof) {
+      if (!provesAlive) {
         return;
       }
-      dropped = suspected;
+      abandoned = suspected;
       suspected = null;
     }
-    giveBack(dropped);
+    releaseProbe(abandoned);
   }
 
-  /** Gives back the connection that was to tell, if one opened; not under the lock. */
-  private void giveBack(Suspected dropped) {
-    if (dropped != null && dropped.opened != null) {
-      pool.release(dropped.opened);
+  /**
+   * Returns the probe connection, if it was established, to the pool. Must not be called while
+   * holding the lock.
+   */
+  private void releaseProbe(SuspectedCrash abandoned) {
+    if (abandoned != null && abandoned.probeConnection != null) {
+      pool.release(abandoned.probeConnection);
     }
   }
 
-  /** Returns the back end's end once it is certain. */
-  Optional<Crash> tick(Running running) {
-    Suspected ripe;
+  /** Returns the crash once it is certain. */
+  Optional<Crash> pollCrash(RunningRequests running) {
+    SuspectedCrash decided;
     synchronized (this) {
-      if (suspected == null || !suspected.isTold(clockMillis.getAsLong())) {
+      if (suspected == null || !suspected.isDecidable(clockMillis.getAsLong())) {
         return Optional.empty();
       }
-      ripe = suspected;
+      decided = suspected;
       suspected = null;
     }
-    if (lasts(ripe) || running.isAnySentBefore(ripe.backend, ripe.sinceMillis)) {
+    if (releaseIfStillOpen(decided)
+        || running.isAnySentBefore(decided.backend, decided.sinceMillis)) {
       return Optional.empty();
     }
-    return Optional.of(new Crash(ripe.backend, ripe.requests));
+    return Optional.of(new Crash(decided.backend, decided.requests));
   }
 
-  /** Whether the new connection is still open; it replaces the one that was lost. */
-  private boolean lasts(Suspected ripe) {
-    boolean lasts = ripe.opened != null && ripe.opened.isIdle();
-    if (lasts) {
-      pool.release(ripe.opened);
+  /**
+   * Returns whether the probe connection is still open; if so, hands it to the pool in place of the
+   * lost connection.
+   */
+  private boolean releaseIfStillOpen(SuspectedCrash decided) {
+    boolean isOpen = decided.probeConnection != null && decided.probeConnection.isIdle();
+    if (isOpen) {
+      pool.release(decided.probeConnection);
     }
-    return lasts;
+    return isOpen;
   }
 
-  private synchronized void lives(Suspected probed) {
+  private synchronized void dismiss(SuspectedCrash probed) {
     if (suspected == probed) {
       suspected = null;
     }
   }
 
   private final class Probe implements ConnectionWaiter {
-    private final Suspected probed;
+    private final SuspectedCrash probed;
 
-    Probe(Suspected probed) {
+    Probe(SuspectedCrash probed) {
       this.probed = probed;
     }
 
@@ -158,7 +172,7 @@
     public void connected(OriginConnection connection) {
       synchronized (BackendCrashDetector.this) {
         if (suspected == probed) {
-          probed.opened = connection;
+          probed.probeConnection = connection;
           return;
         }
       }
@@ -168,7 +182,7 @@
     @Override
     public void notConnected(Verdict.Reason reason) {
       if (reason != Verdict.Reason.UNREACHABLE) {
-        lives(probed);
+        dismiss(probed);
         return;
       }
       synchronized (BackendCrashDetector.this) {
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/LocalBackendSpeed.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/LocalBackendSpeed.java
@@ -8,70 +8,75 @@
 import java.util.function.Function;
 import java.util.function.LongSupplier;
 
-/** How fast the back end beside this node is, as it says and as is seen. Thread-safe. */
+/**
+ * Speed of the local backend, from its own load reports and from measured durations. Thread-safe.
+ */
 final class LocalBackendSpeed {
-  private final Function<String, Either<String, BackendStatement>> statements;
+  private final Function<String, Either<String, BackendStatement>> loadReportParser;
   private final MeshEvents events;
   private final LongSupplier clockMillis;
   private BackendSpeed speed = new BackendSpeed();
-  private boolean believed = true;
-  private double shownByAges = 1;
+  private boolean areReportsTrusted = true;
+  private double slownessByAge = 1;
 
   /**
-   * Creates one that knows nothing.
+   * Creates an estimate without data.
    *
-   * @param statements reads what the back end says of itself, or tells what is wrong with it
+   * @param loadReportParser parses a load report of the backend, or returns what is wrong with it
    */
   LocalBackendSpeed(
-      Function<String, Either<String, BackendStatement>> statements,
+      Function<String, Either<String, BackendStatement>> loadReportParser,
       MeshEvents events,
       LongSupplier clockMillis) {
-    this.statements = statements;
+    this.loadReportParser = loadReportParser;
     this.events = events;
     this.clockMillis = clockMillis;
   }
 
   /**
-   * An answer has come.
+   * Records the load report of a response.
    *
-   * @param text what the back end says of itself; null if it says nothing
+   * @param text the backend's load report; null if the response has none
    */
-  void stated(String text) {
+  void recordLoadReport(String text) {
     if (text == null) {
       return;
     }
-    Either<String, BackendStatement> statement = statements.apply(text);
-    if (statement.isLeft()) {
-      events.statementRefused(statement.getLeft());
+    Either<String, BackendStatement> report = loadReportParser.apply(text);
+    if (report.isLeft()) {
+      events.statementRefused(report.getLeft());
       return;
     }
     synchronized (this) {
-      speed.stated(clockMillis.getAsLong(), statement.get());
+      speed.stated(clockMillis.getAsLong(), report.get());
     }
   }
 
-  /** How long a request that has just been answered would have run at the usual speed. */
-  synchronized long usualMicros(String route, long micros) {
+  /**
+   * Records the duration of an answered request; returns what it would have been at the usual
+   * speed.
+   */
+  synchronized long recordDuration(String route, long micros) {
     return speed.answered(clockMillis.getAsLong(), route, micros);
   }
 
-  /** Looks at what runs there. */
-  synchronized void observe(Collection<Slowness.Running> running) {
-    shownByAges = Slowness.of(running);
-    if (speed.isBelieved() != believed) {
-      believed = speed.isBelieved();
-      events.statementsBelieved(believed, speed.errors());
+  /** Updates the estimate from the requests that are running. */
+  synchronized void observeRunning(Collection<Slowness.Running> running) {
+    slownessByAge = Slowness.of(running);
+    if (speed.isBelieved() != areReportsTrusted) {
+      areReportsTrusted = speed.isBelieved();
+      events.statementsBelieved(areReportsTrusted, speed.errors());
     }
   }
 
-  /** Another start is there, of which nothing is known. */
-  synchronized void forget() {
+  /** Discards all data after the backend has restarted. */
+  synchronized void reset() {
     speed = new BackendSpeed();
-    shownByAges = 1;
+    slownessByAge = 1;
   }
 
-  /** The factor by which work takes longer now than usual. */
+  /** Returns the factor by which requests currently take longer than usual. */
   synchronized double slowness() {
-    return speed.slowness(clockMillis.getAsLong(), shownByAges);
+    return speed.slowness(clockMillis.getAsLong(), slownessByAge);
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshMetrics.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshMetrics.java
@@ -17,56 +17,60 @@
 import java.util.function.Supplier;
 
 /**
- * Counters, gauges and latency histograms in the Prometheus text format. Made once somebody asks
- * for them, since making them takes a twentieth of a start; what happened before is not counted,
- * and no rate can be told of it anyway. Thread-safe.
+ * Counters, gauges and latency histograms in the Prometheus text format. The registry is created
+ * when metrics are first requested, because creating it takes a twentieth of the startup time.
+ * Earlier events are not counted; rates could not be computed from them anyway. Thread-safe.
  */
 final class MeshMetrics implements ProxyStats {
   private static final String PREFIX = "umberpath.";
-  private static final Duration SHORTEST = Duration.ofMillis(1);
-  private static final Duration LONGEST = Duration.ofSeconds(10);
+  private static final Duration MIN_DURATION = Duration.ofMillis(1);
+  private static final Duration MAX_DURATION = Duration.ofSeconds(10);
 
-  /** From the beginning, since what is in flight when counting begins ends later. */
+  /**
+   * Counted from the start, since requests in flight when metrics are first requested end later.
+   */
   private final InFlightCounts inFlight = new InFlightCounts();
 
-  private final AtomicBoolean wanted = new AtomicBoolean();
+  private final AtomicBoolean requested = new AtomicBoolean();
   private volatile PrometheusMeterRegistry registry;
-  private volatile ProxyStats counted = ProxyStats.NONE;
+  private volatile ProxyStats delegate = ProxyStats.NONE;
   private volatile Timer lateIterations;
 
   /**
-   * Begins to count.
+   * Creates the registry and starts to count.
    *
-   * @param gauges name of a gauge, without the prefix, to its value
+   * @param gauges value suppliers by gauge name without the prefix
    */
   void begin(Map<String, Supplier<Number>> gauges) {
     PrometheusMeterRegistry created = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
     created.config().meterFilter(new Histograms());
-    gauges.forEach((name, value) -> created.gauge(PREFIX + name, value, each -> of(each)));
-    counted = new MeterRegistryStats(created, inFlight);
+    gauges.forEach((name, value) -> created.gauge(PREFIX + name, value, each -> toDouble(each)));
+    delegate = new MeterRegistryStats(created, inFlight);
     lateIterations = created.timer(PREFIX + "event.loop.late");
     registry = created;
   }
 
-  private static double of(Supplier<Number> value) {
+  private static double toDouble(Supplier<Number> value) {
     return value.get().doubleValue();
   }
 
   /**
-   * The page; empty before counting has begun.
+   * Returns the metrics page; empty until the registry is created.
    *
-   * @param beginner called at the first call, to have {@link #begin} called on another thread
+   * @param starter called once, on the first call, to have {@link #begin} called on another thread
    */
-  String page(Runnable beginner) {
+  String page(Runnable starter) {
     PrometheusMeterRegistry current = registry;
-    if (current == null && wanted.compareAndSet(false, true)) {
-      beginner.run();
+    if (current == null && requested.compareAndSet(false, true)) {
+      starter.run();
     }
     return current == null ? "" : current.scrape();
   }
 
-  /** An iteration of the event loop kept what had arrived waiting for so long. */
-  void iterationWasLate(long micros) {
+  /**
+   * Records the duration of an event loop iteration, which delayed the reading of received data.
+   */
+  void recordLateIteration(long micros) {
     Timer timer = lateIterations;
     if (timer != null) {
       timer.record(micros, TimeUnit.MICROSECONDS);
@@ -75,12 +79,12 @@
 
   @Override
   public void requestEnded(Side side, Verdict verdict, long micros) {
-    counted.requestEnded(side, verdict, micros);
+    delegate.requestEnded(side, verdict, micros);
   }
 
   @Override
   public void retried(Verdict verdict) {
-    counted.retried(verdict);
+    delegate.retried(verdict);
   }
 
   @Override
@@ -88,14 +92,13 @@
     inFlight.add(side, change);
   }
 
-  /** Gives every timer a histogram with bounded buckets. */
   private static final class Histograms implements MeterFilter {
     @Override
     public DistributionStatisticConfig configure(Meter.Id id, DistributionStatisticConfig config) {
       return DistributionStatisticConfig.builder()
           .percentilesHistogram(true)
-          .minimumExpectedValue((double) SHORTEST.toNanos())
-          .maximumExpectedValue((double) LONGEST.toNanos())
+          .minimumExpectedValue((double) MIN_DURATION.toNanos())
+          .maximumExpectedValue((double) MAX_DURATION.toNanos())
           .build()
           .merge(config);
     }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/PlannedStop.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/PlannedStop.java
@@ -3,137 +3,153 @@
 import java.util.function.LongSupplier;
 
 /**
- * A planned stop of a node that says it is not ready, in steps, each of which ends by an event or
- * at its bound:
+ * Graceful shutdown of a node that already reports itself as not ready. Each step ends with its
+ * event or at its time limit:
  *
  * <ol>
- *   <li>Callers notice, other nodes are told; what comes is still served.
- *   <li>What still comes is refused as not run; what is in flight finishes, with the calls that the
- *       back end makes for it.
- *   <li>Nothing is in flight: listeners and connections end in order, see {@link
+ *   <li>Clients notice the readiness change and other nodes are notified; new requests are still
+ *       served.
+ *   <li>New requests are refused as not run; requests in flight finish, including the nested calls
+ *       that the backend makes for them.
+ *   <li>Once nothing is in flight, listeners and connections are closed in order, see {@link
  *       io.umberpath.node.proxy.inbound.ConnectionDrain}.
  * </ol>
  */
 final class PlannedStop {
-  /** How long callers have to notice that this node leaves: two questions, a second apart. */
-  private static final long CALLER_NOTICE_MILLIS = 2_200;
+  /**
+   * Time for clients to notice that this node is draining: two readiness probes, one second apart.
+   */
+  private static final long CLIENT_NOTICE_MILLIS = 2_200;
 
   /**
-   * When callers that come all the same are refused: what they want might not finish. While the
-   * back end beside this node works on a request, which may depend on calls that it makes, {@link
-   * LateRequests} tells which.
+   * Time after which requests that might not finish are refused. While the local backend is running
+   * a request, which may depend on nested calls, {@link ShutdownRefusalPolicy} decides which ones.
    */
-  private static final long CALLERS_REFUSED_MILLIS = 2_800;
+  private static final long CLIENTS_REFUSED_MILLIS = 2_800;
 
   /**
-   * Time before the cut-off from which those calls are refused, too, and callers' connections are
-   * not accepted any more.
+   * Time before the cut-off from which nested calls are refused too and no client connection is
+   * accepted.
    */
-  private static final long CALLS_REFUSED_RESERVE_MILLIS = 1_000;
+  private static final long NESTED_CALLS_REFUSED_RESERVE_MILLIS = 1_000;
 
-  /** When other nodes are told; until then this node works on for its back end. */
-  private static final long PEERS_TOLD_MILLIS = 1_400;
+  /**
+   * Time after which other nodes are notified; until then this node forwards requests to its
+   * backend.
+   */
+  private static final long PEERS_NOTIFIED_MILLIS = 1_400;
 
-  /** When requests of other nodes are refused, all of which have heard by then. */
+  /** Time after which requests of other nodes are refused; all nodes have been notified by then. */
   private static final long PEERS_REFUSED_MILLIS = 1_800;
 
-  /** Work may be broken off in the last part of the grace time, which is divided by this. */
-  private static final int LAST_PART_DIVISOR = 6;
+  /**
+   * Requests may be cut off in the last part of the grace period, which is the period divided by
+   * this.
+   */
+  private static final int CUT_OFF_RESERVE_DIVISOR = 6;
 
-  /** Longest time before the kill at which what is left is cut off, milliseconds. */
+  /** Longest time between the cut-off and the end of the grace period, milliseconds. */
   private static final long MAX_CUT_OFF_RESERVE_MILLIS = 1_000;
 
   /**
-   * Time after that in which refusals are written and answers that are on their way arrive; the
-   * rest is for the end of the process.
+   * Time after the cut-off for writing refusals and receiving responses that are already arriving;
+   * the remaining time is left for the exit of the process.
    */
   private static final long FLUSH_MILLIS = 300;
 
-  private static final long STOP_CHECK_MILLIS = 20;
-  private static final long QUIET_MILLIS = 150;
+  private static final long CHECK_INTERVAL_MILLIS = 20;
+  private static final long MIN_IDLE_MILLIS = 150;
 
   private final MeshProxy proxy;
   private final LocalBackend backend;
-  private final Runnable tellPeers;
+  private final Runnable notifyPeers;
   private final MeshEvents events;
   private final LongSupplier clockMillis;
 
   /**
-   * Creates a stop that has not begun.
+   * Creates a shutdown that has not started.
    *
-   * @param tellPeers tells the other nodes that the back end beside this one takes no new work
+   * @param notifyPeers notifies the other nodes that the local backend accepts no new work
    */
   PlannedStop(
       MeshProxy proxy,
       LocalBackend backend,
-      Runnable tellPeers,
+      Runnable notifyPeers,
       MeshEvents events,
       LongSupplier clockMillis) {
     this.proxy = proxy;
     this.backend = backend;
-    this.tellPeers = tellPeers;
+    this.notifyPeers = notifyPeers;
     this.events = events;
     this.clockMillis = clockMillis;
   }
 
   /**
-   * Stops; returns when nothing is in flight any more, or what is left was cut off.
+   * Shuts down; returns when nothing is in flight, or after the remaining requests were cut off.
    *
    * @param graceMillis time until the process is killed, milliseconds
    */
   void run(long graceMillis) throws InterruptedException {
-    long began = clockMillis.getAsLong();
+    long startMillis = clockMillis.getAsLong();
     events.stopping(proxy.inFlight());
-    long cutOffReserve = Math.min(MAX_CUT_OFF_RESERVE_MILLIS, graceMillis / LAST_PART_DIVISOR);
-    long cutOffMillis = began + graceMillis - cutOffReserve;
-    proxy.refuseLateCallers(began + CALLERS_REFUSED_MILLIS, cutOffMillis);
-    awaitQuiet(began, cutOffMillis);
-    // From here on nothing is sent on: it might have no time to be answered.
-    backend.leave();
-    proxy.refuseCallers();
+    long cutOffReserveMillis =
+        Math.min(MAX_CUT_OFF_RESERVE_MILLIS, graceMillis / CUT_OFF_RESERVE_DIVISOR);
+    long cutOffMillis = startMillis + graceMillis - cutOffReserveMillis;
+    proxy.refuseLateClientRequests(startMillis + CLIENTS_REFUSED_MILLIS, cutOffMillis);
+    awaitIdle(startMillis, cutOffMillis);
+    // No request is forwarded from here on: there might not be enough time for the response.
+    backend.startDraining();
+    proxy.refuseClientRequests();
     proxy.endConnections(cutOffMillis);
-    int unanswered = proxy.inFlight();
+    int inFlightAtEnd = proxy.inFlight();
     int cutOff = proxy.abortAll();
-    int onTheirWay = proxy.inFlight();
-    int refused = Math.max(0, unanswered - cutOff - onTheirWay);
+    int stillResponding = proxy.inFlight();
+    int refused = Math.max(0, inFlightAtEnd - cutOff - stillResponding);
     proxy.endConnections(cutOffMillis + FLUSH_MILLIS);
     cutOff += proxy.inFlight();
-    long millis = clockMillis.getAsLong() - began;
-    events.stopped(cutOff, refused, proxy.openCallers(), proxy.unwrittenBytes(), millis);
+    long elapsedMillis = clockMillis.getAsLong() - startMillis;
+    events.stopped(
+        cutOff, refused, proxy.openIncomingConnections(), proxy.unwrittenBytes(), elapsedMillis);
   }
 
-  /** Returns when callers have noticed and nothing is in flight any more, or at the bound. */
-  private void awaitQuiet(long began, long end) throws InterruptedException {
-    boolean told = false;
-    long quietSince = began;
-    while (clockMillis.getAsLong() < end) {
+  /**
+   * Waits until clients have noticed the shutdown and nothing is in flight, or until the time
+   * limit.
+   */
+  private void awaitIdle(long startMillis, long endMillis) throws InterruptedException {
+    boolean peersNotified = false;
+    long idleSinceMillis = startMillis;
+    while (clockMillis.getAsLong() < endMillis) {
       long now = clockMillis.getAsLong();
-      if (!told && now >= began + PEERS_TOLD_MILLIS) {
-        told = true;
-        tellPeers.run();
+      if (!peersNotified && now >= startMillis + PEERS_NOTIFIED_MILLIS) {
+        peersNotified = true;
+        notifyPeers.run();
       }
-      if (now >= began + PEERS_REFUSED_MILLIS) {
-        backend.leave();
+      if (now >= startMillis + PEERS_REFUSED_MILLIS) {
+        backend.startDraining();
       }
-      if (now >= began + CALLERS_REFUSED_MILLIS) {
-        refuseCallers(now >= end - CALLS_REFUSED_RESERVE_MILLIS);
+      if (now >= startMillis + CLIENTS_REFUSED_MILLIS) {
+        refuseClientRequests(now >= endMillis - NESTED_CALLS_REFUSED_RESERVE_MILLIS);
       }
-      quietSince = proxy.inFlight() > 0 ? now : quietSince;
-      if (now >= began + CALLER_NOTICE_MILLIS && now >= quietSince + QUIET_MILLIS) {
+      idleSinceMillis = proxy.inFlight() > 0 ? now : idleSinceMillis;
+      if (now >= startMillis + CLIENT_NOTICE_MILLIS && now >= idleSinceMillis + MIN_IDLE_MILLIS) {
         return;
       }
-      Thread.sleep(STOP_CHECK_MILLIS);
+      Thread.sleep(CHECK_INTERVAL_MILLIS);
     }
   }
 
-  /** Refuses callers, unless the back end is at work and there is time for the calls it makes. */
-  private void refuseCallers(boolean isTooLateForCalls) {
-    if (isTooLateForCalls) {
-      // A connection that comes now may lie unread until the process has gone.
-      proxy.closeToCallers();
+  /**
+   * Refuses clients' requests, unless the backend is busy and there is still time for its nested
+   * calls.
+   */
+  private void refuseClientRequests(boolean isTooLateForNestedCalls) {
+    if (isTooLateForNestedCalls) {
+      // A connection accepted now might remain unread until the process has exited.
+      proxy.closeOutboundListener();
     }
-    if (isTooLateForCalls || !proxy.isBackendAtWork()) {
-      proxy.refuseCallers();
+    if (isTooLateForNestedCalls || !proxy.isBackendBusy()) {
+      proxy.refuseClientRequests();
     }
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/RequestEvents.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/RequestEvents.java
@@ -6,7 +6,7 @@
 import io.umberpath.node.proxy.http.VerdictHeader;
 import io.umberpath.node.proxy.inbound.UnansweredRequests;
 
-/** Writes the lines that tell what became of requests. Thread-safe; never waits. */
+/** Logs the outcomes of requests. Thread-safe; never blocks. */
 final class RequestEvents {
   private static final MetadataKey<String> BACKEND = MetadataKey.single("backend", String.class);
   private static final MetadataKey<String> SOURCE = MetadataKey.single("source", String.class);
@@ -29,7 +29,7 @@
   }
 
   void requestFailed(
-      MeshEdgePlan plan,
+      MeshOutboundPlan plan,
       String fingerprint,
       int attempts,
       Verdict verdict,
@@ -44,10 +44,15 @@
         .with(FINGERPRINT, fingerprint)
         .with(MILLIS, millis)
         .with(UNREAD, unreadMillis)
-        .log("attempts %d, sent to back ends %d", attempts, plan.tally().arrivals());
+        .log(
+            "attempts %d, sent to back ends %d",
+            attempts, plan.retryState().possiblyDeliveredCount());
   }
 
-  /** A connection ended, and requests that were read from it, or bytes of some, have no answer. */
+  /**
+   * Logs that a connection ended while requests, or bytes of requests, read from it were
+   * unanswered.
+   */
   void connectionEnded(UnansweredRequests unanswered) {
     UnansweredRequests.Input input = unanswered.input();
     events
@@ -62,9 +67,9 @@
         .log("sent on %d, not begun %d", unanswered.sentOn(), input.isHeadUnbegun() ? 1 : 0);
   }
 
-  void requestServed(MeshEdgePlan plan, int attempts, long millis) {
-    // Each request comes here, and nearly all go beyond the bound.
-    if (!events.mayWrite(MeshEvent.REQUEST_SERVED)) {
+  void requestServed(MeshOutboundPlan plan, int attempts, long millis) {
+    // Called for every request, and nearly all lines are above the rate limit.
+    if (!events.tryAcquireLine(MeshEvent.REQUEST_SERVED)) {
       return;
     }
     MeshEvents.line(MeshEvent.REQUEST_SERVED, true)
@@ -76,28 +81,32 @@
   }
 
   /**
-   * An attempt failed.
+   * Logs a failed attempt.
    *
-   * @param against why the request is not sent again; empty if it is
+   * @param noRetryReason why the request is not retried; empty if it is retried
    */
   void attemptFailed(
-      MeshEdgePlan plan, String backend, String fingerprint, Verdict verdict, String against) {
+      MeshOutboundPlan plan,
+      String backend,
+      String fingerprint,
+      Verdict verdict,
+      String noRetryReason) {
     events
         .line(MeshEvent.ATTEMPT_FAILED)
         .with(LogFields.REQUEST_ID, plan.requestId())
         .with(BACKEND, backend)
         .with(LogFields.OUTCOME, VerdictHeader.format(verdict))
         .with(FINGERPRINT, fingerprint)
-        .with(CAUSE, against)
-        .log("%s", against.isEmpty() ? "sent again" : "not sent again");
+        .with(CAUSE, noRetryReason)
+        .log("%s", noRetryReason.isEmpty() ? "sent again" : "not sent again");
   }
 
   /**
-   * A request for the back end beside this node was refused or failed. Refusals have a bound of
-   * their own: while a back end is away they are so many that they would crowd out its failures.
+   * Logs a refused or failed request for the local backend. Refusals have a separate rate limit:
+   * while a backend is unavailable they are so frequent that they would displace its failures.
    */
   void gateFailed(
-      MeshGatePlan plan,
+      MeshInboundPlan plan,
       String fingerprint,
       Verdict verdict,
       String load,
@@ -116,15 +125,16 @@
   }
 
   /**
-   * A request of another node cannot be read: a fault of the program there or here.
+   * Logs that a request of another node cannot be read: a bug in the software of that node or this
+   * one.
    *
-   * @param lacking the header that is missing or malformed
+   * @param header the header that is missing or malformed
    */
-  void gateHeadRefused(String requestId, String lacking) {
+  void gateHeadRefused(String requestId, String header) {
     events
         .line(MeshEvent.GATE_HEAD_REFUSED)
         .with(LogFields.REQUEST_ID, requestId)
-        .with(CAUSE, lacking)
+        .with(CAUSE, header)
         .log("missing or malformed");
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/RequestQuarantine.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/RequestQuarantine.java
@@ -17,55 +17,61 @@
 import java.util.stream.Collectors;
 
 /**
- * Keeps requests from back ends that would end under them, by what all nodes have seen ({@link
- * SuspectLedger}). Thread-safe; never waits for anything but its own lock.
+ * Keeps requests that crash backends away from them, based on the crashes that all nodes have seen
+ * ({@link SuspectLedger}). Thread-safe; waits for nothing but its own lock.
  */
 final class RequestQuarantine {
   private static final long MILLIS_PER_SECOND = 1_000;
 
   private final SuspectLedger ledger;
-  private final Predicate<RequestFingerprint> owner;
+  private final Predicate<RequestFingerprint> isTrialOwner;
   private final MeshEvents events;
   private final LongSupplier clockMillis;
 
-  /** What other nodes have not been told yet; guarded by this object's lock. */
-  private final List<Suspicion> news = new ArrayList<>();
+  /** Suspicions not sent to the other nodes yet; guarded by this object's lock. */
+  private final List<Suspicion> unsentSuspicions = new ArrayList<>();
 
   private volatile Set<Long> heldTargets = Set.of();
-  private volatile int suspects;
+  private volatile int suspectCount;
   private volatile long digest;
 
   /**
-   * Creates one that knows nothing.
+   * Creates an empty quarantine.
    *
-   * @param ledger empty
-   * @param owner whether this node is the one that may try a request that is held once more
+   * @param ledger an empty ledger
+   * @param isTrialOwner whether this node is the one that may retry a given held request as a trial
    */
   RequestQuarantine(
       SuspectLedger ledger,
-      Predicate<RequestFingerprint> owner,
+      Predicate<RequestFingerprint> isTrialOwner,
       MeshEvents events,
       LongSupplier clockMillis) {
     this.ledger = ledger;
-    this.owner = owner;
+    this.isTrialOwner = isTrialOwner;
     this.events = events;
     this.clockMillis = clockMillis;
   }
 
-  /** Whether a request of that target may be held; most often the body need not be looked at. */
-  boolean concerns(long target) {
+  /**
+   * Returns whether a request with this target may be held. If not, which is the usual case, the
+   * body need not be hashed.
+   */
+  boolean mayHold(long targetHash) {
     Set<Long> targets = heldTargets;
-    return !targets.isEmpty() && targets.contains(target);
+    return !targets.isEmpty() && targets.contains(targetHash);
   }
 
-  /** Whether this node keeps a caller's request from all back ends; if not, it may be a trial. */
-  boolean holdsAtEdge(RequestFingerprint request) {
+  /**
+   * Returns whether this node refuses a client's request. If a trial of a held request is due here,
+   * this call starts the trial and returns false.
+   */
+  boolean blocksOutbound(RequestFingerprint request) {
     long now = clockMillis.getAsLong();
     synchronized (this) {
       if (!ledger.isHeld(request)) {
         return false;
       }
-      if (!ledger.isTrialDue(now, request) || !owner.test(request)) {
+      if (!ledger.isTrialDue(now, request) || !isTrialOwner.test(request)) {
         return true;
       }
       ledger.beginTrial(now, request);
@@ -74,44 +80,48 @@
     }
   }
 
-  /** Whether a request of another node is kept from the back end beside this one. */
-  boolean holdsAtGate(RequestFingerprint request) {
+  /** Returns whether a request of another node is kept from the local backend. */
+  boolean blocksInbound(RequestFingerprint request) {
     long now = clockMillis.getAsLong();
     synchronized (this) {
       return ledger.isHeld(request) && !ledger.isTrialDue(now, request);
     }
   }
 
-  /** The back end beside this node ended while it ran these requests. */
-  synchronized void backendEnded(BackendStart backend, Collection<RequestFingerprint> running) {
-    Set<RequestFingerprint> heldBefore = held(running);
-    news.addAll(ledger.ended(clockMillis.getAsLong(), backend, running));
-    changed(heldBefore, running);
+  /** Records that the local backend crashed while running these requests. */
+  synchronized void recordBackendCrash(
+      BackendStart backend, Collection<RequestFingerprint> running) {
+    Set<RequestFingerprint> heldBefore = heldAmong(running);
+    unsentSuspicions.addAll(ledger.ended(clockMillis.getAsLong(), backend, running));
+    publishChanges(heldBefore, running);
   }
 
-  /** A request ran to a good end on the back end beside this node. */
-  synchronized void succeeded(RequestFingerprint request) {
+  /** Records that a request completed successfully on the local backend. */
+  synchronized void recordSuccess(RequestFingerprint request) {
     boolean heldBefore = ledger.isHeld(request);
     Optional<Suspicion> cleared = ledger.succeeded(clockMillis.getAsLong(), request);
     if (cleared.isPresent()) {
-      news.add(cleared.get());
-      changed(heldBefore ? Set.of(request) : Set.of(), List.of(request));
+      unsentSuspicions.add(cleared.get());
+      publishChanges(heldBefore ? Set.of(request) : Set.of(), List.of(request));
     }
   }
 
-  /** Takes what another node knows; what this node knows against it is news for all. */
+  /**
+   * Merges the suspicions of another node. Where this node knows more, its own suspicions are
+   * queued for all nodes.
+   */
   synchronized void take(SuspectMessage message) {
     long now = clockMillis.getAsLong();
-    List<Suspicion> heard = message.asOf(now);
-    List<RequestFingerprint> concerned = heard.stream().map(Suspicion::request).toList();
-    Set<RequestFingerprint> heldBefore = held(concerned);
-    for (Suspicion each : heard) {
-      ledger.take(now, each).stream().skip(1).forEach(news::add);
+    List<Suspicion> received = message.asOf(now);
+    List<RequestFingerprint> affected = received.stream().map(Suspicion::request).toList();
+    Set<RequestFingerprint> heldBefore = heldAmong(affected);
+    for (Suspicion each : received) {
+      ledger.take(now, each).stream().skip(1).forEach(unsentSuspicions::add);
     }
-    changed(heldBefore, concerned);
+    publishChanges(heldBefore, affected);
   }
 
-  private Set<RequestFingerprint> held(Collection<RequestFingerprint> requests) {
+  private Set<RequestFingerprint> heldAmong(Collection<RequestFingerprint> requests) {
     Set<RequestFingerprint> held = new HashSet<>();
     for (RequestFingerprint request : requests) {
       if (ledger.isHeld(request)) {
@@ -121,10 +131,10 @@
     return held;
   }
 
-  private void changed(
-      Set<RequestFingerprint> heldBefore, Collection<RequestFingerprint> concerned) {
-    publish();
-    for (RequestFingerprint request : concerned) {
+  private void publishChanges(
+      Set<RequestFingerprint> heldBefore, Collection<RequestFingerprint> affected) {
+    updateSummary();
+    for (RequestFingerprint request : affected) {
       boolean isHeld = ledger.isHeld(request);
       if (isHeld != heldBefore.contains(request)) {
         events.requestHeld(request, isHeld, ledger.weight(request));
@@ -133,65 +143,65 @@
     }
   }
 
-  /** Drops what is too old to count. */
+  /** Removes expired suspicions. */
   synchronized void forget() {
-    if (suspects > 0) {
+    if (suspectCount > 0) {
       ledger.forget(clockMillis.getAsLong());
       heldTargets = ledger.heldTargets();
-      publish();
+      updateSummary();
     }
   }
 
-  private void publish() {
-    suspects = ledger.size();
+  private void updateSummary() {
+    suspectCount = ledger.size();
     digest = ledger.digest();
   }
 
-  /** What the other nodes are to be told since the last call. */
-  synchronized List<Suspicion> takeNews() {
-    List<Suspicion> taken = List.copyOf(news);
-    news.clear();
-    return taken;
+  /** Returns the suspicions recorded since the last call, to be sent to the other nodes. */
+  synchronized List<Suspicion> drainUnsent() {
+    List<Suspicion> drained = List.copyOf(unsentSuspicions);
+    unsentSuspicions.clear();
+    return drained;
   }
 
-  /** All that is known, for a node that knows less. */
-  synchronized List<Suspicion> all() {
+  /** Returns all suspicions, for a node that lacks some. */
+  synchronized List<Suspicion> allSuspicions() {
     return ledger.all();
   }
 
-  /** The requests that are held, for operators: a line each. */
+  /** Returns the held requests for operators, one per line. */
   synchronized String page() {
     long now = clockMillis.getAsLong();
     StringBuilder lines = new StringBuilder();
     for (Suspicion each : ledger.all()) {
       if (ledger.isHeld(each.request())) {
-        lines.append(line(now, each));
+        lines.append(statusLine(now, each));
       }
     }
     return lines.toString();
   }
 
-  private static String line(long nowMillis, Suspicion held) {
-    LongSummaryStatistics ends =
+  private static String statusLine(long nowMillis, Suspicion held) {
+    LongSummaryStatistics crashTimes =
         held.marks().stream()
             .filter(mark -> !mark.cleared())
             .collect(Collectors.summarizingLong(CrashMark::atMillis));
-    long lastSeconds = (nowMillis - ends.getMax()) / MILLIS_PER_SECOND;
-    return "%s held, ended %d back ends, the last %d s ago%n"
-        .formatted(held.request().text(), ends.getCount(), lastSeconds);
+    long secondsSinceLast = (nowMillis - crashTimes.getMax()) / MILLIS_PER_SECOND;
+    return "%s held, crashed %d backends, the last %d s ago%n"
+        .formatted(held.request().text(), crashTimes.getCount(), secondsSinceLast);
   }
 
-  /** The same at all nodes that know the same; 0 if nothing is known. */
+  /** Returns a digest that is equal on all nodes with equal suspicions; 0 if there are none. */
   long digest() {
     return digest;
   }
 
-  /** Requests under which back ends ended, whether or not they are held. */
+  /** Returns the number of requests suspected of a crash, whether or not they are held. */
   int suspects() {
-    return suspects;
+    return suspectCount;
   }
 
-  /** Targets of requests that are held. */
+  /** Returns the number of distinct targets of held requests. */
   int held() {
     return heldTargets.size();
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/SuspectExchange.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/SuspectExchange.java
@@ -9,15 +9,15 @@
 import java.util.function.Supplier;
 
 /**
- * Tells the other nodes under which requests back ends end: news to all of them at once, and
- * everything to a node whose report shows that it knows something else. Thread-safe.
+ * Distributes the suspicions about requests that crash backends: new ones to all nodes at once, and
+ * all of them to a node whose reported digest differs. Thread-safe.
  */
 final class SuspectExchange {
-  /** Least time between two times that one node is told everything, milliseconds. */
-  private static final long RETELL_MILLIS = 1_000;
+  /** Least interval between two full transfers to the same node, milliseconds. */
+  private static final long FULL_SYNC_INTERVAL_MILLIS = 1_000;
 
-  /** Nodes that are told everything in a second at most. */
-  private static final int MAX_RETOLD = 8;
+  /** Most nodes that get a full transfer within that interval. */
+  private static final int MAX_FULL_SYNCS_PER_INTERVAL = 8;
 
   /** Sends datagrams to nodes. */
   interface Sender {
@@ -25,50 +25,51 @@
   }
 
   private final RequestQuarantine quarantine;
-  private final Supplier<Collection<String>> others;
+  private final Supplier<Collection<String>> peers;
   private final Sender sender;
   private final LongSupplier clockMillis;
 
-  /** When nodes were told everything in the last second; guarded by this object's lock. */
-  private final Map<String, Long> retoldMillis = new HashMap<>();
+  /** Times of the full transfers in the last interval, by host; guarded by this object's lock. */
+  private final Map<String, Long> fullSyncMillis = new HashMap<>();
 
   SuspectExchange(
       RequestQuarantine quarantine,
-      Supplier<Collection<String>> others,
+      Supplier<Collection<String>> peers,
       Sender sender,
       LongSupplier clockMillis) {
     this.quarantine = quarantine;
-    this.others = others;
+    this.peers = peers;
     this.sender = sender;
     this.clockMillis = clockMillis;
   }
 
-  /** Tells what is new. */
+  /** Sends new suspicions to all other nodes. */
   void tick() {
-    List<Suspicion> news = quarantine.takeNews();
-    if (!news.isEmpty()) {
-      sender.send(SuspectMessage.encode(clockMillis.getAsLong(), news), others.get());
+    List<Suspicion> unsent = quarantine.drainUnsent();
+    if (!unsent.isEmpty()) {
+      sender.send(SuspectMessage.encode(clockMillis.getAsLong(), unsent), peers.get());
     }
   }
 
-  /** Another node has reported what it knows: the digest of it. */
+  /** Handles the digest that another node reported for its suspicions. */
   void heard(String host, long digest) {
     if (digest == quarantine.digest()) {
       return;
     }
-    List<Suspicion> all = quarantine.all();
+    List<Suspicion> all = quarantine.allSuspicions();
     long now = clockMillis.getAsLong();
-    if (!all.isEmpty() && mayRetell(host, now)) {
+    if (!all.isEmpty() && tryStartFullSync(host, now)) {
       sender.send(SuspectMessage.encode(now, all), List.of(host));
     }
   }
 
-  private synchronized boolean mayRetell(String host, long nowMillis) {
-    retoldMillis.values().removeIf(at -> at + RETELL_MILLIS <= nowMillis);
-    boolean may = retoldMillis.size() < MAX_RETOLD && !retoldMillis.containsKey(host);
-    if (may) {
-      retoldMillis.put(host, nowMillis);
+  private synchronized boolean tryStartFullSync(String host, long nowMillis) {
+    fullSyncMillis.values().removeIf(at -> at + FULL_SYNC_INTERVAL_MILLIS <= nowMillis);
+    boolean isAllowed =
+        fullSyncMillis.size() < MAX_FULL_SYNCS_PER_INTERVAL && !fullSyncMillis.containsKey(host);
+    if (isAllowed) {
+      fullSyncMillis.put(host, nowMillis);
     }
-    return may;
+    return isAllowed;
   }
 }
