--- a/umberpath-control/src/main/java/io/umberpath/control/store/BackendListing.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/BackendListing.java
@@ -2,7 +2,7 @@
 
 import io.umberpath.control.store.DepartedStarts.Departed;
 import io.umberpath.control.store.DepartedStarts.Departure;
-import io.umberpath.control.store.DepartedStarts.Known;
+import io.umberpath.control.store.DepartedStarts.KnownDeparture;
 import io.umberpath.model.PeerAddress;
 import io.umberpath.model.routing.BackendEntry;
 import io.umberpath.model.routing.BackendStart;
@@ -41,7 +41,7 @@
    * Departures told to a node that starts, besides those that the store's entries contradict: what
    * departs in the seconds of which a copy may know nothing.
    */
-  private static final int MAX_TOLD = 64;
+  private static final int MAX_SHARED_DEPARTURES = 64;
 
   private static final long NEVER = Long.MAX_VALUE;
 
@@ -67,27 +67,27 @@
   private final DepartedStarts departed = new DepartedStarts();
 
   /** By entries that the store shows as ready: the same, of starts that are known to leave. */
-  private Map<BackendEntry, BackendEntry> leaving = new HashMap<>();
+  private Map<BackendEntry, BackendEntry> drainingByEntry = new HashMap<>();
 
   /** Departures that entries of the store contradict. */
-  private final Set<Departed> contradicted = new LinkedHashSet<>();
+  private final Set<Departed> contradictedDepartures = new LinkedHashSet<>();
 
-  private StorePosition at = StorePosition.NOTHING;
+  private StorePosition position = StorePosition.NOTHING;
 
   /** Revision up to which entries may be from the copy, not written in the present era. */
-  private long copiedRevision = -1;
+  private long restoredRevision = -1;
 
-  private long eraSinceMillis;
-  private Set<BackendStart> shownAlive = Set.of();
-  private Believed believed = new Believed(List.of(), Set.of());
-  private List<BackendEntry> kept = List.of();
-  private Set<String> keptZones = Set.of();
-  private long dueMillis = NEVER;
+  private long eraStartMillis;
+  private Set<BackendStart> previouslyAlive = Set.of();
+  private Believed effective = new Believed(List.of(), Set.of());
+  private List<BackendEntry> retainedEntries = List.of();
+  private Set<String> retainedZones = Set.of();
+  private long nextUpdateMillis = NEVER;
 
   /** Departures for a node that starts: it may read only a copy that does not have them. */
   public List<Departed> told() {
-    Set<Departed> told = new LinkedHashSet<>(contradicted);
-    told.addAll(departed.latest(MAX_TOLD));
+    Set<Departed> told = new LinkedHashSet<>(contradictedDepartures);
+    told.addAll(departed.latest(MAX_SHARED_DEPARTURES));
     return List.copyOf(told);
   }
 
@@ -106,12 +106,12 @@
 
   /** Whether time alone changes what is believed, so that {@link #update} is due. */
   public boolean isDue(long nowMillis) {
-    return nowMillis >= dueMillis;
+    return nowMillis >= nextUpdateMillis;
   }
 
   /** How many entries are kept that the store did not show when it came back. */
   public int keptEntries() {
-    return kept.size();
+    return retainedEntries.size();
   }
 
   /**
@@ -120,44 +120,44 @@
    * @param isService whether the configuration in force names a service
    */
   public Believed update(long nowMillis, Shown shown, Predicate<String> isService) {
-    if (shown.at().era() != at.era() || !at.isKnown()) {
+    if (shown.at().era() != position.era() || !position.isKnown()) {
       beginEra(nowMillis, shown.at());
     }
-    at = shown.at();
-    dueMillis = NEVER;
-    contradicted.clear();
-    dropKept(nowMillis);
-    List<Listed> alive = alive(nowMillis, shown.listed(), isService);
-    noteDepartures(nowMillis, shown.listed(), alive);
+    position = shown.at();
+    nextUpdateMillis = NEVER;
+    contradictedDepartures.clear();
+    expireRetained(nowMillis);
+    List<Listed> alive = selectAlive(nowMillis, shown.listed(), isService);
+    recordDepartures(nowMillis, shown.listed(), alive);
     List<BackendEntry> entries = new ArrayList<>();
-    Map<BackendEntry, BackendEntry> stillLeaving = new HashMap<>();
+    Map<BackendEntry, BackendEntry> stillDraining = new HashMap<>();
     for (Listed each : alive) {
-      believe(nowMillis, each, stillLeaving).ifPresent(entries::add);
+      resolve(nowMillis, each, stillDraining).ifPresent(entries::add);
     }
-    leaving = stillLeaving;
-    addKept(nowMillis, shown.listed(), entries);
+    drainingByEntry = stillDraining;
+    addRetained(nowMillis, shown.listed(), entries);
     Set<String> zones = new HashSet<>(shown.evacuatedZones());
-    zones.addAll(keptZones);
-    believed = new Believed(List.copyOf(entries), Set.copyOf(zones));
-    return believed;
+    zones.addAll(retainedZones);
+    effective = new Believed(List.copyOf(entries), Set.copyOf(zones));
+    return effective;
   }
 
   private void beginEra(long nowMillis, StorePosition first) {
-    boolean isRestored = at.isKnown();
-    kept = isRestored ? believed.entries() : List.of();
-    keptZones = isRestored ? believed.evacuatedZones() : Set.of();
+    boolean isRestored = position.isKnown();
+    retainedEntries = isRestored ? effective.entries() : List.of();
+    retainedZones = isRestored ? effective.evacuatedZones() : Set.of();
     // What the copy does not show was perhaps only not written again yet: it has not departed.
-    shownAlive = Set.of();
-    copiedRevision = first.revision();
-    eraSinceMillis = nowMillis;
+    previouslyAlive = Set.of();
+    restoredRevision = first.revision();
+    eraStartMillis = nowMillis;
   }
 
-  private void dropKept(long nowMillis) {
-    if (nowMillis >= eraSinceMillis + KEPT_MILLIS) {
-      kept = List.of();
-      keptZones = Set.of();
-    } else if (!kept.isEmpty() || !keptZones.isEmpty()) {
-      dueMillis = eraSinceMillis + KEPT_MILLIS;
+  private void expireRetained(long nowMillis) {
+    if (nowMillis >= eraStartMillis + KEPT_MILLIS) {
+      retainedEntries = List.of();
+      retainedZones = Set.of();
+    } else if (!retainedEntries.isEmpty() || !retainedZones.isEmpty()) {
+      nextUpdateMillis = eraStartMillis + KEPT_MILLIS;
     }
   }
 
@@ -167,10 +167,12 @@
    * configuration does not name is no back end's, and takes no other one's place; nor does one of a
    * start that is known to have ended.
    */
-  private List<Listed> alive(long nowMillis, List<Listed> listed, Predicate<String> isService) {
+  private List<Listed> selectAlive(
+      long nowMillis, List<Listed> listed, Predicate<String> isService) {
     Comparator<Listed> order =
         Comparator.comparing((Listed each) -> isService.test(each.entry().service()))
-            .thenComparing(each -> !isOf(standing(nowMillis, each), Departure.ENDED))
+            .thenComparing(
+                each -> !isDeparture(findEffectiveDeparture(nowMillis, each), Departure.ENDED))
             .thenComparingLong(Listed::revision);
     Map<PeerAddress, Listed> byAddress = new HashMap<>();
     for (Listed each : listed) {
@@ -179,92 +181,93 @@
     return List.copyOf(byAddress.values());
   }
 
-  private static boolean isOf(Optional<Known> known, Departure departure) {
+  private static boolean isDeparture(Optional<KnownDeparture> known, Departure departure) {
     return known.isPresent() && known.get().departed().departure() == departure;
   }
 
   /** The departure that stands against an entry; empty if there is none, or the start is back. */
-  private Optional<Known> standing(long nowMillis, Listed each) {
+  private Optional<KnownDeparture> findEffectiveDeparture(long nowMillis, Listed each) {
     return departed
-        .of(each.entry().start())
-        .filter(known -> !isWrittenSince(each, known.departed().at()))
-        .filter(known -> !isRenewed(nowMillis, known));
+        .find(each.entry().start())
+        .filter(known -> !isWrittenAfter(each, known.departed().at()))
+        .filter(known -> !isPresumedRenewed(nowMillis, known));
   }
 
   /** Whether a back end has written its entry itself after it was taken as departed. */
-  private boolean isWrittenSince(Listed each, StorePosition departedAt) {
-    long since = departedAt.era() == at.era() ? departedAt.revision() : copiedRevision;
+  private boolean isWrittenAfter(Listed each, StorePosition departedAt) {
+    long since = departedAt.era() == position.era() ? departedAt.revision() : restoredRevision;
     return each.revision() > since;
   }
 
   /** Whether an entry, of a start taken as ended, has stood for longer than nobody renews it. */
-  private boolean isRenewed(long nowMillis, Known known) {
-    return known.departed().departure() == Departure.ENDED && nowMillis >= renewedMillis(known);
+  private boolean isPresumedRenewed(long nowMillis, KnownDeparture known) {
+    return known.departed().departure() == Departure.ENDED
+        && nowMillis >= presumedRenewedAtMillis(known);
   }
 
-  private long renewedMillis(Known known) {
-    return Math.max(known.sinceMillis(), eraSinceMillis) + UNRENEWED_MILLIS;
+  private long presumedRenewedAtMillis(KnownDeparture known) {
+    return Math.max(known.sinceMillis(), eraStartMillis) + UNRENEWED_MILLIS;
   }
 
-  private void noteDepartures(long nowMillis, List<Listed> listed, List<Listed> alive) {
-    Set<BackendStart> now = new HashSet<>();
-    alive.forEach(each -> now.add(each.entry().start()));
-    for (BackendStart before : shownAlive) {
-      if (!now.contains(before)) {
-        departed.add(nowMillis, new Departed(before, Departure.ENDED, at));
+  private void recordDepartures(long nowMillis, List<Listed> listed, List<Listed> alive) {
+    Set<BackendStart> aliveNow = new HashSet<>();
+    alive.forEach(each -> aliveNow.add(each.entry().start()));
+    for (BackendStart before : previouslyAlive) {
+      if (!aliveNow.contains(before)) {
+        departed.add(nowMillis, new Departed(before, Departure.ENDED, position));
       }
     }
-    shownAlive = now;
+    previouslyAlive = aliveNow;
     for (Listed each : listed) {
       if (each.entry().state() == BackendEntry.State.DRAINING) {
-        StorePosition writtenAt = new StorePosition(at.era(), each.revision());
+        StorePosition writtenAt = new StorePosition(position.era(), each.revision());
         departed.add(nowMillis, new Departed(each.entry().start(), Departure.LEAVING, writtenAt));
       }
     }
   }
 
   /** What is believed of an entry that the store shows; empty if its start has ended. */
-  private Optional<BackendEntry> believe(
-      long nowMillis, Listed each, Map<BackendEntry, BackendEntry> stillLeaving) {
+  private Optional<BackendEntry> resolve(
+      long nowMillis, Listed each, Map<BackendEntry, BackendEntry> stillDraining) {
     BackendEntry entry = each.entry();
-    Optional<Known> standing = standing(nowMillis, each);
-    if (standing.isEmpty()) {
-      departed.returned(entry.start());
+    Optional<KnownDeparture> departure = findEffectiveDeparture(nowMillis, each);
+    if (departure.isEmpty()) {
+      departed.remove(entry.start());
       return Optional.of(entry);
     }
-    if (isOf(standing, Departure.ENDED)) {
-      contradicted.add(standing.get().departed());
-      dueMillis = Math.min(dueMillis, renewedMillis(standing.get()));
+    if (isDeparture(departure, Departure.ENDED)) {
+      contradictedDepartures.add(departure.get().departed());
+      nextUpdateMillis = Math.min(nextUpdateMillis, presumedRenewedAtMillis(departure.get()));
       return Optional.empty();
     }
     if (entry.state() == BackendEntry.State.DRAINING) {
       return Optional.of(entry);
     }
-    contradicted.add(standing.get().departed());
-    BackendEntry believedEntry = leaving.getOrDefault(entry, entry.leaving());
-    stillLeaving.put(entry, believedEntry);
-    return Optional.of(believedEntry);
+    contradictedDepartures.add(departure.get().departed());
+    BackendEntry drainingEntry = drainingByEntry.getOrDefault(entry, entry.leaving());
+    stillDraining.put(entry, drainingEntry);
+    return Optional.of(drainingEntry);
   }
 
   /**
    * Adds the entries that are kept. Those that the store shows again are kept no longer; nor are
    * those whose address is another start's now, which have ended.
    */
-  private void addKept(long nowMillis, List<Listed> listed, List<BackendEntry> entries) {
-    Set<PeerAddress> taken = new HashSet<>();
-    entries.forEach(entry -> taken.add(entry.address()));
-    Set<String> ids = new HashSet<>();
-    listed.forEach(each -> ids.add(each.entry().id()));
-    List<BackendEntry> stillKept = new ArrayList<>();
-    for (BackendEntry entry : kept) {
-      boolean isShown = ids.contains(entry.id());
-      if (!isShown && taken.contains(entry.address())) {
-        departed.add(nowMillis, new Departed(entry.start(), Departure.ENDED, at));
-      } else if (!isShown && !isOf(departed.of(entry.start()), Departure.ENDED)) {
-        stillKept.add(entry);
+  private void addRetained(long nowMillis, List<Listed> listed, List<BackendEntry> entries) {
+    Set<PeerAddress> usedAddresses = new HashSet<>();
+    entries.forEach(entry -> usedAddresses.add(entry.address()));
+    Set<String> listedIds = new HashSet<>();
+    listed.forEach(each -> listedIds.add(each.entry().id()));
+    List<BackendEntry> stillRetained = new ArrayList<>();
+    for (BackendEntry entry : retainedEntries) {
+      boolean isListed = listedIds.contains(entry.id());
+      if (!isListed && usedAddresses.contains(entry.address())) {
+        departed.add(nowMillis, new Departed(entry.start(), Departure.ENDED, position));
+      } else if (!isListed && !isDeparture(departed.find(entry.start()), Departure.ENDED)) {
+        stillRetained.add(entry);
       }
     }
-    kept = stillKept;
-    entries.addAll(kept);
+    retainedEntries = stillRetained;
+    entries.addAll(retainedEntries);
   }
 }
--- a/umberpath-control/src/main/java/io/umberpath/control/store/DepartedStarts.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/DepartedStarts.java
@@ -32,7 +32,7 @@
    *
    * @param sinceMillis since when, on this node's clock
    */
-  public record Known(Departed departed, long sinceMillis) {}
+  public record KnownDeparture(Departed departed, long sinceMillis) {}
 
   /**
    * Starts remembered, the latest to depart: a copy is some seconds old, and a release of a large
@@ -40,12 +40,12 @@
    */
   public static final int MAX_STARTS = 1_024;
 
-  private final Map<BackendStart, Known> byStart =
+  private final Map<BackendStart, KnownDeparture> byStart =
       new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<BackendStart, Known> eldest) {
+        protected boolean removeEldestEntry(Map.Entry<BackendStart, KnownDeparture> eldest) {
           return size() > MAX_STARTS;
         }
       };
@@ -56,22 +56,22 @@
    * @return whether that is news
    */
   public boolean add(long nowMillis, Departed departed) {
-    Known before = byStart.get(departed.start());
+    KnownDeparture before = byStart.get(departed.start());
     if (before != null && before.departed().departure().compareTo(departed.departure()) >= 0) {
       return false;
     }
     byStart.remove(departed.start());
-    byStart.put(departed.start(), new Known(departed, nowMillis));
+    byStart.put(departed.start(), new KnownDeparture(departed, nowMillis));
     return true;
   }
 
   /** A start that had departed is there again: its back end has written so since. */
-  public void returned(BackendStart start) {
+  public void remove(BackendStart start) {
     byStart.remove(start);
   }
 
   /** What is known of a start's departure; empty if it has not departed. */
-  public Optional<Known> of(BackendStart start) {
+  public Optional<KnownDeparture> find(BackendStart start) {
     return Optional.ofNullable(byStart.get(start));
   }
 
--- a/umberpath-control/src/main/java/io/umberpath/control/store/ItemPatch.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/ItemPatch.java
@@ -12,10 +12,10 @@
  */
 public record ItemPatch(String key, long fromRevision, long revision, TextPatch patch) {
   /** The later item; empty if the patch was not made for the item that is held. */
-  public Optional<StoreItem> applyTo(StoreItem held) {
-    if (held == null || held.revision() != fromRevision || !held.key().equals(key)) {
+  public Optional<StoreItem> applyTo(StoreItem current) {
+    if (current == null || current.revision() != fromRevision || !current.key().equals(key)) {
       return Optional.empty();
     }
-    return patch.applyTo(held.value()).map(value -> new StoreItem(key, value, revision));
+    return patch.applyTo(current.value()).map(value -> new StoreItem(key, value, revision));
   }
 }
--- a/umberpath-control/src/main/java/io/umberpath/control/store/PatchHistory.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/PatchHistory.java
@@ -28,13 +28,13 @@
   }
 
   /** Remembers how an item was replaced, if that is shorter than the item. */
-  void replaced(StoreItem held, StoreItem item) {
-    if (!isLarge(held) || !isLarge(item) || held.revision() >= item.revision()) {
+  void recordReplacement(StoreItem previous, StoreItem current) {
+    if (!isLarge(previous) || !isLarge(current) || previous.revision() >= current.revision()) {
       return;
     }
-    TextPatch patch = TextPatch.between(held.value(), item.value());
+    TextPatch patch = TextPatch.between(previous.value(), current.value());
     if (patch.insertedLength() < MAX_CHARACTERS / 2) {
-      remember(new ItemPatch(item.key(), held.revision(), item.revision(), patch));
+      add(new ItemPatch(current.key(), previous.revision(), current.revision(), patch));
     }
   }
 
@@ -45,7 +45,7 @@
   }
 
   /** Remembers a patch that another node made. */
-  void remember(ItemPatch patch) {
+  void add(ItemPatch patch) {
     patches.addLast(patch);
     characters += patch.patch().insertedLength();
     while (patches.size() > MAX_PATCHES || characters > MAX_CHARACTERS) {
@@ -54,7 +54,7 @@
   }
 
   /** The patches that lead from one revision of an item to another; empty if some are missing. */
-  Optional<List<ItemPatch>> between(String key, long fromRevision, long revision) {
+  Optional<List<ItemPatch>> findChain(String key, long fromRevision, long revision) {
     List<ItemPatch> chain = new ArrayList<>();
     long reached = fromRevision;
     for (ItemPatch patch : patches) {
--- a/umberpath-control/src/main/java/io/umberpath/control/store/PollPauses.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/PollPauses.java
@@ -15,9 +15,9 @@
 
   /** The pause that begins now, milliseconds. */
   long next(long nowMillis, StoreWatcherSettings settings) {
-    long back = (nowMillis - refilledMillis) / settings.fastPollRefillMillis();
-    fastPolls = (int) Math.min(settings.fastPolls(), fastPolls + back);
-    refilledMillis += back * settings.fastPollRefillMillis();
+    long refilled = (nowMillis - refilledMillis) / settings.fastPollRefillMillis();
+    fastPolls = (int) Math.min(settings.fastPolls(), fastPolls + refilled);
+    refilledMillis += refilled * settings.fastPollRefillMillis();
     if (fastPolls == 0) {
       return settings.pauseMillis();
     }
--- a/umberpath-control/src/main/java/io/umberpath/control/store/ReaderElection.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/ReaderElection.java
@@ -11,7 +11,7 @@
  */
 public final class ReaderElection {
   /** Most nodes of a kind that a log line names. */
-  private static final int NAMED_NODES = 4;
+  private static final int MAX_LOGGED_NODES = 4;
 
   /**
    * Outcome, and what it was decided from.
@@ -29,24 +29,25 @@
     }
 
     private static List<String> first(List<String> nodes) {
-      return nodes.subList(0, Math.min(NAMED_NODES, nodes.size()));
+      return nodes.subList(0, Math.min(MAX_LOGGED_NODES, nodes.size()));
     }
   }
 
   private final String self;
-  private final long roundMillis;
-  private boolean reads;
-  private long lackingSinceMillis = -1;
+  private final long takeoverStepMillis;
+  private boolean isReading;
+  private long missingSinceMillis = -1;
 
   /**
    * Creates an election in which this node does not read yet.
    *
    * @param self this node
-   * @param roundMillis time in which one node after another takes over, so that not all do at once
+   * @param takeoverStepMillis time in which one node after another takes over, so that not all do
+   *     at once
    */
-  public ReaderElection(String self, long roundMillis) {
+  public ReaderElection(String self, long takeoverStepMillis) {
     this.self = self;
-    this.roundMillis = roundMillis;
+    this.takeoverStepMillis = takeoverStepMillis;
   }
 
   /**
@@ -56,7 +57,7 @@
    * @param calling those of them that say that they call the store
    * @param refused nodes that the store did not answer lately, this one included
    * @param zones zones that have nodes, the own one included
-   * @param noticeMillis within what time a node that calls has been heard to say so
+   * @param detectionMillis within what time a node that calls has been heard to say so
    */
   public Decision decide(
       long nowMillis,
@@ -64,32 +65,32 @@
       Set<String> calling,
       Set<String> refused,
       int zones,
-      long noticeMillis) {
-    List<String> ahead = StoreReaders.ahead(self, others, refused);
-    int due = StoreReaders.readersPerZone(zones);
-    List<String> callers = ahead.stream().filter(calling::contains).toList();
-    int surplus = ahead.size() - due;
+      long detectionMillis) {
+    List<String> rankedBefore = StoreReaders.rankedBefore(self, others, refused);
+    int required = StoreReaders.readersPerZone(zones);
+    List<String> callingAhead = rankedBefore.stream().filter(calling::contains).toList();
+    int surplus = rankedBefore.size() - required;
     if (surplus < 0) {
-      settle(true);
-    } else if (callers.size() >= due) {
-      settle(false);
-    } else if (!reads) {
-      takeOverIfDue(nowMillis, noticeMillis + surplus * roundMillis);
+      setReader(true);
+    } else if (callingAhead.size() >= required) {
+      setReader(false);
+    } else if (!isReading) {
+      takeOverIfDue(nowMillis, detectionMillis + surplus * takeoverStepMillis);
     }
-    return new Decision(reads, ahead, callers, due);
+    return new Decision(isReading, rankedBefore, callingAhead, required);
   }
 
-  private void settle(boolean isReader) {
-    reads = isReader;
-    lackingSinceMillis = -1;
+  private void setReader(boolean isReader) {
+    isReading = isReader;
+    missingSinceMillis = -1;
   }
 
-  private void takeOverIfDue(long nowMillis, long afterMillis) {
-    if (lackingSinceMillis < 0) {
-      lackingSinceMillis = nowMillis;
+  private void takeOverIfDue(long nowMillis, long delayMillis) {
+    if (missingSinceMillis < 0) {
+      missingSinceMillis = nowMillis;
     }
-    if (nowMillis >= lackingSinceMillis + afterMillis) {
-      settle(true);
+    if (nowMillis >= missingSinceMillis + delayMillis) {
+      setReader(true);
     }
   }
 }
--- a/umberpath-control/src/main/java/io/umberpath/control/store/StoreReaders.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/StoreReaders.java
@@ -30,10 +30,10 @@
    * @param refused nodes that the store did not answer lately: they read only if too few others are
    *     left
    */
-  static List<String> ahead(String self, Collection<String> others, Set<String> refused) {
-    Comparator<String> rank =
+  static List<String> rankedBefore(String self, Collection<String> others, Set<String> refused) {
+    Comparator<String> order =
         Comparator.<String, Boolean>comparing(refused::contains).thenComparing(rank());
-    return others.stream().filter(other -> rank.compare(other, self) < 0).sorted(rank).toList();
+    return others.stream().filter(other -> order.compare(other, self) < 0).sorted(order).toList();
   }
 
   /** The order in which nodes are due to call the store, first ones first. */
--- a/umberpath-control/src/main/java/io/umberpath/control/store/StoreWatcher.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/StoreWatcher.java
@@ -31,30 +31,30 @@
   private StoreWatcherSettings settings;
   private final DoubleSupplier random;
   private Map<String, StoreItem> items = new HashMap<>();
-  private Map<String, StoreItem> pages = new HashMap<>();
-  private final PatchHistory history = new PatchHistory();
+  private Map<String, StoreItem> pendingItems = new HashMap<>();
+  private final PatchHistory patchHistory = new PatchHistory();
   private final ArrayDeque<StoreEvent.Gone> removals = new ArrayDeque<>();
 
   /** Revision of the present era after which every removal is remembered. */
-  private long removalsSince = -1;
+  private long removalsKnownSince = -1;
 
   private String lastKey;
 
   /** Position of the first page of the read that is under way; NOTHING before it. */
-  private StorePosition firstPageAt = StorePosition.NOTHING;
+  private StorePosition firstPagePosition = StorePosition.NOTHING;
 
-  private StorePosition at = StorePosition.NOTHING;
+  private StorePosition position = StorePosition.NOTHING;
 
   /** Era of the position that the last watch began from. */
   private long watchedEra = StorePosition.NO_ERA;
 
   /** Refused watches in a row with no answered one between them. */
-  private int refusedWatches;
+  private int consecutiveRejectedWatches;
 
-  private boolean reading = true;
+  private boolean isReading = true;
   private int failures;
-  private long notBeforeMillis;
-  private long heardAtMillis = -1;
+  private long nextCallMillis;
+  private long lastResponseMillis = -1;
   private final PollPauses pauses;
 
   /**
@@ -77,17 +77,17 @@
 
   /** What to do now. */
   public Step next(long nowMillis) {
-    if (nowMillis < notBeforeMillis) {
-      return new Step.Wait(notBeforeMillis);
+    if (nowMillis < nextCallMillis) {
+      return new Step.Wait(nextCallMillis);
     }
-    if (reading) {
+    if (isReading) {
       return new Step.Call(new StoreCall.Read(prefix, Optional.ofNullable(lastKey)));
     }
     // Drawn anew each time, so that the nodes do not all find out at once, and late, that it hangs.
-    double drawn = 1 + settings.waitSpread() * (2 * random.getAsDouble() - 1);
-    long wait = Math.round(settings.waitMillis() * drawn);
-    watchedEra = at.era();
-    return new Step.Call(new StoreCall.Watch(prefix, at.revision(), wait));
+    double jitter = 1 + settings.waitJitter() * (2 * random.getAsDouble() - 1);
+    long wait = Math.round(settings.waitMillis() * jitter);
+    watchedEra = position.era();
+    return new Step.Call(new StoreCall.Watch(prefix, position.revision(), wait));
   }
 
   /**
@@ -95,25 +95,25 @@
    *
    * @return whether the items have changed
    */
-  public boolean answered(long nowMillis, StoreAnswer answer) {
-    if (isOutdated(answer)) {
+  public boolean answered(long nowMillis, StoreAnswer response) {
+    if (isOutdated(response)) {
       backOff(nowMillis);
       return false;
     }
-    if (answer instanceof StoreAnswer.Page page) {
-      heard(nowMillis);
-      return takePage(page);
+    if (response instanceof StoreAnswer.Page page) {
+      recordResponse(nowMillis);
+      return applyPage(page);
     }
-    if (answer instanceof StoreAnswer.Events events) {
-      heard(nowMillis);
-      return takeEvents(nowMillis, events);
+    if (response instanceof StoreAnswer.Events events) {
+      recordResponse(nowMillis);
+      return applyEvents(nowMillis, events);
     }
-    if (answer instanceof StoreAnswer.HistoryGone) {
-      historyGone(nowMillis);
+    if (response instanceof StoreAnswer.HistoryGone) {
+      onHistoryExpired(nowMillis);
       return false;
     }
-    if (answer instanceof StoreAnswer.Unavailable && reading) {
-      beginReading();
+    if (response instanceof StoreAnswer.Unavailable && isReading) {
+      startRead();
     }
     backOff(nowMillis);
     return false;
@@ -123,105 +123,106 @@
    * Whether an answer is of an era before the one that is known: it says nothing of the store. A
    * refused watch that names no era is taken all the same: reading anew is never wrong.
    */
-  public boolean isOutdated(StoreAnswer answer) {
-    OptionalLong era = answer.era();
+  public boolean isOutdated(StoreAnswer response) {
+    OptionalLong era = response.era();
     boolean namesNone = era.equals(OptionalLong.of(StorePosition.NO_ERA));
-    if (namesNone && answer instanceof StoreAnswer.HistoryGone) {
+    if (namesNone && response instanceof StoreAnswer.HistoryGone) {
       return false;
     }
-    return era.isPresent() && era.getAsLong() < at.era();
+    return era.isPresent() && era.getAsLong() < position.era();
   }
 
   /**
    * Reads anew; a store that refuses the position of a whole read, too, is not read in a circle.
    */
-  private void historyGone(long nowMillis) {
-    heardAtMillis = nowMillis;
-    beginReading();
-    if (refusedWatches > 0) {
-      failures = refusedWatches;
+  private void onHistoryExpired(long nowMillis) {
+    lastResponseMillis = nowMillis;
+    startRead();
+    if (consecutiveRejectedWatches > 0) {
+      failures = consecutiveRejectedWatches;
       backOff(nowMillis);
     }
-    refusedWatches++;
+    consecutiveRejectedWatches++;
   }
 
-  private void heard(long nowMillis) {
+  private void recordResponse(long nowMillis) {
     failures = 0;
-    heardAtMillis = nowMillis;
+    lastResponseMillis = nowMillis;
   }
 
-  private void beginReading() {
-    reading = true;
-    pages = new HashMap<>();
+  private void startRead() {
+    isReading = true;
+    pendingItems = new HashMap<>();
     lastKey = null;
-    firstPageAt = StorePosition.NOTHING;
+    firstPagePosition = StorePosition.NOTHING;
   }
 
   private void backOff(long nowMillis) {
-    long pause = settings.minBackoffMillis() << Math.min(failures, 10);
+    long backoff = settings.minBackoffMillis() << Math.min(failures, 10);
     failures++;
-    long bounded = Math.min(pause, settings.maxBackoffMillis());
-    notBeforeMillis = nowMillis + Math.round(bounded * (0.5 + 0.5 * random.getAsDouble()));
+    long bounded = Math.min(backoff, settings.maxBackoffMillis());
+    nextCallMillis = nowMillis + Math.round(bounded * (0.5 + 0.5 * random.getAsDouble()));
   }
 
-  private boolean takePage(StoreAnswer.Page page) {
-    if (!reading) {
+  private boolean applyPage(StoreAnswer.Page page) {
+    if (!isReading) {
       return false;
     }
-    if (firstPageAt.isKnown() && firstPageAt.era() != page.at().era()) {
+    if (firstPagePosition.isKnown() && firstPagePosition.era() != page.at().era()) {
       // The store came back from a copy between two pages: they are not of one state.
-      beginReading();
+      startRead();
       return false;
     }
-    if (!firstPageAt.isKnown()) {
-      firstPageAt = page.at();
+    if (!firstPagePosition.isKnown()) {
+      firstPagePosition = page.at();
     }
-    page.items().forEach(item -> pages.put(item.key(), item));
+    page.items().forEach(item -> pendingItems.put(item.key(), item));
     if (page.more() && !page.items().isEmpty()) {
       lastKey = page.items().get(page.items().size() - 1).key();
       return false;
     }
-    reading = false;
-    Map<String, StoreItem> read = pages;
-    StorePosition readAt = firstPageAt;
-    pages = new HashMap<>();
+    isReading = false;
+    Map<String, StoreItem> read = pendingItems;
+    StorePosition readPosition = firstPagePosition;
+    pendingItems = new HashMap<>();
     lastKey = null;
-    return replace(read, readAt);
+    return replaceState(read, readPosition);
   }
 
   /** Takes a whole state unless a newer one is held; whether something changed. */
-  private boolean replace(Map<String, StoreItem> newItems, StorePosition newAt) {
-    if (at.isAfter(newAt)) {
+  private boolean replaceState(Map<String, StoreItem> newItems, StorePosition newPosition) {
+    if (position.isAfter(newPosition)) {
       return false;
     }
-    boolean changed = !at.isKnown() || at.era() != newAt.era() || !items.equals(newItems);
-    if (at.era() == newAt.era()) {
-      rememberPatches(newItems);
+    boolean changed =
+        !position.isKnown() || position.era() != newPosition.era() || !items.equals(newItems);
+    if (position.era() == newPosition.era()) {
+      recordPatches(newItems);
     } else {
       // Patches name revisions, which say nothing in another era.
-      history.clear();
+      patchHistory.clear();
     }
     items = newItems;
-    at = newAt;
+    position = newPosition;
     removals.clear();
-    removalsSince = newAt.revision();
+    removalsKnownSince = newPosition.revision();
     return changed;
   }
 
-  private void rememberPatches(Map<String, StoreItem> newItems) {
+  private void recordPatches(Map<String, StoreItem> newItems) {
     for (StoreItem item : newItems.values()) {
-      StoreItem held = items.get(item.key());
-      if (held != null) {
-        history.replaced(held, item);
+      StoreItem current = items.get(item.key());
+      if (current != null) {
+        patchHistory.recordReplacement(current, item);
       }
     }
   }
 
-  private boolean takeEvents(long nowMillis, StoreAnswer.Events events) {
-    refusedWatches = 0;
-    if (events.at().era() > at.era()) {
+  private boolean applyEvents(long nowMillis, StoreAnswer.Events events) {
+    consecutiveRejectedWatches = 0;
+    if (events.at().era() > position.era()) {
       // They follow a revision of an era that is over, under which the store now has other changes.
-      beginReading();
+      startRead();
       return false;
     }
     if (events.at().era() != watchedEra) {
@@ -231,35 +232,35 @@
     boolean changed = false;
     for (StoreEvent event : events.events()) {
       // What was adopted meanwhile already holds older changes.
-      changed |= event.revision() > at.revision() && apply(event);
+      changed |= event.revision() > position.revision() && apply(event);
     }
-    at = StorePosition.later(at, events.at());
+    position = StorePosition.later(position, events.at());
     if (!events.events().isEmpty()) {
-      notBeforeMillis = nowMillis + pauses.next(nowMillis, settings);
+      nextCallMillis = nowMillis + pauses.next(nowMillis, settings);
     }
     return changed;
   }
 
   private boolean apply(StoreEvent event) {
-    StoreItem held = items.get(event.key());
-    if (held != null && held.revision() >= event.revision()) {
+    StoreItem current = items.get(event.key());
+    if (current != null && current.revision() >= event.revision()) {
       return false;
     }
     if (event instanceof StoreEvent.Put put) {
-      if (held != null) {
-        history.replaced(held, put.item());
+      if (current != null) {
+        patchHistory.recordReplacement(current, put.item());
       }
       items.put(event.key(), put.item());
       return true;
     }
-    rememberRemoval((StoreEvent.Gone) event);
+    recordRemoval((StoreEvent.Gone) event);
     return items.remove(event.key()) != null;
   }
 
-  private void rememberRemoval(StoreEvent.Gone gone) {
-    removals.addLast(gone);
+  private void recordRemoval(StoreEvent.Gone delete) {
+    removals.addLast(delete);
     if (removals.size() > MAX_REMOVALS) {
-      removalsSince = removals.removeFirst().revision();
+      removalsKnownSince = removals.removeFirst().revision();
     }
   }
 
@@ -275,95 +276,96 @@
 
   /** Takes changes that another node holds, whole or not at all, if they lead further. */
   public Adoption adopt(StoreChanges changes) {
-    if (!changes.at().isAfter(at) || !leadsOnFrom(at, changes)) {
+    if (!changes.at().isAfter(position) || !isApplicableTo(position, changes)) {
       return Adoption.UNCHANGED;
     }
-    Optional<Map<String, StoreItem>> patched = patched(changes.patches());
+    Optional<Map<String, StoreItem>> patched = applyPatches(changes.patches());
     if (patched.isEmpty()) {
       return Adoption.UNFIT;
     }
-    boolean changed = changes.isWhole() ? adoptWhole(changes) : adoptSteps(changes, patched.get());
-    if (reading && !firstPageAt.isKnown()) {
-      reading = false;
+    boolean changed =
+        changes.isWhole() ? adoptFullState(changes) : adoptChanges(changes, patched.get());
+    if (isReading && !firstPagePosition.isKnown()) {
+      isReading = false;
     }
     return changed ? Adoption.CHANGED : Adoption.UNCHANGED;
   }
 
-  private static boolean leadsOnFrom(StorePosition held, StoreChanges changes) {
+  private static boolean isApplicableTo(StorePosition held, StoreChanges changes) {
     return changes.isWhole()
         || (changes.after().era() == held.era() && !changes.after().isAfter(held));
   }
 
   /** The items that patches make of those held; empty if one does not fit. */
-  private Optional<Map<String, StoreItem>> patched(List<ItemPatch> patches) {
-    Map<String, StoreItem> made = new HashMap<>();
+  private Optional<Map<String, StoreItem>> applyPatches(List<ItemPatch> patches) {
+    Map<String, StoreItem> patched = new HashMap<>();
     for (ItemPatch patch : patches) {
-      StoreItem held = made.getOrDefault(patch.key(), items.get(patch.key()));
-      if (held != null && held.revision() >= patch.revision()) {
+      StoreItem current = patched.getOrDefault(patch.key(), items.get(patch.key()));
+      if (current != null && current.revision() >= patch.revision()) {
         continue;
       }
-      Optional<StoreItem> item = patch.applyTo(held);
+      Optional<StoreItem> item = patch.applyTo(current);
       if (item.isEmpty()) {
         return Optional.empty();
       }
-      made.put(patch.key(), item.get());
+      patched.put(patch.key(), item.get());
     }
-    return Optional.of(made);
+    return Optional.of(patched);
   }
 
-  private boolean adoptWhole(StoreChanges changes) {
+  private boolean adoptFullState(StoreChanges changes) {
     Map<String, StoreItem> adopted = new HashMap<>();
     changes.items().forEach(item -> adopted.put(item.key(), item));
-    return replace(adopted, changes.at());
+    return replaceState(adopted, changes.at());
   }
 
-  private boolean adoptSteps(StoreChanges changes, Map<String, StoreItem> patched) {
+  private boolean adoptChanges(StoreChanges changes, Map<String, StoreItem> patched) {
     boolean changed = !patched.isEmpty();
     for (ItemPatch patch : changes.patches()) {
-      StoreItem held = items.get(patch.key());
-      if (held != null && held.revision() < patch.revision()) {
-        history.remember(patch);
+      StoreItem current = items.get(patch.key());
+      if (current != null && current.revision() < patch.revision()) {
+        patchHistory.add(patch);
       }
     }
     items.putAll(patched);
-    for (StoreEvent.Gone gone : changes.gone()) {
-      changed |= apply(gone);
+    for (StoreEvent.Gone delete : changes.gone()) {
+      changed |= apply(delete);
     }
     for (StoreItem item : changes.items()) {
       changed |= apply(new StoreEvent.Put(item));
     }
-    at = changes.at();
+    position = changes.at();
     return changed;
   }
 
   /** What a node lacks; the whole state if it is further back than is remembered. */
   public StoreChanges changesSince(StateRequest request) {
-    if (request.after().isAfter(at)) {
-      return new StoreChanges(at, at, List.of(), List.of());
+    if (request.after().isAfter(position)) {
+      return new StoreChanges(position, position, List.of(), List.of());
     }
-    if (!at.isKnown() || request.after().era() != at.era()) {
-      return whole();
+    if (!position.isKnown() || request.after().era() != position.era()) {
+      return fullState();
     }
     long after = request.after().revision();
-    if (after < removalsSince) {
-      return whole();
+    if (after < removalsKnownSince) {
+      return fullState();
     }
     List<StoreItem> written = new ArrayList<>();
     List<ItemPatch> patches = new ArrayList<>();
     for (StoreItem item : items.values()) {
       if (item.revision() > after) {
-        history
-            .between(item.key(), request.largestRevision(), item.revision())
+        patchHistory
+            .findChain(item.key(), request.largestRevision(), item.revision())
             .ifPresentOrElse(patches::addAll, () -> written.add(item));
       }
     }
-    List<StoreEvent.Gone> gone =
+    List<StoreEvent.Gone> removed =
         removals.stream().filter(removal -> removal.revision() > after).toList();
-    return new StoreChanges(request.after(), at, written, gone, patches);
+    return new StoreChanges(request.after(), position, written, removed, patches);
   }
 
-  private StoreChanges whole() {
-    return new StoreChanges(StorePosition.NOTHING, at, items(), List.of());
+  private StoreChanges fullState() {
+    return new StoreChanges(StorePosition.NOTHING, position, items(), List.of());
   }
 
   /** What this node holds, for another one to carry on from. */
@@ -374,7 +376,7 @@
         largest = item;
       }
     }
-    return new StateRequest(at, largest == null ? StateRequest.NO_ITEM : largest.revision());
+    return new StateRequest(position, largest == null ? StateRequest.NO_ITEM : largest.revision());
   }
 
   /** The items by key order of no meaning; empty before the first whole read. */
@@ -384,11 +386,11 @@
 
   /** Position of the items; {@link StorePosition#NOTHING} before the first whole read. */
   public StorePosition at() {
-    return at;
+    return position;
   }
 
   /** When the store last answered a call, milliseconds; -1 if never. */
   public long heardAtMillis() {
-    return heardAtMillis;
+    return lastResponseMillis;
   }
 }
--- a/umberpath-control/src/main/java/io/umberpath/control/store/StoreWatcherSettings.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/StoreWatcherSettings.java
@@ -4,7 +4,7 @@
  * Timing of a watcher.
  *
  * @param waitMillis mean of how long a watch may wait for a change, milliseconds
- * @param waitSpread share by which a wait, drawn anew each time, may be shorter or longer than that
+ * @param waitJitter share by which a wait, drawn anew each time, may be shorter or longer than that
  * @param pauseMillis pause after changes were heard, so that quick successions come in one answer
  * @param fastPollPauseMillis the same while there are fast polls left
  * @param fastPolls pauses that may be quick after a quiet time; one comes back with each {@code
@@ -15,7 +15,7 @@
  */
 public record StoreWatcherSettings(
     long waitMillis,
-    double waitSpread,
+    double waitJitter,
     long pauseMillis,
     long fastPollPauseMillis,
     int fastPolls,
@@ -31,7 +31,7 @@
 
   /** Longest that a watch may wait, milliseconds. */
   public long longestWaitMillis() {
-    return Math.round(waitMillis * (1 + waitSpread));
+    return Math.round(waitMillis * (1 + waitJitter));
   }
 
   /** Timing that always pauses alike. */
--- a/umberpath-control/src/main/java/io/umberpath/control/store/TextPatch.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/TextPatch.java
@@ -30,7 +30,7 @@
    * Where texts are cut for the comparison: structured documents repeat whole objects, so that cuts
    * at their beginnings find the same pieces again wherever they have moved to.
    */
-  private static final char CUT = '{';
+  private static final char SEGMENT_START = '{';
 
   /** Copies the pieces. */
   public TextPatch {
@@ -38,48 +38,50 @@
   }
 
   /** The patch that makes the new text of the old one. */
-  public static TextPatch between(String old, String text) {
-    List<int[]> oldCuts = cuts(old);
+  public static TextPatch between(String oldText, String newText) {
+    List<int[]> oldSegments = segments(oldText);
     Map<String, Integer> firstByText = new HashMap<>();
-    for (int index = 0; index < oldCuts.size(); index++) {
-      firstByText.putIfAbsent(piece(old, oldCuts.get(index)), index);
+    for (int index = 0; index < oldSegments.size(); index++) {
+      firstByText.putIfAbsent(segmentText(oldText, oldSegments.get(index)), index);
     }
     PieceList pieces = new PieceList();
-    int next = 0;
-    for (int[] cut : cuts(text)) {
-      String piece = piece(text, cut);
-      boolean follows = next < oldCuts.size() && piece(old, oldCuts.get(next)).equals(piece);
-      Integer found = follows ? Integer.valueOf(next) : firstByText.get(piece);
+    int nextIndex = 0;
+    for (int[] segment : segments(newText)) {
+      String piece = segmentText(newText, segment);
+      boolean follows =
+          nextIndex < oldSegments.size()
+              && segmentText(oldText, oldSegments.get(nextIndex)).equals(piece);
+      Integer found = follows ? Integer.valueOf(nextIndex) : firstByText.get(piece);
       if (found == null) {
         pieces.insert(piece);
       } else {
-        pieces.copy(oldCuts.get(found)[0], piece.length());
-        next = found + 1;
+        pieces.copy(oldSegments.get(found)[0], piece.length());
+        nextIndex = found + 1;
       }
     }
-    return new TextPatch(pieces.all(), text.length(), checksumOf(text));
+    return new TextPatch(pieces.all(), newText.length(), checksumOf(newText));
   }
 
   /** The new text; empty if the old one is not that which the patch was made for. */
-  public Optional<String> applyTo(String old) {
+  public Optional<String> applyTo(String oldText) {
     StringBuilder text = new StringBuilder(length);
     for (Piece piece : pieces) {
       if (piece instanceof Piece.Insert insert) {
         text.append(insert.text());
       } else if (piece instanceof Piece.Copy copy) {
         int end = copy.from() + copy.length();
-        if (copy.from() < 0 || copy.length() < 0 || end < 0 || end > old.length()) {
+        if (copy.from() < 0 || copy.length() < 0 || end < 0 || end > oldText.length()) {
           return Optional.empty();
         }
-        text.append(old, copy.from(), end);
+        text.append(oldText, copy.from(), end);
       }
       if (text.length() > length) {
         return Optional.empty();
       }
     }
-    String made = text.toString();
-    boolean fits = made.length() == length && checksumOf(made) == checksum;
-    return fits ? Optional.of(made) : Optional.empty();
+    String result = text.toString();
+    boolean isMatch = result.length() == length && checksumOf(result) == checksum;
+    return isMatch ? Optional.of(result) : Optional.empty();
   }
 
   /** Characters that the patch itself carries. */
@@ -98,20 +100,20 @@
   }
 
   /** Ranges from one cut to the next: begin and end. */
-  private static List<int[]> cuts(String text) {
-    List<int[]> cuts = new ArrayList<>();
+  private static List<int[]> segments(String text) {
+    List<int[]> segments = new ArrayList<>();
     int begin = 0;
     while (begin < text.length()) {
-      int end = text.indexOf(CUT, begin + 1);
+      int end = text.indexOf(SEGMENT_START, begin + 1);
       end = end < 0 ? text.length() : end;
-      cuts.add(new int[] {begin, end});
+      segments.add(new int[] {begin, end});
       begin = end;
     }
-    return cuts;
+    return segments;
   }
 
-  private static String piece(String text, int[] cut) {
-    return text.substring(cut[0], cut[1]);
+  private static String segmentText(String text, int[] segment) {
+    return text.substring(segment[0], segment[1]);
   }
 
   /** Pieces, of which those that follow on each other are one. */
--- a/umberpath-control/src/test/java/io/umberpath/control/store/BackendListingTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/store/BackendListingTest.java
@@ -31,8 +31,8 @@
   }
 
   /** Ids of the back ends that take new work, in order. */
-  private List<String> ready(long now, long era, long revision, Listed... listed) {
-    return ready(believed(listing, now, era, revision, Set.of(), listed));
+  private List<String> ready(long nowMillis, long era, long revision, Listed... listed) {
+    return ready(update(listing, nowMillis, era, revision, Set.of(), listed));
   }
 
   private static List<String> ready(Believed believed) {
@@ -43,19 +43,19 @@
         .toList();
   }
 
-  private static Believed believed(
+  private static Believed update(
       BackendListing listing,
-      long now,
+      long nowMillis,
       long era,
       long revision,
       Set<String> zones,
       Listed... listed) {
     Shown shown = new Shown(new StorePosition(era, revision), List.of(listed), zones);
-    return listing.update(now, shown, service -> true);
+    return listing.update(nowMillis, shown, service -> true);
   }
 
   @Test
-  void aStartThatLeavesDoesSoWhateverACopySays() {
+  void drainingBackendIsNotReadyAgainInAnOlderCopy() {
     ready(0, 1, 10, ready("a", 80, 3), ready("b", 81, 4));
     assertThat(ready(100, 1, 12, draining("a", 80, 12), ready("b", 81, 4))).containsExactly("b");
 
@@ -66,7 +66,7 @@
 
   /** Revisions of the newer era pass that of the leaving: they are of another order. */
   @Test
-  void aStartThatLeavesIsReadyAgainOnlyOnceItHasWrittenSoAfterTheReturn() {
+  void drainingBackendIsReadyAgainOnlyAfterItWritesInTheNewEra() {
     ready(0, 1, 10, ready("a", 80, 3));
     ready(100, 1, 12, draining("a", 80, 12));
 
@@ -76,7 +76,7 @@
   }
 
   @Test
-  void aStartWhoseEntryHasGoneIsNotListedAgainByACopyUnlessItsEntryIsRenewed() {
+  void endedBackendStaysUnlistedUntilItsEntryIsRenewed() {
     ready(0, 1, 10, ready("a", 80, 3), ready("b", 81, 4));
     ready(100, 1, 12, ready("b", 81, 4));
 
@@ -93,10 +93,10 @@
   }
 
   @Test
-  void whatACopyDoesNotHaveYetIsKeptUntilItMustHaveBeenWrittenAgain() {
-    believed(listing, 0, 1, 10, Set.of("z"), ready("a", 80, 3), ready("new", 81, 9));
+  void entriesMissingFromTheCopyAreRetainedForALimitedTime() {
+    update(listing, 0, 1, 10, Set.of("z"), ready("a", 80, 3), ready("new", 81, 9));
 
-    Believed restored = believed(listing, 200, 2, 8, Set.of(), ready("a", 80, 3));
+    Believed restored = update(listing, 200, 2, 8, Set.of(), ready("a", 80, 3));
     assertThat(ready(restored)).containsExactly("a", "new");
     assertThat(restored.evacuatedZones()).containsExactly("z");
     assertThat(listing.keptEntries()).isEqualTo(1);
@@ -108,7 +108,7 @@
   }
 
   @Test
-  void whatIsKeptEndsWithItsEntryThatIsWrittenAgainAndGoes() {
+  void retainedEntryEndsWhenItIsRewrittenAndRemoved() {
     ready(0, 1, 10, ready("new", 81, 9));
     ready(200, 2, 8);
     ready(300, 2, 9, ready("new", 81, 9));
@@ -118,7 +118,7 @@
 
   /** The copy shows the start before at the address, which has ended since. */
   @Test
-  void anAddressThatIsUsedAgainIsTheLaterStarts() {
+  void reusedAddressBelongsToTheLatestBackend() {
     ready(0, 1, 10, ready("old", 80, 3));
     ready(100, 1, 12, ready("old", 80, 3), ready("new", 80, 12));
 
@@ -129,7 +129,7 @@
 
   /** The start before must not come back once the later one has gone. */
   @Test
-  void whatIsKeptEndsWhenAnotherStartHasItsAddress() {
+  void retainedEntryEndsWhenItsAddressIsReused() {
     ready(0, 1, 10, ready("old", 80, 3));
     assertThat(ready(200, 2, 2)).containsExactly("old");
     assertThat(ready(300, 2, 3, ready("new", 80, 3))).containsExactly("new");
@@ -139,7 +139,7 @@
 
   /** Entries lapse while the store is away, and are written again under the same start. */
   @Test
-  void aLapsedEntryThatIsWrittenAgainIsListedAtOnce() {
+  void rewrittenExpiredEntryIsListedImmediately() {
     ready(0, 1, 10, ready("a", 80, 3));
     ready(100, 1, 12);
 
@@ -147,22 +147,22 @@
   }
 
   @Test
-  void aNodeThatReadsTheCopyAloneIsToldWhoHasDeparted() {
+  void departuresReachANodeThatReadsOnlyTheCopy() {
     ready(0, 1, 10, ready("a", 80, 3), ready("b", 81, 4), ready("c", 82, 5));
     ready(100, 1, 12, draining("a", 80, 11), ready("c", 82, 5));
     Listed[] copy = {ready("a", 80, 3), ready("b", 81, 4), ready("c", 82, 5)};
     ready(200, 2, 10, copy);
     BackendListing other = new BackendListing();
-    assertThat(ready(believed(other, 0, 2, 10, Set.of(), copy))).containsExactly("a", "b", "c");
+    assertThat(ready(update(other, 0, 2, 10, Set.of(), copy))).containsExactly("a", "b", "c");
 
     assertThat(other.learn(100, listing.told())).isTrue();
 
-    assertThat(ready(believed(other, 100, 2, 10, Set.of(), copy))).containsExactly("c");
+    assertThat(ready(update(other, 100, 2, 10, Set.of(), copy))).containsExactly("c");
     assertThat(other.learn(200, listing.told())).isFalse();
   }
 
   @Test
-  void twoReturnsInAQuickSuccessionKeepWhatNeitherCopyHas() {
+  void entriesAreRetainedAcrossTwoRestoresInQuickSuccession() {
     ready(0, 1, 10, ready("a", 80, 3), ready("new", 81, 9));
     ready(200, 2, 8, ready("a", 80, 3));
 
@@ -171,7 +171,7 @@
   }
 
   @Test
-  void departuresAreRememberedWithinABound() {
+  void rememberedDeparturesAreBounded() {
     int count = DepartedStarts.MAX_STARTS + 500;
     Listed[] all =
         Stream.iterate(0, index -> index + 1)
@@ -186,13 +186,13 @@
   }
 
   @Test
-  void theSameEntriesStayTheSameObjects() {
-    Listed left = draining("a", 80, 12);
+  void unchangedEntriesKeepObjectIdentity() {
+    Listed draining = draining("a", 80, 12);
     Listed copied = ready("a", 80, 3);
-    ready(0, 1, 12, left);
+    ready(0, 1, 12, draining);
 
-    Believed first = believed(listing, 100, 2, 10, Set.of(), copied);
-    Believed second = believed(listing, 200, 2, 11, Set.of(), copied);
+    Believed first = update(listing, 100, 2, 10, Set.of(), copied);
+    Believed second = update(listing, 200, 2, 11, Set.of(), copied);
 
     assertThat(second.entries().get(0)).isSameAs(first.entries().get(0));
   }
--- a/umberpath-control/src/test/java/io/umberpath/control/store/ReaderElectionTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/store/ReaderElectionTest.java
@@ -13,11 +13,11 @@
  * a node comes to be waited for in vain, another one reads within a bounded time.
  */
 final class ReaderElectionTest {
-  private static final long ROUND_MILLIS = 250;
-  private static final long NOTICE_MILLIS = 1_150;
+  private static final long TAKEOVER_STEP_MILLIS = 250;
+  private static final long DETECTION_MILLIS = 1_150;
   private static final int ZONES = 4;
   private static final List<String> RANKED =
-      StoreReaders.ahead("", List.of("10.0.0.3", "10.0.0.4", "10.0.0.5"), Set.of(""));
+      StoreReaders.rankedBefore("", List.of("10.0.0.3", "10.0.0.4", "10.0.0.5"), Set.of(""));
 
   private final Set<String> calling = new HashSet<>();
 
@@ -28,15 +28,15 @@
   private boolean reads(ReaderElection election, String self, long now, Set<String> refused) {
     List<String> others = new ArrayList<>(RANKED);
     others.remove(self);
-    return election.decide(now, others, calling, refused, ZONES, NOTICE_MILLIS).reads();
+    return election.decide(now, others, calling, refused, ZONES, DETECTION_MILLIS).reads();
   }
 
   private static ReaderElection electionOf(int rank) {
-    return new ReaderElection(RANKED.get(rank), ROUND_MILLIS);
+    return new ReaderElection(RANKED.get(rank), TAKEOVER_STEP_MILLIS);
   }
 
   @Test
-  void theFirstReadsAtOnceAndTheOthersLeaveItToOneThatCalls() {
+  void firstRankedNodeReadsImmediatelyAndOthersYieldToIt() {
     calling.add(RANKED.get(0));
 
     assertThat(reads(electionOf(0), RANKED.get(0), 0)).isTrue();
@@ -45,24 +45,24 @@
   }
 
   @Test
-  void oneAfterAnotherTakesOverFromAReaderThatDoesNotCall() {
+  void nodesTakeOverInRankOrderFromAnInactiveReader() {
     ReaderElection second = electionOf(1);
     ReaderElection third = electionOf(2);
 
-    for (long now = 0; now < NOTICE_MILLIS; now += ROUND_MILLIS) {
+    for (long now = 0; now < DETECTION_MILLIS; now += TAKEOVER_STEP_MILLIS) {
       assertThat(reads(second, RANKED.get(1), now)).as("at %d ms", now).isFalse();
       assertThat(reads(third, RANKED.get(2), now)).as("at %d ms", now).isFalse();
     }
-    assertThat(reads(second, RANKED.get(1), NOTICE_MILLIS)).isTrue();
-    assertThat(reads(third, RANKED.get(2), NOTICE_MILLIS)).isFalse();
-    assertThat(reads(third, RANKED.get(2), NOTICE_MILLIS + ROUND_MILLIS)).isTrue();
+    assertThat(reads(second, RANKED.get(1), DETECTION_MILLIS)).isTrue();
+    assertThat(reads(third, RANKED.get(2), DETECTION_MILLIS)).isFalse();
+    assertThat(reads(third, RANKED.get(2), DETECTION_MILLIS + TAKEOVER_STEP_MILLIS)).isTrue();
   }
 
   @Test
-  void aReaderEndsOnlyOnceOneAheadSaysThatItCalls() {
+  void readerStopsOnlyWhenAHigherRankedNodeReportsCalls() {
     ReaderElection second = electionOf(1);
     reads(second, RANKED.get(1), 0);
-    assertThat(reads(second, RANKED.get(1), NOTICE_MILLIS)).isTrue();
+    assertThat(reads(second, RANKED.get(1), DETECTION_MILLIS)).isTrue();
     assertThat(reads(second, RANKED.get(1), 60_000)).isTrue();
 
     calling.add(RANKED.get(0));
@@ -71,7 +71,7 @@
   }
 
   @Test
-  void aReaderThatTheStoreRefusesReadsOnUntilAnotherOneCalls() {
+  void rejectedReaderContinuesUntilAnotherNodeCalls() {
     ReaderElection first = electionOf(0);
     assertThat(reads(first, RANKED.get(0), 0)).isTrue();
 
--- a/umberpath-control/src/test/java/io/umberpath/control/store/RestoredStoreWatcherTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/store/RestoredStoreWatcherTest.java
@@ -44,15 +44,15 @@
   }
 
   /** Holds revision 20 of era 1 and has just been told that the store does not have it. */
-  private void loseTheHistory() {
+  private void expireHistory() {
     watcher.answered(0, page(position(1, 20), item("a", "1", 18), item("b", "1", 20)));
     call();
     watcher.answered(0, new StoreAnswer.HistoryGone(2));
   }
 
   @Test
-  void aReadOfANewerEraReplacesAStateOfAHigherRevision() {
-    loseTheHistory();
+  void readInANewerEraReplacesAStateWithAHigherRevision() {
+    expireHistory();
     assertThat(call()).isEqualTo(new StoreCall.Read("", Optional.empty()));
 
     assertThat(watcher.answered(0, page(position(2, 18), item("a", "1", 18)))).isTrue();
@@ -64,7 +64,7 @@
 
   /** The revisions of the new era have passed the one that is held: nothing is refused. */
   @Test
-  void eventsOfANewerEraAreNotAppliedToAStateOfTheOneBefore() {
+  void eventsOfANewerEraAreNotAppliedToAStateOfThePreviousEra() {
     watcher.answered(0, page(position(1, 20), item("a", "1", 18)));
     call();
 
@@ -76,7 +76,7 @@
   }
 
   @Test
-  void eventsAfterARevisionOfTheEraBeforeAreNotAppliedToAnAdoptedState() {
+  void eventsOfAWatchFromThePreviousEraAreNotAppliedToAnAdoptedState() {
     watcher.answered(0, page(position(1, 20), item("a", "1", 18)));
     call();
     watcher.adopt(changes(position(2, 15), item("a", "1", 15)));
@@ -91,8 +91,8 @@
 
   /** An instance that has not been switched over yet, or an answer that was long under way. */
   @Test
-  void anAnswerOfAnEraThatIsOverSaysNothing() {
-    loseTheHistory();
+  void responsesOfAPreviousEraAreIgnored() {
+    expireHistory();
     watcher.answered(0, page(position(2, 18), item("a", "1", 18)));
 
     assertThat(watcher.answered(0, page(position(1, 30), item("a", "9", 30)))).isFalse();
@@ -105,7 +105,7 @@
   }
 
   @Test
-  void aRefusedWatchThatNamesNoEraIsFollowedByAReadAllTheSame() {
+  void rejectedWatchWithoutAnEraTriggersARead() {
     watcher.answered(0, page(position(1, 20), item("a", "1", 18)));
     call();
 
@@ -115,7 +115,7 @@
   }
 
   @Test
-  void pagesOfTwoErasAreNotPutTogether() {
+  void pagesOfDifferentErasAreNotCombined() {
     watcher.answered(0, new StoreAnswer.Page(List.of(item("a", "1", 18)), true, position(1, 20)));
 
     watcher.answered(0, page(position(2, 19), item("b", "1", 19)));
@@ -129,8 +129,8 @@
   }
 
   @Test
-  void aNodeOfTheEraBeforeTakesTheWholeStateAndGivesNoneToThoseAhead() {
-    loseTheHistory();
+  void nodeInThePreviousEraTakesTheFullStateAndOffersNone() {
+    expireHistory();
     watcher.answered(0, page(position(2, 18), item("a", "1", 18)));
     StoreWatcher behind = watcher();
     behind.adopt(changes(position(1, 25), item("a", "2", 25)));
@@ -148,7 +148,7 @@
   }
 
   @Test
-  void noPatchLeadsFromOneEraToAnother() {
+  void patchesDoNotCrossEras() {
     watcher.answered(0, page(position(1, 20), large("old", 20)));
     watcher.answered(0, new StoreAnswer.HistoryGone(2));
     watcher.answered(0, page(position(2, 19), large("copy", 19)));
@@ -166,7 +166,7 @@
 
   /** A store that names no era, or whose history goes again and again. */
   @Test
-  void aStoreThatRefusesEachWatchIsReadEverMoreRarely() {
+  void readsBackOffWhenEveryWatchIsRejected() {
     int calls = 0;
     long now = 0;
     while (now < 10_000) {
--- a/umberpath-control/src/test/java/io/umberpath/control/store/StoreReadersTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/store/StoreReadersTest.java
@@ -37,18 +37,18 @@
 
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 3, 14, 143, 1_000})
-  void aZoneOfAnySizeHasTwoReaders(int count) {
+  void zoneOfAnySizeHasTwoReaders(int count) {
     assertThat(readers(nodes(count), Set.of())).hasSize(Math.min(count, 2));
   }
 
   @ParameterizedTest
   @CsvSource({"1, 4", "2, 2", "3, 2", "4, 1", "7, 1"})
-  void thereAreFourReadersAtLeastAndOneInEachZone(int zones, int readers) {
+  void atLeastFourReadersInTotalAndOnePerZone(int zones, int readers) {
     assertThat(StoreReaders.readersPerZone(zones)).isEqualTo(readers);
   }
 
   @Test
-  void readersThatTheStoreRefusesAreReplacedByOthers() {
+  void rejectedReadersAreReplaced() {
     List<String> nodes = nodes(14);
     Set<String> refused = readers(nodes, Set.of());
 
@@ -56,14 +56,14 @@
   }
 
   @Test
-  void whereTheStoreRefusesAllTwoGoOnTrying() {
+  void twoReadersRemainWhenTheStoreRejectsAll() {
     List<String> nodes = nodes(14);
 
     assertThat(readers(nodes, new HashSet<>(nodes))).hasSize(2);
   }
 
   @Test
-  void readersThatFallSilentAreReplaced() {
+  void unreachableReadersAreReplaced() {
     List<String> nodes = nodes(14);
     Set<String> readers = readers(nodes, Set.of());
     List<String> left = nodes.stream().filter(node -> !readers.contains(node)).toList();
--- a/umberpath-control/src/test/java/io/umberpath/control/store/StoreWatcherTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/store/StoreWatcherTest.java
@@ -30,7 +30,7 @@
     return new StoreAnswer.Events(List.of(events), position(at));
   }
 
-  private static StoreChanges whole(long at, StoreItem... items) {
+  private static StoreChanges fullState(long at, StoreItem... items) {
     return new StoreChanges(StorePosition.NOTHING, position(at), List.of(items), List.of());
   }
 
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void readsAllPagesAndWatchesFromTheFirst() {
+  void readsAllPagesThenWatchesFromTheFirstPagePosition() {
     assertThat(call(0)).isEqualTo(new StoreCall.Read("", Optional.empty()));
     watcher.answered(0, page(true, 10, item("a", "1", 3)));
     assertThat(watcher.items()).isEmpty();
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void whatAPageAlreadyHadIsNotTakenBackByTheWatch() {
+  void watchEventsOlderThanTheReadAreIgnored() {
     watcher.answered(0, page(true, 10, item("a", "1", 3)));
     watcher.answered(0, page(false, 14, item("b", "new", 14)));
 
@@ -79,7 +79,7 @@
   }
 
   @Test
-  void eventsChangeTheItems() {
+  void eventsUpdateItems() {
     watcher.answered(0, page(false, 10, item("a", "1", 3), item("b", "1", 4)));
 
     watcher.answered(
@@ -91,7 +91,7 @@
 
   /** When many back ends start at once each change should be heard soon. */
   @Test
-  void looksQuicklyAFewTimesWhenChangesBegin() {
+  void pollsQuicklyAFewTimesWhenChangesBegin() {
     StoreWatcher quick =
         new StoreWatcher(
             "", new StoreWatcherSettings(800, 0.5, 600, 60, 2, 2_000, 150, 1_000), () -> 0.5);
@@ -123,7 +123,7 @@
   }
 
   @Test
-  void readsAgainWhenHistoryIsGoneAndKeepsWhatItHasMeanwhile() {
+  void rereadsWhenHistoryHasExpiredAndKeepsItsItemsMeanwhile() {
     watcher.answered(0, page(false, 10, item("a", "1", 3)));
 
     watcher.answered(0, new StoreAnswer.HistoryGone(StorePosition.NO_ERA));
@@ -150,20 +150,20 @@
   }
 
   @Test
-  void takesANewerStateOfAnotherNode() {
+  void adoptsANewerStateFromAnotherNode() {
     watcher.answered(0, page(false, 10, item("a", "1", 3)));
 
-    assertThat(watcher.adopt(whole(20, item("a", "2", 15)))).isEqualTo(Adoption.CHANGED);
-    assertThat(watcher.adopt(whole(19, item("a", "1", 3)))).isEqualTo(Adoption.UNCHANGED);
+    assertThat(watcher.adopt(fullState(20, item("a", "2", 15)))).isEqualTo(Adoption.CHANGED);
+    assertThat(watcher.adopt(fullState(19, item("a", "1", 3)))).isEqualTo(Adoption.UNCHANGED);
 
     assertThat(watcher.items()).containsExactly(item("a", "2", 15));
     assertThat(call(0)).isEqualTo(new StoreCall.Watch("", 20, 6_000));
   }
 
   @Test
-  void aLateAnswerToAnOlderWatchDoesNotBringBackWhatWasRemoved() {
+  void lateWatchResponseDoesNotRestoreRemovedItems() {
     watcher.answered(0, page(false, 10, item("a", "1", 3)));
-    watcher.adopt(whole(20));
+    watcher.adopt(fullState(20));
 
     boolean changed = watcher.answered(0, events(15, new StoreEvent.Put(item("a", "2", 14))));
 
@@ -173,9 +173,9 @@
   }
 
   @Test
-  void anOlderReadDoesNotReplaceANewerState() {
+  void olderReadDoesNotReplaceANewerState() {
     watcher.answered(0, page(true, 10, item("a", "1", 3)));
-    watcher.adopt(whole(20, item("a", "2", 15)));
+    watcher.adopt(fullState(20, item("a", "2", 15)));
 
     assertThat(watcher.answered(0, page(false, 11))).isFalse();
 
@@ -184,7 +184,7 @@
 
   /** A node that is behind takes the changes of another one and then holds the same. */
   @Test
-  void changesSinceARevisionBringAnotherWatcherToTheSameState() {
+  void changesSinceARevisionSynchronizeAnotherWatcher() {
     StoreWatcher behind = new StoreWatcher("", SETTINGS, () -> 1);
     watcher.answered(0, page(false, 10, item("a", "1", 3), item("b", "1", 4), item("c", "1", 5)));
     behind.adopt(watcher.changesSince(since(-1)));
@@ -204,15 +204,15 @@
 
   /** Removals before the last whole read are not known: who is further behind needs the whole. */
   @Test
-  void aNodeThatIsBehindTheLastWholeReadGetsTheWholeState() {
+  void nodeBehindTheLastFullReadGetsTheFullState() {
     watcher.answered(0, page(false, 10, item("a", "1", 3)));
 
-    assertThat(watcher.changesSince(since(9))).isEqualTo(whole(10, item("a", "1", 3)));
+    assertThat(watcher.changesSince(since(9))).isEqualTo(fullState(10, item("a", "1", 3)));
     assertThat(watcher.changesSince(since(10)).isWhole()).isFalse();
   }
 
   @Test
-  void removalsAreRememberedWithinABound() {
+  void rememberedRemovalsAreBounded() {
     watcher.answered(0, page(false, 10));
     for (int revision = 11; revision < 2_011; revision++) {
       watcher.answered(0, events(revision, new StoreEvent.Gone("key-" + revision, revision)));
@@ -223,7 +223,7 @@
   }
 
   @Test
-  void changesThatBeginAfterWhatIsHeldAreNotTaken() {
+  void changesWithAGapAreNotAdopted() {
     watcher.answered(0, page(false, 10, item("a", "1", 3)));
 
     assertThat(watcher.adopt(new StoreChanges(position(12), position(14), List.of(), List.of())))
@@ -238,7 +238,7 @@
   }
 
   @Test
-  void aLargeItemTravelsAsPatchesThatAreHandedOn() {
+  void largeItemIsSentAsPatchesThatCanBeForwarded() {
     StoreWatcher second = watcherOf(large(1, 5), 5);
     StoreWatcher third = watcherOf(large(1, 5), 5);
     watcher.answered(0, page(false, 5, large(1, 5)));
@@ -251,14 +251,14 @@
     assertThat(second.adopt(changes)).isEqualTo(Adoption.CHANGED);
     assertThat(second.items()).containsExactly(large(3, 9));
 
-    StoreChanges handedOn = second.changesSince(third.request());
-    assertThat(handedOn.patches()).isEqualTo(changes.patches());
-    assertThat(third.adopt(handedOn)).isEqualTo(Adoption.CHANGED);
+    StoreChanges forwarded = second.changesSince(third.request());
+    assertThat(forwarded.patches()).isEqualTo(changes.patches());
+    assertThat(third.adopt(forwarded)).isEqualTo(Adoption.CHANGED);
     assertThat(third.items()).containsExactly(large(3, 9));
   }
 
   @Test
-  void aNodeWhoseItemNoPatchLeadsOnFromGetsItWhole() {
+  void nodeWithoutAMatchingPatchBaseGetsTheFullItem() {
     watcher.answered(0, page(false, 5, large(1, 5)));
     watcher.answered(0, events(9, new StoreEvent.Put(large(3, 9))));
     StoreWatcher between = watcherOf(large(2, 8), 8);
@@ -272,7 +272,7 @@
 
   /** Never a half state: the other changes that came with an unfit patch are not taken either. */
   @Test
-  void changesWithAPatchThatDoesNotFitAreNotTakenAtAll() {
+  void changesWithAMismatchedPatchAreRejectedEntirely() {
     watcher.answered(0, page(false, 5, large(1, 5)));
     watcher.answered(
         0, events(9, new StoreEvent.Put(large(3, 8)), new StoreEvent.Put(item("a", "1", 9))));
--- a/umberpath-control/src/test/java/io/umberpath/control/store/TextPatchTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/store/TextPatchTest.java
@@ -29,30 +29,30 @@
     return rules;
   }
 
-  private static void assertMakes(String old, String text, int mostInserted) {
+  private static void assertPatchReproduces(String old, String text, int maxInserted) {
     TextPatch patch = TextPatch.between(old, text);
     assertThat(patch.applyTo(old)).contains(text);
-    assertThat(patch.insertedLength()).isLessThanOrEqualTo(mostInserted);
+    assertThat(patch.insertedLength()).isLessThanOrEqualTo(maxInserted);
   }
 
   @Test
-  void aChangedAnAddedARemovedAndAMovedRuleTakeAFewHundredCharacters() {
+  void ruleEditsProducePatchesOfAFewHundredCharacters() {
     String old = document(1, rules());
     List<String> changed = rules();
     changed.set(900, rule(900, 7));
-    assertMakes(old, document(2, changed), 200);
+    assertPatchReproduces(old, document(2, changed), 200);
 
     List<String> added = rules();
     added.add(3, rule(RULES, 0));
     added.remove(1_200);
     added.add(800, added.remove(50));
-    assertMakes(old, document(2, added), 300);
+    assertPatchReproduces(old, document(2, added), 300);
   }
 
   @Test
-  void anyTextIsMadeOfAnyOther() {
+  void patchReproducesArbitraryText() {
     for (int trial = 0; trial < 2_000; trial++) {
-      assertMakes(text(), text(), Integer.MAX_VALUE);
+      assertPatchReproduces(text(), text(), Integer.MAX_VALUE);
     }
   }
 
@@ -67,7 +67,7 @@
   }
 
   @Test
-  void aPatchForAnotherTextMakesNothing() {
+  void patchForADifferentBaseDoesNotApply() {
     String old = document(1, rules());
     List<String> changed = rules();
     changed.set(900, rule(900, 7));
