--- a/umberpath-control/src/main/java/io/umberpath/control/store/BackendListing.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/BackendListing.java
@@ -19,27 +19,29 @@
 import java.util.function.Predicate;
 
 /**
- * Which back ends a node believes in. Within an era of the store these are its entries. When it
- * comes back from an older copy, starts that have departed stay so whatever the copy says of them,
- * and what the copy does not have yet is kept until it must have been written again. Pure; owner
- * synchronizes.
+ * The backends that a node considers alive. Within one era of the store these are its entries.
+ * After the store has been restored from an older copy, backends that have departed stay departed
+ * whatever the copy says, and entries that the copy lacks are retained until their owners must have
+ * written them again. Does no I/O and reads no clock; the owner synchronizes access.
  */
 public final class BackendListing {
   /**
-   * How long entries and evacuations are kept that a copy does not have, milliseconds: who lives
-   * and reaches the store has written them again two seconds after its return.
+   * How long entries and evacuations that a restored copy lacks are retained, milliseconds. A live
+   * backend that reaches the store rewrites its entry within two seconds of the store's return.
    */
   public static final long KEPT_MILLIS = 2_000;
 
   /**
-   * How long an entry stands that nobody renews, milliseconds: three heartbeats of 1.5 s, and half
-   * a second until the store has noticed. One that stands for longer is renewed by its back end.
+   * How long an entry can exist without being renewed, milliseconds: three heartbeats of 1.5 s plus
+   * half a second until the store notices. An entry that outlives this time is being renewed by its
+   * backend.
    */
   public static final long UNRENEWED_MILLIS = 5_000;
 
   /**
-   * Departures told to a node that starts, besides those that the store's entries contradict: what
-   * departs in the seconds of which a copy may know nothing.
+   * Number of recent departures sent to a starting node, in addition to those that the store's
+   * entries contradict. It covers the departures of the last seconds, which a restored copy may not
+   * contain.
    */
   private static final int MAX_SHARED_DEPARTURES = 64;
 
@@ -48,33 +50,36 @@
   /**
    * An entry of the store.
    *
-   * @param revision the store's revision when it was written
+   * @param revision store revision at which it was written
    */
   public record Listed(BackendEntry entry, long revision) {}
 
   /**
-   * What the store shows.
+   * The contents of the store at one position.
    *
-   * @param at position at which it shows that
+   * @param at position of these contents
    * @param listed its entries
-   * @param evacuatedZones zones whose back ends are to get no new work
+   * @param evacuatedZones zones whose backends must not receive new requests
    */
   public record Shown(StorePosition at, List<Listed> listed, Set<String> evacuatedZones) {}
 
-  /** What a node believes of it. */
+  /** The backends that a node uses, derived from the store's contents. */
   public record Believed(List<BackendEntry> entries, Set<String> evacuatedZones) {}
 
   private final DepartedStarts departed = new DepartedStarts();
 
-  /** By entries that the store shows as ready: the same, of starts that are known to leave. */
+  /**
+   * For each entry that the store shows as ready although its backend is draining: the same entry
+   * marked as draining.
+   */
   private Map<BackendEntry, BackendEntry> drainingByEntry = new HashMap<>();
 
-  /** Departures that entries of the store contradict. */
+  /** Departures of backends that the store still lists. */
   private final Set<Departed> contradictedDepartures = new LinkedHashSet<>();
 
   private StorePosition position = StorePosition.NOTHING;
 
-  /** Revision up to which entries may be from the copy, not written in the present era. */
+  /** Entries up to this revision may come from the restored copy rather than the current era. */
   private long restoredRevision = -1;
 
   private long eraStartMillis;
@@ -84,7 +89,7 @@
   private Set<String> retainedZones = Set.of();
   private long nextUpdateMillis = NEVER;
 
-  /** Departures for a node that starts: it may read only a copy that does not have them. */
+  /** Departures to send to a starting node, which may read only a copy that lacks them. */
   public List<Departed> told() {
     Set<Departed> told = new LinkedHashSet<>(contradictedDepartures);
     told.addAll(departed.latest(MAX_SHARED_DEPARTURES));
@@ -92,9 +97,9 @@
   }
 
   /**
-   * Another node knows of these; {@link #update} is to follow.
+   * Adds departures known to another node; the caller must then call {@link #update}.
    *
-   * @return whether any of them is news
+   * @return whether any of them was unknown
    */
   public boolean learn(long nowMillis, List<Departed> others) {
     boolean isNews = false;
@@ -104,20 +109,23 @@
     return isNews;
   }
 
-  /** Whether time alone changes what is believed, so that {@link #update} is due. */
+  /**
+   * Whether the listing changes by the passage of time alone, so that {@link #update} must be
+   * called.
+   */
   public boolean isDue(long nowMillis) {
     return nowMillis >= nextUpdateMillis;
   }
 
-  /** How many entries are kept that the store did not show when it came back. */
+  /** Number of retained entries that the store did not contain when it was restored. */
   public int keptEntries() {
     return retainedEntries.size();
   }
 
   /**
-   * Takes what the store shows now.
+   * Recomputes the listing from the store's current contents.
    *
-   * @param isService whether the configuration in force names a service
+   * @param isService tells whether the active configuration refers to a service
    */
   public Believed update(long nowMillis, Shown shown, Predicate<String> isService) {
     if (shown.at().era() != position.era() || !position.isKnown()) {
@@ -146,7 +154,8 @@
     boolean isRestored = position.isKnown();
     retainedEntries = isRestored ? effective.entries() : List.of();
     retainedZones = isRestored ? effective.evacuatedZones() : Set.of();
-    // What the copy does not show was perhaps only not written again yet: it has not departed.
+    // Entries missing from the copy may only not have been rewritten yet, so they do not count as
+    // departed.
     previouslyAlive = Set.of();
     restoredRevision = first.revision();
     eraStartMillis = nowMillis;
@@ -162,10 +171,10 @@
   }
 
   /**
-   * Of two entries at one address only the one that was written last can be alive: the other one
-   * has ended, and its entry only stands until its lease runs out. An entry of a service that the
-   * configuration does not name is no back end's, and takes no other one's place; nor does one of a
-   * start that is known to have ended.
+   * Selects one entry per address. Of two entries at one address only the one written last can
+   * belong to a live backend; the other has ended and exists only until its lease expires. An entry
+   * for a service that the configuration does not refer to never displaces another entry, nor does
+   * the entry of a backend that is known to have ended.
    */
   private List<Listed> selectAlive(
       long nowMillis, List<Listed> listed, Predicate<String> isService) {
@@ -185,7 +194,7 @@
     return known.isPresent() && known.get().departed().departure() == departure;
   }
 
-  /** The departure that stands against an entry; empty if there is none, or the start is back. */
+  /** The departure that applies to an entry; empty if there is none or the backend has returned. */
   private Optional<KnownDeparture> findEffectiveDeparture(long nowMillis, Listed each) {
     return departed
         .find(each.entry().start())
@@ -193,13 +202,16 @@
         .filter(known -> !isPresumedRenewed(nowMillis, known));
   }
 
-  /** Whether a back end has written its entry itself after it was taken as departed. */
+  /** Whether a backend has written its entry after it was recorded as departed. */
   private boolean isWrittenAfter(Listed each, StorePosition departedAt) {
     long since = departedAt.era() == position.era() ? departedAt.revision() : restoredRevision;
     return each.revision() > since;
   }
 
-  /** Whether an entry, of a start taken as ended, has stood for longer than nobody renews it. */
+  /**
+   * Whether the entry of a backend recorded as ended has existed for longer than an entry that is
+   * not renewed can.
+   */
   private boolean isPresumedRenewed(long nowMillis, KnownDeparture known) {
     return known.departed().departure() == Departure.ENDED
         && nowMillis >= presumedRenewedAtMillis(known);
@@ -226,7 +238,7 @@
     }
   }
 
-  /** What is believed of an entry that the store shows; empty if its start has ended. */
+  /** The entry to use for an entry of the store; empty if its backend has ended. */
   private Optional<BackendEntry> resolve(
       long nowMillis, Listed each, Map<BackendEntry, BackendEntry> stillDraining) {
     BackendEntry entry = each.entry();
@@ -250,8 +262,8 @@
   }
 
   /**
-   * Adds the entries that are kept. Those that the store shows again are kept no longer; nor are
-   * those whose address is another start's now, which have ended.
+   * Adds the retained entries. An entry is no longer retained once the store lists it again, or
+   * once another backend uses its address, which means that it has ended.
    */
   private void addRetained(long nowMillis, List<Listed> listed, List<BackendEntry> entries) {
     Set<PeerAddress> usedAddresses = new HashSet<>();
--- a/umberpath-control/src/main/java/io/umberpath/control/store/DepartedStarts.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/DepartedStarts.java
@@ -8,35 +8,36 @@
 import java.util.Optional;
 
 /**
- * Starts of back ends that have said that they leave, or whose entry has gone. An older copy of the
- * store may list them as ready again; that does not undo it. Bounded; owner synchronizes.
+ * Backend starts (one run of a backend process each) that have announced that they are draining or
+ * whose entry has been removed. An older copy of the store may list them as ready again; that does
+ * not undo the departure. Bounded; the owner synchronizes access.
  */
 public final class DepartedStarts {
-  /** How far a start has departed. */
+  /** Stage of a departure. */
   public enum Departure {
-    /** It finishes what it has, and gets nothing new. */
+    /** It completes its requests in flight and receives no new ones. */
     LEAVING,
-    /** Its entry has gone, or another start has its address. */
+    /** Its entry has been removed, or another backend has its address. */
     ENDED
   }
 
   /**
-   * A start that has departed.
+   * A recorded departure.
    *
-   * @param at position in the store at which it had
+   * @param at store position at which it departed
    */
   public record Departed(BackendStart start, Departure departure, StorePosition at) {}
 
   /**
    * A departure as this node knows it.
    *
-   * @param sinceMillis since when, on this node's clock
+   * @param sinceMillis when this node learned of it, on this node's clock
    */
   public record KnownDeparture(Departed departed, long sinceMillis) {}
 
   /**
-   * Starts remembered, the latest to depart: a copy is some seconds old, and a release of a large
-   * fleet replaces some hundred back ends in that time.
+   * Number of latest departures that are remembered: a copy is some seconds old, and a release of a
+   * large fleet replaces some hundred backends in that time.
    */
   public static final int MAX_STARTS = 1_024;
 
@@ -51,9 +52,9 @@
       };
 
   /**
-   * A start has departed; one that has ended never counts as merely leaving again.
+   * Records a departure. A backend that has ended never goes back to draining.
    *
-   * @return whether that is news
+   * @return whether this was not known before
    */
   public boolean add(long nowMillis, Departed departed) {
     KnownDeparture before = byStart.get(departed.start());
@@ -65,17 +66,17 @@
     return true;
   }
 
-  /** A start that had departed is there again: its back end has written so since. */
+  /** Removes the departure of a backend that has returned: it has written its entry again since. */
   public void remove(BackendStart start) {
     byStart.remove(start);
   }
 
-  /** What is known of a start's departure; empty if it has not departed. */
+  /** The known departure of a backend start; empty if it has not departed. */
   public Optional<KnownDeparture> find(BackendStart start) {
     return Optional.ofNullable(byStart.get(start));
   }
 
-  /** The starts that departed last, in the order in which this node learned it. */
+  /** The latest departures, in the order in which this node learned of them. */
   public List<Departed> latest(int count) {
     List<Departed> all = new ArrayList<>();
     byStart.values().forEach(known -> all.add(known.departed()));
--- a/umberpath-control/src/main/java/io/umberpath/control/store/ItemPatch.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/ItemPatch.java
@@ -3,15 +3,15 @@
 import java.util.Optional;
 
 /**
- * How one revision of an item becomes a later one.
+ * Converts one revision of an item into a later one.
  *
  * @param key key of the item
  * @param fromRevision revision of the item that the patch applies to
- * @param revision revision of the item that it makes
- * @param patch of its value
+ * @param revision revision of the resulting item
+ * @param patch to apply to its value
  */
 public record ItemPatch(String key, long fromRevision, long revision, TextPatch patch) {
-  /** The later item; empty if the patch was not made for the item that is held. */
+  /** The resulting item; empty if the patch was made for a different item or revision. */
   public Optional<StoreItem> applyTo(StoreItem current) {
     if (current == null || current.revision() != fromRevision || !current.key().equals(key)) {
       return Optional.empty();
--- a/umberpath-control/src/main/java/io/umberpath/control/store/PatchHistory.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/PatchHistory.java
@@ -6,28 +6,33 @@
 import java.util.Optional;
 
 /**
- * Patches of the latest changes of large items, so that nodes a few changes behind need not take
- * whole items. Bounded in number and size. Owner synchronizes.
+ * Patches for the latest changes of large items, so that nodes a few changes behind do not need the
+ * full items. Bounded in number and size. The owner synchronizes access.
  */
 final class PatchHistory {
-  /** Length from which an item is worth a patch, characters: smaller ones fit a packet or two. */
+  /**
+   * Minimum length of an item for which patches are kept, characters: smaller items fit into one or
+   * two packets.
+   */
   private static final int MIN_LENGTH = 4_096;
 
-  /** A storm of changes makes three a second; a node is behind by a second or two of them. */
+  /**
+   * A burst of changes produces three a second, and a node is one or two seconds of them behind.
+   */
   private static final int MAX_PATCHES = 16;
 
-  /** Characters kept in all: what a whole configuration of 800 rules takes compressed, twice. */
+  /** Total characters kept: twice the compressed size of a configuration of 800 rules. */
   private static final int MAX_CHARACTERS = 64 * 1024;
 
   private final ArrayDeque<ItemPatch> patches = new ArrayDeque<>();
   private int characters;
 
-  /** Whether changes of an item are remembered as patches. */
+  /** Whether patches are kept for an item. */
   static boolean isLarge(StoreItem item) {
     return item.value().length() >= MIN_LENGTH;
   }
 
-  /** Remembers how an item was replaced, if that is shorter than the item. */
+  /** Records the replacement of an item as a patch, if the patch is small enough. */
   void recordReplacement(StoreItem previous, StoreItem current) {
     if (!isLarge(previous) || !isLarge(current) || previous.revision() >= current.revision()) {
       return;
@@ -38,13 +43,13 @@
     }
   }
 
-  /** Forgets all. */
+  /** Removes all patches. */
   void clear() {
     patches.clear();
     characters = 0;
   }
 
-  /** Remembers a patch that another node made. */
+  /** Adds a patch, evicting the oldest ones if the bounds are exceeded. */
   void add(ItemPatch patch) {
     patches.addLast(patch);
     characters += patch.patch().insertedLength();
@@ -53,7 +58,9 @@
     }
   }
 
-  /** The patches that lead from one revision of an item to another; empty if some are missing. */
+  /**
+   * The chain of patches from one revision of an item to another; empty if part of it is missing.
+   */
   Optional<List<ItemPatch>> findChain(String key, long fromRevision, long revision) {
     List<ItemPatch> chain = new ArrayList<>();
     long reached = fromRevision;
--- a/umberpath-control/src/main/java/io/umberpath/control/store/PollPauses.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/PollPauses.java
@@ -1,19 +1,20 @@
 package io.umberpath.control.store;
 
 /**
- * Pauses after changes were heard: a few short ones when changes begin, as after a restart of many,
- * then longer ones, in which changes of a quick succession gather. Owner synchronizes.
+ * Pauses after a watch returned changes: a few short ones when a burst begins, for example a
+ * restart of many backends, then longer ones that batch the changes of the burst. The owner
+ * synchronizes access.
  */
 final class PollPauses {
   private int fastPolls;
   private long refilledMillis;
 
-  /** All short pauses are left. */
+  /** Starts with all fast polls available. */
   PollPauses(StoreWatcherSettings settings) {
     this.fastPolls = settings.fastPolls();
   }
 
-  /** The pause that begins now, milliseconds. */
+  /** Duration of the pause that begins now, milliseconds. */
   long next(long nowMillis, StoreWatcherSettings settings) {
     long refilled = (nowMillis - refilledMillis) / settings.fastPollRefillMillis();
     fastPolls = (int) Math.min(settings.fastPolls(), fastPolls + refilled);
--- a/umberpath-control/src/main/java/io/umberpath/control/store/ReaderElection.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/ReaderElection.java
@@ -5,24 +5,25 @@
 import java.util.Set;
 
 /**
- * Whether this node calls the store for its zone. The nodes that rank first do; a node leaves it to
- * them only while they say that their calls were answered lately, or that they fail. So a node that
- * is wrongly waited for costs the zone a bounded time. Owner synchronizes.
+ * Decides whether this node reads the store for its zone. The highest-ranked nodes do; a
+ * lower-ranked node yields only while they report that their calls were answered recently, or that
+ * they fail. A node that is wrongly relied on therefore costs the zone only a bounded time. The
+ * owner synchronizes access.
  */
 public final class ReaderElection {
-  /** Most nodes of a kind that a log line names. */
+  /** Maximum number of nodes of each kind that a log line names. */
   private static final int MAX_LOGGED_NODES = 4;
 
   /**
-   * Outcome, and what it was decided from.
+   * The decision and its inputs.
    *
-   * @param reads whether this node is to call the store
-   * @param ahead the nodes that rank before this one, first ones first
-   * @param calling those of them that say that they call it
-   * @param due how many nodes of the zone are to call it
+   * @param reads whether this node must call the store
+   * @param ahead the nodes that rank before this one, in rank order
+   * @param calling those of them that report that they call it
+   * @param due number of nodes of the zone that must call it
    */
   public record Decision(boolean reads, List<String> ahead, List<String> calling, int due) {
-    /** What it was decided from, for a log line: the first few nodes of each kind. */
+    /** The inputs of the decision for a log line, limited to the first few nodes of each kind. */
     public String inputs() {
       return "due: %d, ahead: %d %s, of them call: %d %s"
           .formatted(due, ahead.size(), first(ahead), calling.size(), first(calling));
@@ -42,8 +43,8 @@
    * Creates an election in which this node does not read yet.
    *
    * @param self this node
-   * @param takeoverStepMillis time in which one node after another takes over, so that not all do
-   *     at once
+   * @param takeoverStepMillis delay from one node's takeover to that of the next in rank, so that
+   *     they do not all take over at once
    */
   public ReaderElection(String self, long takeoverStepMillis) {
     this.self = self;
@@ -51,13 +52,13 @@
   }
 
   /**
-   * Decides anew.
+   * Re-evaluates the decision.
    *
-   * @param others the other nodes of the zone that are in reach
-   * @param calling those of them that say that they call the store
-   * @param refused nodes that the store did not answer lately, this one included
-   * @param zones zones that have nodes, the own one included
-   * @param detectionMillis within what time a node that calls has been heard to say so
+   * @param others the other reachable nodes of the zone
+   * @param calling those of them that report that they call the store
+   * @param refused nodes whose calls the store did not answer recently, possibly including this one
+   * @param zones number of zones that have nodes, including this node's zone
+   * @param detectionMillis time within which a node's report that it calls the store has arrived
    */
   public Decision decide(
       long nowMillis,
--- a/umberpath-control/src/main/java/io/umberpath/control/store/StateRequest.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/StateRequest.java
@@ -1,16 +1,16 @@
 package io.umberpath.control.store;
 
 /**
- * What a node that is behind holds, and asks another one to carry on from.
+ * Request of a node that is behind for the changes since the state it holds.
  *
- * @param after position of its state; {@link StorePosition#NOTHING} to get the whole state
+ * @param after position of its state; {@link StorePosition#NOTHING} to request the full state
  * @param largestRevision revision, in the era of that position, of the largest item that it holds,
- *     so that it can be sent patches of it; {@link #NO_ITEM} to get that item whole
+ *     so that patches can be sent for it; {@link #NO_ITEM} to get the full item
  */
 public record StateRequest(StorePosition after, long largestRevision) {
-  /** Revision of no item. */
+  /** Marks that no item is held. */
   public static final long NO_ITEM = -1;
 
-  /** Asks for the whole state. */
+  /** Requests the full state. */
   public static final StateRequest WHOLE = new StateRequest(StorePosition.NOTHING, NO_ITEM);
 }
--- a/umberpath-control/src/main/java/io/umberpath/control/store/StoreAnswer.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/StoreAnswer.java
@@ -3,18 +3,21 @@
 import java.util.List;
 import java.util.OptionalLong;
 
-/** What became of a call to the store. */
+/** Outcome of a call to the store. */
 public sealed interface StoreAnswer {
-  /** The store's era as the answer names it; empty for one that says nothing of the store. */
+  /**
+   * The store's era as stated by the response; empty if the response does not come from the store's
+   * state.
+   */
   default OptionalLong era() {
     return OptionalLong.empty();
   }
 
   /**
-   * A page of items; pages of one read are no snapshot.
+   * A page of items; the pages of one read do not form a snapshot.
    *
-   * @param items in the order of their keys
-   * @param more whether another page follows
+   * @param items in key order
+   * @param more whether more pages follow
    * @param at the store's position
    */
   record Page(List<StoreItem> items, boolean more, StorePosition at) implements StoreAnswer {
@@ -25,10 +28,10 @@
   }
 
   /**
-   * Changes in order, possibly none.
+   * Changes in order; may be empty.
    *
    * @param events the changes
-   * @param at position to continue from
+   * @param at position to continue watching from
    */
   record Events(List<StoreEvent> events, StorePosition at) implements StoreAnswer {
     @Override
@@ -38,7 +41,7 @@
   }
 
   /**
-   * The store does not have the changes asked for.
+   * The store no longer has the requested changes.
    *
    * @param storeEra the store's era
    */
@@ -49,13 +52,13 @@
     }
   }
 
-  /** The store refuses for now, because too much is asked of it. */
+  /** The store rejected the call because it is overloaded. */
   record Throttled() implements StoreAnswer {}
 
   /**
-   * No answer, or none that can be used; nothing is known.
+   * No response, or an unusable one; the outcome is unknown.
    *
-   * @param cause for the log
+   * @param cause description for the log
    */
   record Unavailable(String cause) implements StoreAnswer {}
 }
--- a/umberpath-control/src/main/java/io/umberpath/control/store/StoreChanges.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/StoreChanges.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * What changed in the store between two positions, as nodes pass it on to each other.
+ * Changes of the store between two positions, as exchanged between nodes.
  *
- * @param after position that the changes start from, of the same era as the one that they lead to;
- *     {@link StorePosition#NOTHING} if they are the whole state
- * @param at position that they lead to; {@link StorePosition#NOTHING} if nothing is held
- * @param items items that were written since
- * @param gone items that were removed since
- * @param patches changes of large items, each of the item that the one before it makes
+ * @param after position that the changes apply to, in the same era as the resulting one; {@link
+ *     StorePosition#NOTHING} if they are the full state
+ * @param at resulting position; {@link StorePosition#NOTHING} if nothing is held
+ * @param items items written since
+ * @param gone items removed since
+ * @param patches patches of large items, each based on the result of the one before it
  */
 public record StoreChanges(
     StorePosition after,
@@ -24,7 +24,7 @@
     this(after, at, items, gone, List.of());
   }
 
-  /** Whether they are the whole state. */
+  /** Whether this is the full state. */
   public boolean isWhole() {
     return !after.isKnown();
   }
--- a/umberpath-control/src/main/java/io/umberpath/control/store/StoreFacts.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/StoreFacts.java
@@ -4,15 +4,15 @@
 import java.util.Optional;
 
 /**
- * What holds whatever the store shows, because it cannot be undone. It travels between nodes beside
- * the store's items, as a node that starts reads perhaps only an older copy.
+ * State that cannot be undone and therefore holds whatever the store shows. Nodes exchange it in
+ * addition to the store's items, because a starting node may read only an older copy.
  *
  * @param configuration the newest accepted configuration where the store shows an older one; empty
- *     where it stands among the store's items
- * @param departed starts of back ends that leave or have ended
+ *     if the store's items contain it
+ * @param departed backend starts that are draining or have ended
  */
 public record StoreFacts(
     Optional<StoreItem> configuration, List<DepartedStarts.Departed> departed) {
-  /** Nothing beside the store's items. */
+  /** No state in addition to the store's items. */
   public static final StoreFacts NONE = new StoreFacts(Optional.empty(), List.of());
 }
--- a/umberpath-control/src/main/java/io/umberpath/control/store/StoreItem.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/StoreItem.java
@@ -5,7 +5,7 @@
  *
  * @param key its key
  * @param value its value as text
- * @param revision the store's revision at its last change
+ * @param revision store revision of its last change
  */
 public record StoreItem(String key, String value, long revision) {
   @Override
@@ -16,7 +16,7 @@
         && value.equals(item.value);
   }
 
-  /** The value is left out: it may be a hundred thousand characters long. */
+  /** Ignores the value, which may be a hundred thousand characters long. */
   @Override
   public int hashCode() {
     return 31 * key.hashCode() + Long.hashCode(revision);
--- a/umberpath-control/src/main/java/io/umberpath/control/store/StorePosition.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/StorePosition.java
@@ -3,24 +3,28 @@
 import java.util.Comparator;
 
 /**
- * A place in the order of the store's changes. A store that comes back from an older copy gives its
- * revisions out again and counts its era up: of two revisions of different eras neither is known to
- * be later.
+ * A position in the order of the store's changes. A store that is restored from an older copy
+ * issues the same revisions again and increments its era; revisions of different eras cannot be
+ * compared with each other.
  *
- * @param era how often the store has come back from a copy; {@link #NO_ERA} if it does not say
- * @param revision revision within the era; -1 before anything is known
+ * @param era number of times the store was restored from a copy; {@link #NO_ERA} if it does not
+ *     state one
+ * @param revision revision within the era; -1 if nothing is known
  */
 public record StorePosition(long era, long revision) implements Comparable<StorePosition> {
-  /** Era of a store that names none. */
+  /** Era of a store that does not state one. */
   public static final long NO_ERA = 0;
 
-  /** Before the first read. */
+  /** Position before the first read. */
   public static final StorePosition NOTHING = new StorePosition(NO_ERA, -1);
 
-  /** Largest revision and era that have a packed form: 10^12 changes, in 4 million eras. */
+  /**
+   * Largest revision that has a packed form. Together with {@link #MAX_PACKED_ERA}: 10^12 changes
+   * in each of 4 million eras.
+   */
   public static final long MAX_PACKED_REVISION = (1L << 40) - 1;
 
-  /** See {@link #MAX_PACKED_REVISION}. */
+  /** Largest era that has a packed form, see {@link #MAX_PACKED_REVISION}. */
   public static final long MAX_PACKED_ERA = (1L << 22) - 1;
 
   private static final Comparator<StorePosition> ORDER =
@@ -36,29 +40,32 @@
     return compareTo(other) > 0;
   }
 
-  /** Whether anything is known. */
+  /** Whether this is the position of a known state. */
   public boolean isKnown() {
     return revision >= 0;
   }
 
-  /** One number in the same order; a revision without an era is its own. */
+  /**
+   * Encodes the position in one number that preserves the order; without an era this is the
+   * revision itself.
+   */
   public long packed() {
     return era * (MAX_PACKED_REVISION + 1) + revision;
   }
 
-  /** The position of a packed form. */
+  /** Decodes a position from its packed form. */
   public static StorePosition unpacked(long packed) {
     return new StorePosition(
         packed / (MAX_PACKED_REVISION + 1), packed % (MAX_PACKED_REVISION + 1));
   }
 
-  /** A packed form for people: the revision alone where there is no era. */
+  /** Formats a packed position for logs: the revision alone if there is no era. */
   public static String describePacked(long packed) {
     StorePosition position = unpacked(packed);
     return position.era() == NO_ERA ? Long.toString(position.revision()) : position.toString();
   }
 
-  /** The later of two. */
+  /** The later of two positions. */
   public static StorePosition later(StorePosition first, StorePosition second) {
     return second.isAfter(first) ? second : first;
   }
--- a/umberpath-control/src/main/java/io/umberpath/control/store/StoreReaders.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/StoreReaders.java
@@ -7,14 +7,15 @@
 import java.util.Set;
 
 /**
- * Which nodes of a zone are due to call the store; the others take its changes from them. Each node
- * ranks them alike by itself, without a message; {@link ReaderElection} decides by the rank.
+ * Ranks the nodes of a zone as readers of the store; the other nodes receive its changes from the
+ * readers. Every node computes the same ranking without exchanging messages; {@link ReaderElection}
+ * decides by rank.
  */
 public final class StoreReaders {
   /**
-   * Readers of all zones together at least: changes still arrive while the loss of some is not
-   * noticed. Of machines that the store turns away at random, a third say, all four are among them
-   * once in 80 times.
+   * Minimum number of readers in all zones together, so that changes still arrive before the loss
+   * of some of them is noticed. If the store rejects a random third of the machines, all four are
+   * among the rejected ones once in 80 cases.
    */
   private static final int MIN_READERS = 4;
 
@@ -23,12 +24,12 @@
   private StoreReaders() {}
 
   /**
-   * The other nodes that rank before a node as readers, first ones first.
+   * The other nodes that rank before a node as readers, in rank order.
    *
    * @param self the node
-   * @param others the other nodes of its zone that are in reach
-   * @param refused nodes that the store did not answer lately: they read only if too few others are
-   *     left
+   * @param others the other reachable nodes of its zone
+   * @param refused nodes whose calls the store did not answer recently: they read only if too few
+   *     others are left
    */
   static List<String> rankedBefore(String self, Collection<String> others, Set<String> refused) {
     Comparator<String> order =
@@ -36,12 +37,12 @@
     return others.stream().filter(other -> order.compare(other, self) < 0).sorted(order).toList();
   }
 
-  /** The order in which nodes are due to call the store, first ones first. */
+  /** The order in which nodes become readers, highest rank first. */
   public static Comparator<String> rank() {
     return Rendezvous.order(TASK);
   }
 
-  /** Readers of each of so many zones: one, or more where the zones are few. */
+  /** Number of readers per zone: one, or more if there are few zones. */
   static int readersPerZone(int zones) {
     return Math.max(1, (MIN_READERS + zones - 1) / Math.max(1, zones));
   }
--- a/umberpath-control/src/main/java/io/umberpath/control/store/StoreWatcher.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/StoreWatcher.java
@@ -10,21 +10,24 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Follows the items below one prefix: reads them all, then watches from the position of the first
- * page on, and reads again when the store has forgotten that position or is in a newer era. Changes
- * are applied by position, so that what is heard twice or late changes nothing. Owner synchronizes.
+ * Follows the items with a key prefix: reads all of them, then watches from the position of the
+ * first page, and reads again when the store no longer has that position or is in a newer era.
+ * Changes are applied by position, so duplicate or late ones have no effect. The owner synchronizes
+ * access.
  */
 public final class StoreWatcher {
-  /** What to do next. */
+  /** The next action of the caller. */
   public sealed interface Step {
-    /** Make this call and report its answer. */
+    /** Make this call and report its response. */
     record Call(StoreCall call) implements Step {}
 
-    /** Ask again at this time, milliseconds. */
+    /** Call {@link #next} again at this time, milliseconds. */
     record Wait(long untilMillis) implements Step {}
   }
 
-  /** Removals remembered for nodes that are behind; a release removes some hundred at most. */
+  /**
+   * Removals remembered for nodes that are behind; a release removes at most a few hundred items.
+   */
   private static final int MAX_REMOVALS = 1_024;
 
   private final String prefix;
@@ -35,20 +38,20 @@
   private final PatchHistory patchHistory = new PatchHistory();
   private final ArrayDeque<StoreEvent.Gone> removals = new ArrayDeque<>();
 
-  /** Revision of the present era after which every removal is remembered. */
+  /** Revision of the current era after which every removal is remembered. */
   private long removalsKnownSince = -1;
 
   private String lastKey;
 
-  /** Position of the first page of the read that is under way; NOTHING before it. */
+  /** Position of the first page of the read in progress; NOTHING before that page arrives. */
   private StorePosition firstPagePosition = StorePosition.NOTHING;
 
   private StorePosition position = StorePosition.NOTHING;
 
-  /** Era of the position that the last watch began from. */
+  /** Era of the position from which the last watch started. */
   private long watchedEra = StorePosition.NO_ERA;
 
-  /** Refused watches in a row with no answered one between them. */
+  /** Rejected watches since the last successful one. */
   private int consecutiveRejectedWatches;
 
   private boolean isReading = true;
@@ -58,10 +61,10 @@
   private final PollPauses pauses;
 
   /**
-   * Creates a watcher that knows nothing.
+   * Creates a watcher without state.
    *
-   * @param prefix beginning of the keys; may be empty
-   * @param random numbers from 0 to 1, for the pauses after failures
+   * @param prefix key prefix; may be empty
+   * @param random source of numbers from 0 to 1, for jitter
    */
   public StoreWatcher(String prefix, StoreWatcherSettings settings, DoubleSupplier random) {
     this.prefix = prefix;
@@ -70,12 +73,12 @@
     this.random = random;
   }
 
-  /** From now on calls are timed so. */
+  /** Changes the timing of subsequent calls. */
   public void pace(StoreWatcherSettings newSettings) {
     settings = newSettings;
   }
 
-  /** What to do now. */
+  /** The next action. */
   public Step next(long nowMillis) {
     if (nowMillis < nextCallMillis) {
       return new Step.Wait(nextCallMillis);
@@ -83,7 +86,8 @@
     if (isReading) {
       return new Step.Call(new StoreCall.Read(prefix, Optional.ofNullable(lastKey)));
     }
-    // Drawn anew each time, so that the nodes do not all find out at once, and late, that it hangs.
+    // Randomized for each watch, so that the nodes do not all discover a hung store at the same
+    // late moment.
     double jitter = 1 + settings.waitJitter() * (2 * random.getAsDouble() - 1);
     long wait = Math.round(settings.waitMillis() * jitter);
     watchedEra = position.era();
@@ -91,7 +95,7 @@
   }
 
   /**
-   * Takes the answer of the last call.
+   * Processes the response to the last call.
    *
    * @return whether the items have changed
    */
@@ -120,8 +124,9 @@
   }
 
   /**
-   * Whether an answer is of an era before the one that is known: it says nothing of the store. A
-   * refused watch that names no era is taken all the same: reading anew is never wrong.
+   * Whether a response belongs to an era before the known one and so does not describe the store's
+   * current state. A rejected watch that states no era is still processed, because reading again is
+   * always safe.
    */
   public boolean isOutdated(StoreAnswer response) {
     OptionalLong era = response.era();
@@ -133,7 +138,8 @@
   }
 
   /**
-   * Reads anew; a store that refuses the position of a whole read, too, is not read in a circle.
+   * Starts a new read. Backs off if the store also rejects the position of a completed read, so
+   * that the watcher does not read in a tight loop.
    */
   private void onHistoryExpired(long nowMillis) {
     lastResponseMillis = nowMillis;
@@ -169,7 +175,7 @@
       return false;
     }
     if (firstPagePosition.isKnown() && firstPagePosition.era() != page.at().era()) {
-      // The store came back from a copy between two pages: they are not of one state.
+      // The store was restored from a copy between two pages, so they do not belong to one state.
       startRead();
       return false;
     }
@@ -189,7 +195,7 @@
     return replaceState(read, readPosition);
   }
 
-  /** Takes a whole state unless a newer one is held; whether something changed. */
+  /** Replaces the state unless a newer one is held; returns whether something changed. */
   private boolean replaceState(Map<String, StoreItem> newItems, StorePosition newPosition) {
     if (position.isAfter(newPosition)) {
       return false;
@@ -199,7 +205,7 @@
     if (position.era() == newPosition.era()) {
       recordPatches(newItems);
     } else {
-      // Patches name revisions, which say nothing in another era.
+      // Patches refer to revisions, which have no meaning in another era.
       patchHistory.clear();
     }
     items = newItems;
@@ -221,17 +227,17 @@
   private boolean applyEvents(long nowMillis, StoreAnswer.Events events) {
     consecutiveRejectedWatches = 0;
     if (events.at().era() > position.era()) {
-      // They follow a revision of an era that is over, under which the store now has other changes.
+      // The events follow a revision of a previous era, for which the store now has other changes.
       startRead();
       return false;
     }
     if (events.at().era() != watchedEra) {
-      // A newer era was adopted while this watch, from a revision of the one before, was waiting.
+      // A newer era was adopted while this watch, started in the previous era, was waiting.
       return false;
     }
     boolean changed = false;
     for (StoreEvent event : events.events()) {
-      // What was adopted meanwhile already holds older changes.
+      // State adopted in the meantime already contains older changes.
       changed |= event.revision() > position.revision() && apply(event);
     }
     position = StorePosition.later(position, events.at());
@@ -264,17 +270,19 @@
     }
   }
 
-  /** What became of the changes of another node. */
+  /** Result of adopting changes from another node. */
   public enum Adoption {
-    /** The items have changed. */
+    /** The items changed. */
     CHANGED,
-    /** The items are as before. */
+    /** The items did not change. */
     UNCHANGED,
-    /** A patch is not for the item that is held: nothing was taken, the whole state is needed. */
+    /**
+     * A patch does not match the current item: nothing was adopted, and the full state is needed.
+     */
     UNFIT
   }
 
-  /** Takes changes that another node holds, whole or not at all, if they lead further. */
+  /** Adopts changes from another node, all or none, if they lead to a later position. */
   public Adoption adopt(StoreChanges changes) {
     if (!changes.at().isAfter(position) || !isApplicableTo(position, changes)) {
       return Adoption.UNCHANGED;
@@ -296,7 +304,7 @@
         || (changes.after().era() == held.era() && !changes.after().isAfter(held));
   }
 
-  /** The items that patches make of those held; empty if one does not fit. */
+  /** Applies patches to the current items; empty if one does not match. */
   private Optional<Map<String, StoreItem>> applyPatches(List<ItemPatch> patches) {
     Map<String, StoreItem> patched = new HashMap<>();
     for (ItemPatch patch : patches) {
@@ -338,7 +346,10 @@
     return changed;
   }
 
-  /** What a node lacks; the whole state if it is further back than is remembered. */
+  /**
+   * The changes that a node lacks; the full state if it is further behind than the remembered
+   * changes.
+   */
   public StoreChanges changesSince(StateRequest request) {
     if (request.after().isAfter(position)) {
       return new StoreChanges(position, position, List.of(), List.of());
@@ -368,7 +379,7 @@
     return new StoreChanges(StorePosition.NOTHING, position, items(), List.of());
   }
 
-  /** What this node holds, for another one to carry on from. */
+  /** Describes the state of this node, as a request for the changes since then. */
   public StateRequest request() {
     StoreItem largest = null;
     for (StoreItem item : items.values()) {
@@ -379,17 +390,17 @@
     return new StateRequest(position, largest == null ? StateRequest.NO_ITEM : largest.revision());
   }
 
-  /** The items by key order of no meaning; empty before the first whole read. */
+  /** The items in no particular order; empty before the first complete read. */
   public List<StoreItem> items() {
     return List.copyOf(items.values());
   }
 
-  /** Position of the items; {@link StorePosition#NOTHING} before the first whole read. */
+  /** Position of the items; {@link StorePosition#NOTHING} before the first complete read. */
   public StorePosition at() {
     return position;
   }
 
-  /** When the store last answered a call, milliseconds; -1 if never. */
+  /** When the store last responded, milliseconds; -1 if never. */
   public long heardAtMillis() {
     return lastResponseMillis;
   }
--- a/umberpath-control/src/main/java/io/umberpath/control/store/StoreWatcherSettings.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/StoreWatcherSettings.java
@@ -1,17 +1,18 @@
 package io.umberpath.control.store;
 
 /**
- * Timing of a watcher.
+ * Timing of a {@link StoreWatcher}.
  *
- * @param waitMillis mean of how long a watch may wait for a change, milliseconds
- * @param waitJitter share by which a wait, drawn anew each time, may be shorter or longer than that
- * @param pauseMillis pause after changes were heard, so that quick successions come in one answer
- * @param fastPollPauseMillis the same while there are fast polls left
- * @param fastPolls pauses that may be quick after a quiet time; one comes back with each {@code
- *     fastPollRefillMillis}
- * @param fastPollRefillMillis time in which a fast poll comes back
- * @param minBackoffMillis first pause after a failed call
- * @param maxBackoffMillis longest pause after failed calls
+ * @param waitMillis mean time that a watch may wait for a change, milliseconds
+ * @param waitJitter fraction by which each wait is randomly shortened or lengthened
+ * @param pauseMillis pause after a watch returned changes, so that a burst is returned in one
+ *     response
+ * @param fastPollPauseMillis the same while fast polls are available
+ * @param fastPolls number of short pauses available after a quiet time; one is refilled every
+ *     {@code fastPollRefillMillis}
+ * @param fastPollRefillMillis time in which one fast poll is refilled
+ * @param minBackoffMillis initial backoff after a failed call
+ * @param maxBackoffMillis maximum backoff after failed calls
  */
 public record StoreWatcherSettings(
     long waitMillis,
@@ -24,17 +25,17 @@
     long maxBackoffMillis) {
   private static final double HALF = 0.5;
 
-  /** Longest time from one answer to the next while nothing goes wrong, milliseconds. */
+  /** Longest time between two responses while nothing fails, milliseconds. */
   public long longestQuietMillis() {
     return Math.max(pauseMillis, fastPollPauseMillis) + longestWaitMillis();
   }
 
-  /** Longest that a watch may wait, milliseconds. */
+  /** Longest wait of a watch, milliseconds. */
   public long longestWaitMillis() {
     return Math.round(waitMillis * (1 + waitJitter));
   }
 
-  /** Timing that always pauses alike. */
+  /** Timing without fast polls. */
   public StoreWatcherSettings(
       long waitMillis, long pauseMillis, long minBackoffMillis, long maxBackoffMillis) {
     this(waitMillis, HALF, pauseMillis, pauseMillis, 0, 1, minBackoffMillis, maxBackoffMillis);
--- a/umberpath-control/src/main/java/io/umberpath/control/store/TextPatch.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/TextPatch.java
@@ -9,35 +9,36 @@
 import java.util.zip.CRC32;
 
 /**
- * What makes one text of another: pieces that are copied from the old one and pieces that are new.
- * A change of one rule in a configuration of 1,600 (260 KB) is some hundred bytes. Immutable.
+ * A patch from an old text to a new one: ranges copied from the old text and inserted text. A
+ * change of one rule in a configuration of 1,600 rules (260 KB) takes a few hundred bytes.
+ * Immutable.
  *
  * @param pieces in the order of the new text
  * @param length length of the new text, characters
  * @param checksum CRC-32 of the new text in UTF-8
  */
 public record TextPatch(List<Piece> pieces, int length, long checksum) {
-  /** One piece of the new text. */
+  /** A piece of the new text. */
   public sealed interface Piece {
     /** A range of the old text. */
     record Copy(int from, int length) implements Piece {}
 
-    /** Text that the old one does not have there. */
+    /** Text that is not copied from the old one. */
     record Insert(String text) implements Piece {}
   }
 
   /**
-   * Where texts are cut for the comparison: structured documents repeat whole objects, so that cuts
-   * at their beginnings find the same pieces again wherever they have moved to.
+   * Start of a segment for the comparison: structured documents repeat whole objects, so segments
+   * that begin with an object are found again wherever they have moved.
    */
   private static final char SEGMENT_START = '{';
 
-  /** Copies the pieces. */
+  /** Makes a defensive copy of the pieces. */
   public TextPatch {
     pieces = List.copyOf(pieces);
   }
 
-  /** The patch that makes the new text of the old one. */
+  /** Computes the patch from the old text to the new one. */
   public static TextPatch between(String oldText, String newText) {
     List<int[]> oldSegments = segments(oldText);
     Map<String, Integer> firstByText = new HashMap<>();
@@ -62,7 +63,7 @@
     return new TextPatch(pieces.all(), newText.length(), checksumOf(newText));
   }
 
-  /** The new text; empty if the old one is not that which the patch was made for. */
+  /** Applies the patch; empty if the old text is not the one the patch was made for. */
   public Optional<String> applyTo(String oldText) {
     StringBuilder text = new StringBuilder(length);
     for (Piece piece : pieces) {
@@ -84,7 +85,7 @@
     return isMatch ? Optional.of(result) : Optional.empty();
   }
 
-  /** Characters that the patch itself carries. */
+  /** Number of characters that the patch itself contains. */
   int insertedLength() {
     int inserted = 0;
     for (Piece piece : pieces) {
@@ -99,7 +100,7 @@
     return checksum.getValue();
   }
 
-  /** Ranges from one cut to the next: begin and end. */
+  /** Splits a text into segments, each as begin and end. */
   private static List<int[]> segments(String text) {
     List<int[]> segments = new ArrayList<>();
     int begin = 0;
@@ -116,7 +117,7 @@
     return text.substring(segment[0], segment[1]);
   }
 
-  /** Pieces, of which those that follow on each other are one. */
+  /** List of pieces that merges adjacent ones. */
   private static final class PieceList {
     private final List<Piece> done = new ArrayList<>();
     private final StringBuilder inserted = new StringBuilder();
--- a/umberpath-control/src/test/java/io/umberpath/control/store/BackendListingTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/store/BackendListingTest.java
@@ -13,7 +13,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** What an older copy of the store undoes of what a node believes of back ends, and what not. */
+/** Effects of a store that is restored from an older copy on the backends that a node uses. */
 final class BackendListingTest {
   private final BackendListing listing = new BackendListing();
 
@@ -30,7 +30,7 @@
     return entry(id, port, State.DRAINING, revision);
   }
 
-  /** Ids of the back ends that take new work, in order. */
+  /** Sorted ids of the backends that accept new requests. */
   private List<String> ready(long nowMillis, long era, long revision, Listed... listed) {
     return ready(update(listing, nowMillis, era, revision, Set.of(), listed));
   }
@@ -64,7 +64,7 @@
     assertThat(ready(90_000, 2, 40, ready("a", 80, 3), ready("b", 81, 4))).containsExactly("b");
   }
 
-  /** Revisions of the newer era pass that of the leaving: they are of another order. */
+  /** Revisions of the newer era exceed that of the departure, but are not comparable with it. */
   @Test
   void drainingBackendIsReadyAgainOnlyAfterItWritesInTheNewEra() {
     ready(0, 1, 10, ready("a", 80, 3));
@@ -116,7 +116,7 @@
     assertThat(ready(400, 2, 10)).isEmpty();
   }
 
-  /** The copy shows the start before at the address, which has ended since. */
+  /** The copy lists the previous backend at the address, which has ended since. */
   @Test
   void reusedAddressBelongsToTheLatestBackend() {
     ready(0, 1, 10, ready("old", 80, 3));
@@ -127,7 +127,7 @@
     assertThat(ready(90_000, 2, 12, ready("new", 80, 11))).containsExactly("new");
   }
 
-  /** The start before must not come back once the later one has gone. */
+  /** The previous backend must not be listed again once the later one is gone. */
   @Test
   void retainedEntryEndsWhenItsAddressIsReused() {
     ready(0, 1, 10, ready("old", 80, 3));
@@ -137,7 +137,9 @@
     assertThat(ready(400, 2, 4)).isEmpty();
   }
 
-  /** Entries lapse while the store is away, and are written again under the same start. */
+  /**
+   * Entries expire while the store is unavailable and are then rewritten by the same backend start.
+   */
   @Test
   void rewrittenExpiredEntryIsListedImmediately() {
     ready(0, 1, 10, ready("a", 80, 3));
--- a/umberpath-control/src/test/java/io/umberpath/control/store/ReaderElectionTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/store/ReaderElectionTest.java
@@ -9,8 +9,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A zone went without a reader for as long as its nodes waited for one that was not there. However
- * a node comes to be waited for in vain, another one reads within a bounded time.
+ * Guards against a zone that has no reader for as long as its nodes rely on one that does not read.
+ * Whatever the reason for relying on an inactive node, another one takes over within a bounded
+ * time.
  */
 final class ReaderElectionTest {
   private static final long TAKEOVER_STEP_MILLIS = 250;
--- a/umberpath-control/src/test/java/io/umberpath/control/store/RestoredStoreWatcherTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/store/RestoredStoreWatcherTest.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** A store that comes back from an older copy gives its revisions out again, in a newer era. */
+/** A store that is restored from an older copy issues the same revisions again, in a newer era. */
 final class RestoredStoreWatcherTest {
   private static final StoreWatcherSettings SETTINGS =
       new StoreWatcherSettings(4_000, 200, 100, 1_000);
@@ -43,7 +43,7 @@
     return ((Step.Call) watcher.next(0)).call();
   }
 
-  /** Holds revision 20 of era 1 and has just been told that the store does not have it. */
+  /** Holds revision 20 of era 1 and is then told that the store no longer has it. */
   private void expireHistory() {
     watcher.answered(0, page(position(1, 20), item("a", "1", 18), item("b", "1", 20)));
     call();
@@ -62,7 +62,7 @@
     assertThat(call()).isEqualTo(new StoreCall.Watch("", 18, 6_000));
   }
 
-  /** The revisions of the new era have passed the one that is held: nothing is refused. */
+  /** The revisions of the new era exceed the held one, so the watch is not rejected. */
   @Test
   void eventsOfANewerEraAreNotAppliedToAStateOfThePreviousEra() {
     watcher.answered(0, page(position(1, 20), item("a", "1", 18)));
@@ -89,7 +89,9 @@
     assertThat(call()).isEqualTo(new StoreCall.Watch("", 15, 6_000));
   }
 
-  /** An instance that has not been switched over yet, or an answer that was long under way. */
+  /**
+   * The response comes from a store instance that has not been switched over yet, or was delayed.
+   */
   @Test
   void responsesOfAPreviousEraAreIgnored() {
     expireHistory();
@@ -164,7 +166,7 @@
     assertThat(other.items()).containsExactly(large("new", 20));
   }
 
-  /** A store that names no era, or whose history goes again and again. */
+  /** The store states no era, or its history expires again and again. */
   @Test
   void readsBackOffWhenEveryWatchIsRejected() {
     int calls = 0;
--- a/umberpath-control/src/test/java/io/umberpath/control/store/StoreWatcherTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/store/StoreWatcherTest.java
@@ -38,7 +38,7 @@
     return new StateRequest(position(revision), StateRequest.NO_ITEM);
   }
 
-  /** An item long enough for patches, of which only the end differs. */
+  /** An item long enough for patches; its versions differ only at the end. */
   private static StoreItem large(int end, long revision) {
     return item("large", "{some text}".repeat(1_000) + "{" + end + "}", revision);
   }
@@ -89,7 +89,7 @@
     assertThat(watcher.at()).isEqualTo(position(12));
   }
 
-  /** When many back ends start at once each change should be heard soon. */
+  /** When many backends start at once, each change should be received quickly. */
   @Test
   void pollsQuicklyAFewTimesWhenChangesBegin() {
     StoreWatcher quick =
@@ -182,7 +182,7 @@
     assertThat(watcher.items()).containsExactly(item("a", "2", 15));
   }
 
-  /** A node that is behind takes the changes of another one and then holds the same. */
+  /** A node that is behind adopts the changes of another one and then holds the same state. */
   @Test
   void changesSinceARevisionSynchronizeAnotherWatcher() {
     StoreWatcher behind = new StoreWatcher("", SETTINGS, () -> 1);
@@ -202,7 +202,9 @@
     assertThat(behind.changesSince(since(10))).isEqualTo(changes);
   }
 
-  /** Removals before the last whole read are not known: who is further behind needs the whole. */
+  /**
+   * Removals before the last full read are unknown, so a node further behind needs the full state.
+   */
   @Test
   void nodeBehindTheLastFullReadGetsTheFullState() {
     watcher.answered(0, page(false, 10, item("a", "1", 3)));
@@ -270,7 +272,7 @@
     assertThat(between.items()).containsExactly(large(3, 9));
   }
 
-  /** Never a half state: the other changes that came with an unfit patch are not taken either. */
+  /** No partial state: the other changes that came with a mismatched patch are rejected too. */
   @Test
   void changesWithAMismatchedPatchAreRejectedEntirely() {
     watcher.answered(0, page(false, 5, large(1, 5)));
--- a/umberpath-control/src/test/java/io/umberpath/control/store/TextPatchTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/store/TextPatchTest.java
@@ -56,7 +56,7 @@
     }
   }
 
-  /** Short texts of few letters, so that pieces repeat and cuts stand side by side. */
+  /** Short texts over a small alphabet, so that segments repeat and separators are adjacent. */
   private String text() {
     StringBuilder text = new StringBuilder();
     int length = random.nextInt(24);
