--- a/umberpath-control/src/main/java/io/umberpath/control/membership/GossipRing.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/membership/GossipRing.java
@@ -12,19 +12,19 @@
  */
 public final class GossipRing {
   /** Nodes up to which each sends to every other one in each round. */
-  private static final int MAX_IN_ONE_ROUND = 5;
+  private static final int MAX_FULL_MESH_NODES = 5;
 
   /**
    * Nodes up to which a zone gossips; reports of more of them, passed on this often, would take
    * more bytes than reports from each to each.
    */
-  public static final int MAX_NODES = 36;
+  public static final int MAX_GOSSIP_NODES = 36;
 
   private GossipRing() {}
 
   /** Rounds in which a report reaches every node of a zone of so many, none being lost. */
-  public static int levels(int nodes) {
-    return nodes <= MAX_IN_ONE_ROUND ? 1 : 2;
+  public static int hops(int nodes) {
+    return nodes <= MAX_FULL_MESH_NODES ? 1 : 2;
   }
 
   /**
@@ -36,9 +36,9 @@
    */
   static List<String> receivers(List<String> ring, int position, int round) {
     int nodes = ring.size();
-    int levels = levels(nodes);
-    int radix = (int) Math.ceil(Math.pow(nodes, 1.0 / levels));
-    int step = (int) Math.pow(radix, Math.floorMod(round, levels));
+    int hops = hops(nodes);
+    int radix = (int) Math.ceil(Math.pow(nodes, 1.0 / hops));
+    int step = (int) Math.pow(radix, Math.floorMod(round, hops));
     List<String> receivers = new ArrayList<>();
     for (int distance = step; distance < nodes && distance < step * radix; distance += step) {
       receivers.add(ring.get((position + distance) % nodes));
--- a/umberpath-control/src/main/java/io/umberpath/control/membership/KnownPeers.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/membership/KnownPeers.java
@@ -25,30 +25,30 @@
   private static final class Peer {
     private Optional<String> zone = Optional.empty();
     private long silentMillis;
-    private long heardAtMillis;
-    private boolean listed;
+    private long lastHeardMillis;
+    private boolean isListed;
 
-    Peer(long heardAtMillis) {
-      this.heardAtMillis = heardAtMillis;
+    Peer(long lastHeardMillis) {
+      this.lastHeardMillis = lastHeardMillis;
     }
 
-    void place(ListedPeer entry) {
+    void setLocation(ListedPeer entry) {
       zone = Optional.of(entry.zone());
       silentMillis = entry.silentMillis();
     }
 
-    boolean isUnheard(long nowMillis, long millis) {
-      return heardAtMillis + millis < nowMillis;
+    boolean isSilentFor(long nowMillis, long millis) {
+      return lastHeardMillis + millis < nowMillis;
     }
   }
 
   private final String self;
-  private final long unlistedMillis;
-  private final long ownPauseMillis;
+  private final long unlistedRetentionMillis;
+  private final long pauseThresholdMillis;
   private final Map<String, Peer> peers = new HashMap<>();
 
   /** Silence of a node that was never listed and may be in any zone: the longest of the others. */
-  private long unplacedSilentMillis;
+  private long unknownZoneSilentMillis;
 
   private long lastTickMillis = -1;
 
@@ -59,11 +59,11 @@
    * @param unlistedMillis how long a node that is not listed is known after its last report
    * @param ownPauseMillis gap between two ticks from which on this node itself stood still
    */
-  public KnownPeers(String self, long unlistedMillis, long ownPauseMillis) {
+  public KnownPeers(String self, long unlistedRetentionMillis, long pauseThresholdMillis) {
     this.self = self;
-    this.unlistedMillis = unlistedMillis;
-    this.unplacedSilentMillis = unlistedMillis;
-    this.ownPauseMillis = ownPauseMillis;
+    this.unlistedRetentionMillis = unlistedRetentionMillis;
+    this.unknownZoneSilentMillis = unlistedRetentionMillis;
+    this.pauseThresholdMillis = pauseThresholdMillis;
   }
 
   /**
@@ -71,37 +71,42 @@
    * heard of.
    */
   public void replace(long nowMillis, Map<String, ListedPeer> listed) {
-    unplacedSilentMillis =
-        listed.values().stream().mapToLong(ListedPeer::silentMillis).max().orElse(unlistedMillis);
-    peers.forEach((address, peer) -> peer.listed &= listed.containsKey(address));
+    unknownZoneSilentMillis =
+        listed.values().stream()
+            .mapToLong(ListedPeer::silentMillis)
+            .max()
+            .orElse(unlistedRetentionMillis);
+    peers.forEach((address, peer) -> peer.isListed &= listed.containsKey(address));
     listed.forEach(
         (address, entry) -> {
           if (!address.equals(self)) {
             Peer peer = peers.computeIfAbsent(address, absent -> new Peer(nowMillis));
-            peer.listed = true;
-            peer.place(entry);
+            peer.isListed = true;
+            peer.setLocation(entry);
           }
         });
     forgetUnlisted(nowMillis);
   }
 
   private void forgetUnlisted(long nowMillis) {
-    peers.values().removeIf(peer -> !peer.listed && peer.isUnheard(nowMillis, unlistedMillis));
+    peers
+        .values()
+        .removeIf(peer -> !peer.isListed && peer.isSilentFor(nowMillis, unlistedRetentionMillis));
   }
 
   /** A node was there at a time, as it said itself or as another node heard. */
   public void heard(long atMillis, String address) {
     if (!address.equals(self)) {
       Peer peer = peers.computeIfAbsent(address, absent -> new Peer(atMillis));
-      peer.heardAtMillis = Math.max(peer.heardAtMillis, atMillis);
+      peer.lastHeardMillis = Math.max(peer.lastHeardMillis, atMillis);
     }
   }
 
   /** Takes what a node that is not listed says of itself. */
   public void place(String address, ListedPeer stated) {
     Peer peer = peers.get(address);
-    if (peer != null && !peer.listed) {
-      peer.place(stated);
+    if (peer != null && !peer.isListed) {
+      peer.setLocation(stated);
     }
   }
 
@@ -109,9 +114,9 @@
   public void tick(long nowMillis) {
     long gap = lastTickMillis < 0 ? 0 : nowMillis - lastTickMillis;
     lastTickMillis = nowMillis;
-    if (gap > ownPauseMillis) {
+    if (gap > pauseThresholdMillis) {
       for (Peer peer : peers.values()) {
-        peer.heardAtMillis = Math.min(nowMillis, peer.heardAtMillis + gap);
+        peer.lastHeardMillis = Math.min(nowMillis, peer.lastHeardMillis + gap);
       }
     }
     forgetUnlisted(nowMillis);
@@ -122,8 +127,8 @@
     Set<String> silent = new HashSet<>();
     peers.forEach(
         (address, peer) -> {
-          long millis = peer.zone.isEmpty() ? unplacedSilentMillis : peer.silentMillis;
-          if (peer.isUnheard(nowMillis, millis)) {
+          long millis = peer.zone.isEmpty() ? unknownZoneSilentMillis : peer.silentMillis;
+          if (peer.isSilentFor(nowMillis, millis)) {
             silent.add(address);
           }
         });
@@ -132,14 +137,14 @@
 
   /** Of some addresses, those that have not been heard of for so long. */
   public Set<String> unheard(Collection<String> addresses, long nowMillis, long millis) {
-    Set<String> unheard = new HashSet<>();
+    Set<String> silent = new HashSet<>();
     for (String address : addresses) {
       Peer peer = peers.get(address);
-      if (peer != null && peer.isUnheard(nowMillis, millis)) {
-        unheard.add(address);
+      if (peer != null && peer.isSilentFor(nowMillis, millis)) {
+        silent.add(address);
       }
     }
-    return unheard;
+    return silent;
   }
 
   /** The zone in which a node is or last was, as listed or as it said itself; empty if unknown. */
--- a/umberpath-control/src/main/java/io/umberpath/control/membership/Rendezvous.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/membership/Rendezvous.java
@@ -11,9 +11,9 @@
  */
 public final class Rendezvous {
   /** Finalizer of MurmurHash3 (32 bits), which spreads the weak hash of a string. */
-  private static final int MIX_1 = 0x85ebca6b;
+  private static final int MULTIPLIER_1 = 0x85ebca6b;
 
-  private static final int MIX_2 = 0xc2b2ae35;
+  private static final int MULTIPLIER_2 = 0xc2b2ae35;
 
   private Rendezvous() {}
 
@@ -35,8 +35,8 @@
 
   private static int weight(String member, String task) {
     int hash = (member + '/' + task).hashCode();
-    hash = (hash ^ (hash >>> 16)) * MIX_1;
-    hash = (hash ^ (hash >>> 13)) * MIX_2;
+    hash = (hash ^ (hash >>> 16)) * MULTIPLIER_1;
+    hash = (hash ^ (hash >>> 13)) * MULTIPLIER_2;
     return hash ^ (hash >>> 16);
   }
 }
--- a/umberpath-control/src/main/java/io/umberpath/control/membership/ReportSchedule.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/membership/ReportSchedule.java
@@ -17,7 +17,7 @@
  */
 public final class ReportSchedule {
   /** Nodes of a large zone that a node reports to in one round at most. */
-  public static final int MAX_NEAR_RECEIVERS = 40;
+  public static final int MAX_DIRECT_RECEIVERS = 40;
 
   /** Delegates of a zone for each other zone; with two, one may be lost without a gap. */
   public static final int DELEGATES = 2;
@@ -36,10 +36,10 @@
 
   private final String self;
   private final int phase;
-  private Duties duties;
-  private int nextNear;
+  private Assignment assignment;
+  private int nextDirectIndex;
   private int round;
-  private int relayTurn;
+  private int relayCount;
 
   /** Creates the schedule of the node at an address. */
   public ReportSchedule(String self) {
@@ -61,47 +61,48 @@
       Collection<String> near,
       Map<String, List<String>> far,
       Set<String> ineligible,
-      Set<String> quiet) {
-    if (duties == null || !duties.holdFor(near, far, ineligible)) {
-      duties = duties(near, far, ineligible);
+      Set<String> suspects) {
+    if (assignment == null || !assignment.isValidFor(near, far, ineligible)) {
+      assignment = assign(near, far, ineligible);
     }
-    boolean gossips = duties.ordered().size() <= GossipRing.MAX_NODES;
-    List<String> reportTo = gossips ? List.of() : nearReceivers(duties.ordered());
-    List<String> gossipTo = gossips ? gossipReceivers(duties.ordered(), quiet) : List.of();
+    boolean usesGossip = assignment.ordered().size() <= GossipRing.MAX_GOSSIP_NODES;
+    List<String> reportTo = usesGossip ? List.of() : directReceivers(assignment.ordered());
+    List<String> gossipTo =
+        usesGossip ? gossipReceivers(assignment.ordered(), suspects) : List.of();
     List<String> digestTo = new ArrayList<>();
     if (Math.floorMod(round, ROUNDS_PER_DIGEST) == phase) {
-      int turn = round / ROUNDS_PER_DIGEST;
-      for (String zone : duties.zones()) {
-        digestTo.add(receiver(zone, far.get(zone), ineligible, turn));
+      int rotation = round / ROUNDS_PER_DIGEST;
+      for (String zone : assignment.zones()) {
+        digestTo.add(receiver(zone, far.get(zone), ineligible, rotation));
       }
     }
     round++;
     return new Round(reportTo, gossipTo, digestTo);
   }
 
-  private List<String> gossipReceivers(List<String> ordered, Set<String> quiet) {
+  private List<String> gossipReceivers(List<String> ordered, Set<String> suspects) {
     List<String> ring = new ArrayList<>(ordered.size());
-    List<String> doubtful = new ArrayList<>();
+    List<String> suspectsOnRing = new ArrayList<>();
     for (String host : ordered) {
-      (quiet.contains(host) ? doubtful : ring).add(host);
+      (suspects.contains(host) ? suspectsOnRing : ring).add(host);
     }
     List<String> receivers = GossipRing.receivers(ring, ring.indexOf(self), round);
-    if (!doubtful.isEmpty()) {
-      receivers.add(doubtful.get(Math.floorMod(round, doubtful.size())));
+    if (!suspectsOnRing.isEmpty()) {
+      receivers.add(suspectsOnRing.get(Math.floorMod(round, suspectsOnRing.size())));
     }
     return receivers;
   }
 
-  private List<String> nearReceivers(List<String> ordered) {
+  private List<String> directReceivers(List<String> ordered) {
     List<String> receivers = new ArrayList<>();
-    int count = Math.min(MAX_NEAR_RECEIVERS + 1, ordered.size());
+    int count = Math.min(MAX_DIRECT_RECEIVERS + 1, ordered.size());
     for (int index = 0; index < count; index++) {
-      receivers.add(ordered.get(Math.floorMod(nextNear + index, ordered.size())));
+      receivers.add(ordered.get(Math.floorMod(nextDirectIndex + index, ordered.size())));
     }
     if (!receivers.remove(self)) {
       receivers.remove(receivers.size() - 1);
     }
-    nextNear = Math.floorMod(nextNear + MAX_NEAR_RECEIVERS, ordered.size());
+    nextDirectIndex = Math.floorMod(nextDirectIndex + MAX_DIRECT_RECEIVERS, ordered.size());
     return receivers;
   }
 
@@ -114,49 +115,49 @@
    * @param ordered the nodes of the own zone in order, this one among them
    * @param zones zones for which this node is a delegate
    */
-  private record Duties(
+  private record Assignment(
       Collection<String> near,
       Map<String, List<String>> far,
       Set<String> ineligible,
       List<String> ordered,
       List<String> zones) {
-    boolean holdFor(
+    boolean isValidFor(
         Collection<String> near, Map<String, List<String>> far, Set<String> ineligible) {
       return this.near == near && this.far == far && this.ineligible == ineligible;
     }
   }
 
-  private Duties duties(
+  private Assignment assign(
       Collection<String> near, Map<String, List<String>> far, Set<String> ineligible) {
-    Set<String> electable = new HashSet<>(near);
-    electable.removeAll(ineligible);
-    electable.add(self);
+    Set<String> eligible = new HashSet<>(near);
+    eligible.removeAll(ineligible);
+    eligible.add(self);
     List<String> zones = new ArrayList<>();
     for (String zone : far.keySet()) {
-      if (Rendezvous.first(DELEGATES, electable, zone).contains(self)) {
+      if (Rendezvous.first(DELEGATES, eligible, zone).contains(self)) {
         zones.add(zone);
       }
     }
     Set<String> ordered = new TreeSet<>(near);
     ordered.add(self);
-    return new Duties(near, far, ineligible, List.copyOf(ordered), zones);
+    return new Assignment(near, far, ineligible, List.copyOf(ordered), zones);
   }
 
   /** One reachable node of each other zone, for news that it is to relay there at once. */
   public List<String> relays(Map<String, List<String>> far, Set<String> silent) {
-    int turn = relayTurn++;
+    int rotation = relayCount++;
     List<String> relays = new ArrayList<>();
-    far.forEach((zone, hosts) -> relays.add(receiver(zone, hosts, silent, turn)));
+    far.forEach((zone, hosts) -> relays.add(receiver(zone, hosts, silent, rotation)));
     return relays;
   }
 
   /** Another one each time, so that one that is lost, or does not relay, costs a single digest. */
-  private String receiver(String zone, List<String> hosts, Set<String> silent, int turn) {
+  private String receiver(String zone, List<String> hosts, Set<String> silent, int rotation) {
     List<String> reachable =
         hosts.stream().filter(host -> !silent.contains(host)).sorted().toList();
-    List<String> choice = reachable.isEmpty() ? hosts : reachable;
+    List<String> candidates = reachable.isEmpty() ? hosts : reachable;
     int offset = (self + '/' + zone).hashCode();
-    return choice.get(Math.floorMod(offset + turn, choice.size()));
+    return candidates.get(Math.floorMod(offset + rotation, candidates.size()));
   }
 
   /**
@@ -166,6 +167,6 @@
    */
   static int roundsBetweenReports(int zoneNodes) {
     int others = Math.max(1, zoneNodes - 1);
-    return (others + MAX_NEAR_RECEIVERS - 1) / MAX_NEAR_RECEIVERS;
+    return (others + MAX_DIRECT_RECEIVERS - 1) / MAX_DIRECT_RECEIVERS;
   }
 }
--- a/umberpath-control/src/main/java/io/umberpath/control/membership/SilenceTimes.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/membership/SilenceTimes.java
@@ -29,18 +29,18 @@
   private static final int MISSED_DIGESTS = 2;
 
   /** What a report or digest may be late by, milliseconds. */
-  private static final long LATE_MILLIS = 150;
+  private static final long MAX_DELAY_MILLIS = 150;
 
   /** The times of a node whose zone has so many nodes, itself included. */
   public static SilenceTimes of(int zoneNodes) {
-    boolean relayed = zoneNodes <= GossipRing.MAX_NODES && GossipRing.levels(zoneNodes) > 1;
-    int between =
-        relayed ? GossipRing.levels(zoneNodes) : ReportSchedule.roundsBetweenReports(zoneNodes);
-    int rounds = relayed ? 2 * between + SPARE_ROUNDS : MISSED_REPORTS * between;
-    int quietRounds = relayed ? between + 1 : rounds;
-    long near = rounds * ROUND_MILLIS + LATE_MILLIS;
+    boolean isGossiped = zoneNodes <= GossipRing.MAX_GOSSIP_NODES && GossipRing.hops(zoneNodes) > 1;
+    int roundsBetween =
+        isGossiped ? GossipRing.hops(zoneNodes) : ReportSchedule.roundsBetweenReports(zoneNodes);
+    int rounds = isGossiped ? 2 * roundsBetween + SPARE_ROUNDS : MISSED_REPORTS * roundsBetween;
+    int quietRounds = isGossiped ? roundsBetween + 1 : rounds;
+    long near = rounds * ROUND_MILLIS + MAX_DELAY_MILLIS;
     long digests = MISSED_DIGESTS * ReportSchedule.ROUNDS_PER_DIGEST * ROUND_MILLIS;
-    long quiet = quietRounds * ROUND_MILLIS + LATE_MILLIS;
-    return new SilenceTimes(near, near + digests + LATE_MILLIS, quiet);
+    long quiet = quietRounds * ROUND_MILLIS + MAX_DELAY_MILLIS;
+    return new SilenceTimes(near, near + digests + MAX_DELAY_MILLIS, quiet);
   }
 }
--- a/umberpath-control/src/test/java/io/umberpath/control/membership/KnownPeersTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/membership/KnownPeersTest.java
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void eachIsSilentAfterItsOwnTime() {
+  void eachPeerBecomesSilentAfterItsOwnTimeout() {
     run(0, 2_000);
 
     assertThat(peers.silent(2_000)).containsExactly("a");
@@ -35,14 +35,14 @@
   }
 
   @Test
-  void whoReportsIsNotSilent() {
+  void reportingPeersAreNotSilent() {
     run(0, 6_000, "a", "b");
 
     assertThat(peers.silent(6_000)).isEmpty();
   }
 
   @Test
-  void aPauseOfThisNodeCountsForNobody() {
+  void pauseOfThisNodeMakesNoPeerSilent() {
     run(0, 2_000, "a", "b");
     peers.tick(8_000);
 
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void whoIsNotListedButReportsIsReportedTo() {
+  void unlistedPeerIsKnownWhileItReports() {
     run(0, 500, "a", "unlisted");
 
     assertThat(peers.others()).containsExactlyInAnyOrder("a", "b", "unlisted");
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void whoIsNoLongerListedIsReportedToWhileItReports() {
+  void delistedPeerIsKnownWhileItReports() {
     run(0, 500, "a", "b");
     peers.replace(750, Map.of("b", in("z", 900)));
     assertThat(peers.others()).containsExactlyInAnyOrder("a", "b");
@@ -73,7 +73,7 @@
 
   /** Its entry lapses some seconds after a node has died: that is no sign of life. */
   @Test
-  void whoDiedStaysSilentWhenItIsNoLongerListed() {
+  void failedPeerStaysSilentAfterItIsDelisted() {
     run(0, 2_000, "b");
     assertThat(peers.silent(2_000)).containsExactly("a");
 
@@ -84,7 +84,7 @@
 
   /** No report travels through a node that has not been heard of, listed or not. */
   @Test
-  void whoIsNoLongerListedIsUnheardOfAllTheSame() {
+  void delistedPeerStillCountsAsSilent() {
     run(0, 2_000, "b");
     peers.replace(2_250, Map.of("self", in("z", 900), "b", in("z", 4_000)));
 
@@ -93,7 +93,7 @@
 
   /** Where no node is listed yet, each would read the store beside all others. */
   @Test
-  void whoIsNotListedIsWhereItSaysItIs() {
+  void unlistedPeerIsInTheZoneThatItStates() {
     peers.heard(0, "c");
     assertThat(peers.zoneOf("c")).isEmpty();
 
@@ -108,7 +108,7 @@
 
   /** Its entry may come back before the node does: that is no sign of life either. */
   @Test
-  void whoIsListedAgainIsSilentUntilItIsHeardOf() {
+  void relistedPeerIsSilentUntilItReports() {
     run(0, 2_000, "b");
     peers.replace(2_250, Map.of("self", in("z", 900), "b", in("z", 4_000)));
     peers.replace(2_500, LISTED);
@@ -121,7 +121,7 @@
 
   /** A report that arrived before the clock was looked at after a pause is not from the future. */
   @Test
-  void aPauseOfThisNodePutsNoReportIntoTheFuture() {
+  void pauseOfThisNodeMovesNoReportIntoTheFuture() {
     run(0, 2_000, "a", "b");
     peers.heard(22_000, "a");
     peers.tick(22_000);
--- a/umberpath-control/src/test/java/io/umberpath/control/membership/MembershipAtScaleTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/membership/MembershipAtScaleTest.java
@@ -27,10 +27,10 @@
     private final String zone;
     private final KnownPeers known;
     private final ReportSchedule schedule;
-    private final List<String> near = new ArrayList<>();
-    private final Map<String, List<String>> far = new HashMap<>();
-    private final Map<String, Long> nearHeardAt = new HashMap<>();
-    private SilenceTimes times;
+    private final List<String> sameZone = new ArrayList<>();
+    private final Map<String, List<String>> otherZones = new HashMap<>();
+    private final Map<String, Long> sameZoneHeardAt = new HashMap<>();
+    private SilenceTimes timeouts;
     private Set<String> silent = Set.of();
     private boolean isDead;
     private long sent;
@@ -65,14 +65,14 @@
       for (Node other : nodes.values()) {
         if (other.zone.equals(node.zone)) {
           if (other != node) {
-            node.near.add(other.host);
+            node.sameZone.add(other.host);
           }
         } else {
-          node.far.computeIfAbsent(other.zone, absent -> new ArrayList<>()).add(other.host);
+          node.otherZones.computeIfAbsent(other.zone, absent -> new ArrayList<>()).add(other.host);
         }
       }
-      SilenceTimes times = SilenceTimes.of(node.near.size() + 1);
-      node.times = times;
+      SilenceTimes times = SilenceTimes.of(node.sameZone.size() + 1);
+      node.timeouts = times;
       Map<String, KnownPeers.ListedPeer> listed = new HashMap<>();
       for (Node other : nodes.values()) {
         boolean isNear = other.zone.equals(node.zone);
@@ -94,20 +94,21 @@
 
   private void send(long now, Node node) {
     Set<String> silent = node.silent(now);
-    Set<String> quiet = node.known.unheard(node.near, now, node.times.quietMillis());
-    ReportSchedule.Round round = node.schedule.next(node.near, node.far, silent, quiet);
-    boolean passesOn = !round.gossipTo().isEmpty() || !round.digestTo().isEmpty();
-    Map<String, Long> digest = passesOn ? digest(now, node, silent) : Map.of();
+    Set<String> suspects = node.known.unheard(node.sameZone, now, node.timeouts.quietMillis());
+    ReportSchedule.Round round =
+        node.schedule.next(node.sameZone, node.otherZones, silent, suspects);
+    boolean needsDigest = !round.gossipTo().isEmpty() || !round.digestTo().isEmpty();
+    Map<String, Long> digest = needsDigest ? digest(now, node, silent) : Map.of();
     for (String host : round.gossipTo()) {
       Node receiver = nodes.get(host);
       if (arrives(node, receiver)) {
-        hear(receiver, digest);
+        receive(receiver, digest);
       }
     }
     for (String host : round.reportTo()) {
       Node receiver = nodes.get(host);
       if (arrives(node, receiver)) {
-        hear(receiver, Map.of(node.host, now));
+        receive(receiver, Map.of(node.host, now));
       }
     }
     for (String host : round.digestTo()) {
@@ -118,18 +119,18 @@
     }
   }
 
-  private static void hear(Node receiver, Map<String, Long> reports) {
+  private static void receive(Node receiver, Map<String, Long> reports) {
     reports.forEach(
         (host, at) -> {
           receiver.known.heard(at, host);
           if (!host.equals(receiver.host)) {
-            receiver.nearHeardAt.merge(host, at, Math::max);
+            receiver.sameZoneHeardAt.merge(host, at, Math::max);
           }
         });
   }
 
   private Map<String, Long> digest(long now, Node node, Set<String> silent) {
-    Map<String, Long> digest = new HashMap<>(node.nearHeardAt);
+    Map<String, Long> digest = new HashMap<>(node.sameZoneHeardAt);
     digest.keySet().removeAll(silent);
     digest.put(node.host, now);
     return digest;
@@ -137,7 +138,7 @@
 
   private void relay(Map<String, Long> digest, Node relay) {
     digest.forEach((host, at) -> relay.known.heard(at, host));
-    for (String near : relay.near) {
+    for (String near : relay.sameZone) {
       Node receiver = nodes.get(near);
       if (arrives(relay, receiver)) {
         digest.forEach((host, at) -> receiver.known.heard(at, host));
@@ -153,7 +154,7 @@
 
   @ParameterizedTest
   @CsvSource({"10, 3", "74, 3", "95, 7", "100, 7", "300, 7", "300, 3", "1000, 8"})
-  void noHealthyNodeIsTakenForSilentAndMessagesStayBounded(int size, int zones) {
+  void noHealthyNodeIsSilentAndMessagesStayBounded(int size, int zones) {
     loss = 0.05;
     build(size, zones);
 
@@ -168,16 +169,18 @@
     }
 
     long sent = nodes.values().stream().mapToLong(node -> node.sent).sum();
-    double each = sent / (double) size / (RUN_MILLIS / 1_000.0);
+    double messagesPerSecond = sent / (double) size / (RUN_MILLIS / 1_000.0);
     int zoneSize = size / zones;
     // Gossip of a round goes to five others at most, reports of a large zone to forty.
-    int nearEach = zoneSize < GossipRing.MAX_NODES ? 5 : ReportSchedule.MAX_NEAR_RECEIVERS;
-    assertThat(each).isLessThan(4 * nearEach + 3 * ReportSchedule.DELEGATES * zones + 4);
+    int messagesPerRound =
+        zoneSize < GossipRing.MAX_GOSSIP_NODES ? 5 : ReportSchedule.MAX_DIRECT_RECEIVERS;
+    assertThat(messagesPerSecond)
+        .isLessThan(4 * messagesPerRound + 3 * ReportSchedule.DELEGATES * zones + 4);
   }
 
   @ParameterizedTest
   @CsvSource({"10, 3", "95, 7", "300, 7", "1000, 8"})
-  void nodesThatDieAreSilentToAllOthersWithinTheTimesOfTheirZone(int size, int zones) {
+  void failedNodesBecomeSilentToAllOthersWithinTheTimeoutsOfTheirZone(int size, int zones) {
     build(size, zones);
     for (long now = 0; now < 5_000; now += SilenceTimes.ROUND_MILLIS) {
       round(now);
