--- a/umberpath-control/src/main/java/io/umberpath/control/membership/KnownPeers.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/membership/KnownPeers.java
@@ -8,17 +8,17 @@
 import java.util.Set;
 
 /**
- * The other nodes that this one exchanges reports with: those that the store lists, and unlisted
- * ones that report. Each is silent after a time of its own since it was last heard of; whether it
- * is listed is no sign of life. A pause of this node itself counts for none of them. Owner
- * synchronizes.
+ * The other nodes that this node exchanges reports with: those listed in the store, and unlisted
+ * ones that report. Each peer becomes silent after its own timeout since it was last heard from;
+ * being listed is no evidence that it is alive. A pause of this node itself makes no peer silent.
+ * The owner synchronizes access.
  */
 public final class KnownPeers {
   /**
-   * Where a node is.
+   * Location and timeout of a node.
    *
-   * @param zone its zone
-   * @param silentMillis silence after which it counts as out of reach, milliseconds
+   * @param zone zone of the node
+   * @param silentMillis silence after which it counts as unreachable, milliseconds
    */
   public record ListedPeer(String zone, long silentMillis) {}
 
@@ -47,17 +47,20 @@
   private final long pauseThresholdMillis;
   private final Map<String, Peer> peers = new HashMap<>();
 
-  /** Silence of a node that was never listed and may be in any zone: the longest of the others. */
+  /**
+   * Timeout of a node that was never listed and may be in any zone: the longest timeout of the
+   * others.
+   */
   private long unknownZoneSilentMillis;
 
   private long lastTickMillis = -1;
 
   /**
-   * Creates a set without peers.
+   * Creates an empty set of peers.
    *
    * @param self address of this node, which is never silent
-   * @param unlistedMillis how long a node that is not listed is known after its last report
-   * @param ownPauseMillis gap between two ticks from which on this node itself stood still
+   * @param unlistedRetentionMillis how long an unlisted node is retained after its last report
+   * @param pauseThresholdMillis gap between two ticks above which this node itself was paused
    */
   public KnownPeers(String self, long unlistedRetentionMillis, long pauseThresholdMillis) {
     this.self = self;
@@ -66,10 +69,7 @@
     this.pauseThresholdMillis = pauseThresholdMillis;
   }
 
-  /**
-   * The nodes that are listed now, by address. Those that were not known have the whole time to be
-   * heard of.
-   */
+  /** Replaces the listed nodes, by address. For newly known ones the full timeout starts now. */
   public void replace(long nowMillis, Map<String, ListedPeer> listed) {
     unknownZoneSilentMillis =
         listed.values().stream()
@@ -94,7 +94,7 @@
         .removeIf(peer -> !peer.isListed && peer.isSilentFor(nowMillis, unlistedRetentionMillis));
   }
 
-  /** A node was there at a time, as it said itself or as another node heard. */
+  /** Records that a node was alive at a time, as reported by itself or by another node. */
   public void heard(long atMillis, String address) {
     if (!address.equals(self)) {
       Peer peer = peers.computeIfAbsent(address, absent -> new Peer(atMillis));
@@ -102,7 +102,7 @@
     }
   }
 
-  /** Takes what a node that is not listed says of itself. */
+  /** Updates the location of an unlisted node from its own report. */
   public void place(String address, ListedPeer stated) {
     Peer peer = peers.get(address);
     if (peer != null && !peer.isListed) {
@@ -110,7 +110,7 @@
     }
   }
 
-  /** Lets time pass; to be called regularly. */
+  /** Accounts for the passage of time; must be called regularly. */
   public void tick(long nowMillis) {
     long gap = lastTickMillis < 0 ? 0 : nowMillis - lastTickMillis;
     lastTickMillis = nowMillis;
@@ -122,7 +122,7 @@
     forgetUnlisted(nowMillis);
   }
 
-  /** Addresses that have been silent for too long, listed or not. */
+  /** Addresses of the peers that are silent, listed or not. */
   public Set<String> silent(long nowMillis) {
     Set<String> silent = new HashSet<>();
     peers.forEach(
@@ -135,7 +135,7 @@
     return silent;
   }
 
-  /** Of some addresses, those that have not been heard of for so long. */
+  /** Of the given addresses, those that have not been heard from for the given time. */
   public Set<String> unheard(Collection<String> addresses, long nowMillis, long millis) {
     Set<String> silent = new HashSet<>();
     for (String address : addresses) {
@@ -147,13 +147,13 @@
     return silent;
   }
 
-  /** The zone in which a node is or last was, as listed or as it said itself; empty if unknown. */
+  /** The current or last zone of a node, as listed or as stated by the node; empty if unknown. */
   public Optional<String> zoneOf(String address) {
     Peer peer = peers.get(address);
     return peer == null ? Optional.empty() : peer.zone;
   }
 
-  /** All addresses, listed or not, but this node's own. */
+  /** All addresses except this node's own, listed or not. */
   public Set<String> others() {
     return new HashSet<>(peers.keySet());
   }
--- a/umberpath-control/src/main/java/io/umberpath/control/membership/Rendezvous.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/membership/Rendezvous.java
@@ -5,12 +5,15 @@
 import java.util.List;
 
 /**
- * Highest random weight hashing (rendezvous hashing): nodes that know the same members choose the
- * same few of them for a task without a message about it. When a member comes or goes, only tasks
- * of that member change hands.
+ * Rendezvous hashing (highest random weight): nodes that know the same members select the same few
+ * of them for a task without exchanging messages. When a member joins or leaves, only that member's
+ * tasks move.
  */
 public final class Rendezvous {
-  /** Finalizer of MurmurHash3 (32 bits), which spreads the weak hash of a string. */
+  /**
+   * Multipliers of the MurmurHash3 finalizer (32 bits), which distributes the weak hash of a
+   * string.
+   */
   private static final int MULTIPLIER_1 = 0x85ebca6b;
 
   private static final int MULTIPLIER_2 = 0xc2b2ae35;
@@ -18,16 +21,16 @@
   private Rendezvous() {}
 
   /**
-   * The members that come first for a task.
+   * The highest-ranked members for a task.
    *
-   * @param count how many at most
+   * @param count maximum number of members
    * @param task name of the task
    */
   public static List<String> first(int count, Collection<String> members, String task) {
     return members.stream().sorted(order(task)).limit(count).toList();
   }
 
-  /** The order of members for a task. */
+  /** The ranking of members for a task. */
   public static Comparator<String> order(String task) {
     return Comparator.<String>comparingInt(member -> weight(member, task))
         .thenComparing(Comparator.naturalOrder());
--- a/umberpath-control/src/main/java/io/umberpath/control/membership/ReportSchedule.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/membership/ReportSchedule.java
@@ -9,28 +9,29 @@
 import java.util.TreeSet;
 
 /**
- * Whom a node reports to in each round. Within a zone a node sends the latest reports that it holds
- * of the zone along a {@link GossipRing}; in a large one its own to all others, in turn. Between
- * zones a few delegates of each zone send a digest of all of its nodes to one node there, which
- * relays it. So the longest time between two reports of a node is fixed, and the messages of a node
- * do not grow with the number of nodes elsewhere. Owner synchronizes.
+ * Selects the receivers of a node's reports in each round. Within a zone a node sends the latest
+ * reports of the zone that it holds along a {@link GossipRing}; in a large zone it sends its own
+ * report to all other nodes in turn. Between zones a few delegates of each zone send a digest of
+ * all nodes of their zone to one node of the other zone, which relays it. The longest time between
+ * two reports of a node is therefore fixed, and the number of messages that a node sends does not
+ * grow with the number of nodes elsewhere. The owner synchronizes access.
  */
 public final class ReportSchedule {
-  /** Nodes of a large zone that a node reports to in one round at most. */
+  /** Maximum number of nodes of a large zone that a node reports to in one round. */
   public static final int MAX_DIRECT_RECEIVERS = 40;
 
-  /** Delegates of a zone for each other zone; with two, one may be lost without a gap. */
+  /** Delegates of a zone for each other zone; with two, the loss of one causes no gap. */
   public static final int DELEGATES = 2;
 
-  /** Rounds from one digest of a delegate to its next. */
+  /** Number of rounds between two digests of a delegate. */
   public static final int ROUNDS_PER_DIGEST = 4;
 
   /**
-   * One round.
+   * The receivers of one round.
    *
-   * @param reportTo nodes of the own zone that get this node's own report
-   * @param gossipTo nodes of the own zone that get the latest reports of the zone
-   * @param digestTo nodes of other zones that get a digest of the own zone
+   * @param reportTo nodes of this node's zone that get its own report
+   * @param gossipTo nodes of this node's zone that get the latest reports of the zone
+   * @param digestTo nodes of other zones that get a digest of this node's zone
    */
   public record Round(List<String> reportTo, List<String> gossipTo, List<String> digestTo) {}
 
@@ -41,21 +42,22 @@
   private int round;
   private int relayCount;
 
-  /** Creates the schedule of the node at an address. */
+  /** Creates the schedule for the node at an address. */
   public ReportSchedule(String self) {
     this.self = self;
     this.phase = Math.floorMod(self.hashCode(), ROUNDS_PER_DIGEST);
   }
 
   /**
-   * The next round.
+   * Computes the next round.
    *
-   * @param near the other nodes of the own zone
-   * @param far the nodes of each other zone
-   * @param ineligible nodes that are out of reach, or of a zone that is not known: they do not
-   *     count as delegates, nor get digests while others are left
-   * @param quiet nodes of the own zone that may be out of reach, silent ones among them: no report
-   *     travels through them, but one of them in turn is sent to, in case it is there
+   * @param near the other nodes of this node's zone
+   * @param far the nodes of each other zone, by zone
+   * @param ineligible nodes that are unreachable or whose zone is unknown: they are not chosen as
+   *     delegates and get no digests while others are available
+   * @param suspects nodes of this node's zone that may be unreachable, including silent ones: no
+   *     report is forwarded through them, but one of them in turn receives the reports in case it
+   *     is alive
    */
   public Round next(
       Collection<String> near,
@@ -82,13 +84,13 @@
 
   private List<String> gossipReceivers(List<String> ordered, Set<String> suspects) {
     List<String> ring = new ArrayList<>(ordered.size());
-    List<String> suspectsOnRing = new ArrayList<>();
+    List<String> excluded = new ArrayList<>();
     for (String host : ordered) {
-      (suspects.contains(host) ? suspectsOnRing : ring).add(host);
+      (suspects.contains(host) ? excluded : ring).add(host);
     }
     List<String> receivers = GossipRing.receivers(ring, ring.indexOf(self), round);
-    if (!suspectsOnRing.isEmpty()) {
-      receivers.add(suspectsOnRing.get(Math.floorMod(round, suspectsOnRing.size())));
+    if (!excluded.isEmpty()) {
+      receivers.add(excluded.get(Math.floorMod(round, excluded.size())));
     }
     return receivers;
   }
@@ -107,12 +109,12 @@
   }
 
   /**
-   * What this node has to do while the nodes stay the same ones: ranking them costs some hundred
-   * hashes, which are not made again each round.
+   * The tasks of this node for an unchanged set of nodes. Cached because ranking the nodes takes
+   * some hundred hashes, which would otherwise be repeated each round.
    *
-   * @param near the nodes that it was worked out from; compared by identity, as callers pass the
-   *     same collections on until something changes
-   * @param ordered the nodes of the own zone in order, this one among them
+   * @param near the nodes that it was computed from; compared by identity, because callers pass the
+   *     same collections until something changes
+   * @param ordered the nodes of this node's zone in order, including this node
    * @param zones zones for which this node is a delegate
    */
   private record Assignment(
@@ -143,7 +145,7 @@
     return new Assignment(near, far, ineligible, List.copyOf(ordered), zones);
   }
 
-  /** One reachable node of each other zone, for news that it is to relay there at once. */
+  /** One reachable node of each other zone, which must relay an urgent message there. */
   public List<String> relays(Map<String, List<String>> far, Set<String> silent) {
     int rotation = relayCount++;
     List<String> relays = new ArrayList<>();
@@ -151,7 +153,10 @@
     return relays;
   }
 
-  /** Another one each time, so that one that is lost, or does not relay, costs a single digest. */
+  /**
+   * Selects a different node each time, so that one that is lost or does not relay costs only a
+   * single digest.
+   */
   private String receiver(String zone, List<String> hosts, Set<String> silent, int rotation) {
     List<String> reachable =
         hosts.stream().filter(host -> !silent.contains(host)).sorted().toList();
@@ -161,9 +166,10 @@
   }
 
   /**
-   * Rounds from one report of a node to its next to the same node of a zone that does not gossip.
+   * Number of rounds between two reports of a node to the same node, in a zone that does not use
+   * gossip.
    *
-   * @param zoneNodes nodes of the zone, that node included
+   * @param zoneNodes number of nodes of the zone, including the reporting node
    */
   static int roundsBetweenReports(int zoneNodes) {
     int others = Math.max(1, zoneNodes - 1);
--- a/umberpath-control/src/main/java/io/umberpath/control/membership/SilenceTimes.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/membership/SilenceTimes.java
@@ -1,37 +1,39 @@
 package io.umberpath.control.membership;
 
 /**
- * After how much silence a node counts as out of reach, from how often reports of it are due. The
- * times grow only with the size of a zone, not with the number of nodes.
+ * Timeouts after which a silent node counts as unreachable, derived from how often reports of it
+ * are due. They grow with the size of a zone only, not with the total number of nodes.
  *
- * @param nearMillis for a node of the own zone, milliseconds
+ * @param nearMillis for a node of the same zone, milliseconds
  * @param farMillis for a node of another zone, milliseconds
- * @param quietMillis for a node of the own zone, after which no report travels through it any more,
- *     milliseconds: earlier, so that the reports behind it come another way in time
+ * @param quietMillis for a node of the same zone, time after which no report is forwarded through
+ *     it, milliseconds: shorter, so that the reports it would forward still arrive in time by
+ *     another path
  */
 public record SilenceTimes(long nearMillis, long farMillis, long quietMillis) {
-  /** Time between two rounds of reports, milliseconds. */
+  /** Interval between two rounds of reports, milliseconds. */
   public static final long ROUND_MILLIS = 250;
 
   /**
-   * Rounds beyond twice the way through the zone that reports of a node may be missing: the first
-   * way meets a node that has died, which is quiet one round later, and another one is taken.
+   * Rounds without a report of a node that are tolerated beyond twice the number of hops through
+   * the zone: the first path may lead through a node that has failed, which becomes suspect one
+   * round later, and a second path is then used.
    */
   private static final int SPARE_ROUNDS = 2;
 
-  /** Reports in a row that must be missing where each comes from the node itself. */
+  /** Number of consecutive reports that must be missing if each comes from the node itself. */
   private static final int MISSED_REPORTS = 3;
 
   /**
-   * Digests in a row that must be missing before nodes of another zone count as silent. Each of two
-   * delegates sends one a second, so that as many as four datagrams have to be lost.
+   * Number of consecutive digests that must be missing before nodes of another zone count as
+   * silent. Each of two delegates sends one a second, so four datagrams have to be lost.
    */
   private static final int MISSED_DIGESTS = 2;
 
-  /** What a report or digest may be late by, milliseconds. */
+  /** Maximum delay of a report or digest, milliseconds. */
   private static final long MAX_DELAY_MILLIS = 150;
 
-  /** The times of a node whose zone has so many nodes, itself included. */
+  /** The timeouts of a node in a zone of the given size, which includes the node. */
   public static SilenceTimes of(int zoneNodes) {
     boolean isGossiped = zoneNodes <= GossipRing.MAX_GOSSIP_NODES && GossipRing.hops(zoneNodes) > 1;
     int roundsBetween =
--- a/umberpath-control/src/main/java/io/umberpath/control/store/BackendListing.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/BackendListing.java
@@ -91,9 +91,9 @@
 
   /** Departures to send to a starting node, which may read only a copy that lacks them. */
   public List<Departed> told() {
-    Set<Departed> told = new LinkedHashSet<>(contradictedDepartures);
-    told.addAll(departed.latest(MAX_SHARED_DEPARTURES));
-    return List.copyOf(told);
+    Set<Departed> departures = new LinkedHashSet<>(contradictedDepartures);
+    departures.addAll(departed.latest(MAX_SHARED_DEPARTURES));
+    return List.copyOf(departures);
   }
 
   /**
--- a/umberpath-control/src/test/java/io/umberpath/control/membership/KnownPeersTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/membership/KnownPeersTest.java
@@ -71,7 +71,10 @@
     assertThat(peers.others()).containsExactly("b");
   }
 
-  /** Its entry lapses some seconds after a node has died: that is no sign of life. */
+  /**
+   * A node's entry expires some seconds after the node fails, which is no evidence that it is
+   * alive.
+   */
   @Test
   void failedPeerStaysSilentAfterItIsDelisted() {
     run(0, 2_000, "b");
@@ -82,7 +85,7 @@
     assertThat(peers.silent(2_250)).containsExactly("a");
   }
 
-  /** No report travels through a node that has not been heard of, listed or not. */
+  /** No report is forwarded through a node that is silent, listed or not. */
   @Test
   void delistedPeerStillCountsAsSilent() {
     run(0, 2_000, "b");
@@ -91,7 +94,10 @@
     assertThat(peers.unheard(Set.of("a", "b"), 2_250, 600)).containsExactly("a");
   }
 
-  /** Where no node is listed yet, each would read the store beside all others. */
+  /**
+   * Without the stated zone, each node of a fleet that is not listed yet would read the store in
+   * addition to all others.
+   */
   @Test
   void unlistedPeerIsInTheZoneThatItStates() {
     peers.heard(0, "c");
@@ -106,7 +112,9 @@
     assertThat(peers.zoneOf("c")).contains("z");
   }
 
-  /** Its entry may come back before the node does: that is no sign of life either. */
+  /**
+   * A node's entry may return before the node itself, which is no evidence that it is alive either.
+   */
   @Test
   void relistedPeerIsSilentUntilItReports() {
     run(0, 2_000, "b");
@@ -119,7 +127,7 @@
     assertThat(peers.silent(2_600)).isEmpty();
   }
 
-  /** A report that arrived before the clock was looked at after a pause is not from the future. */
+  /** A report that arrives after a pause, before the next tick, must not be dated in the future. */
   @Test
   void pauseOfThisNodeMovesNoReportIntoTheFuture() {
     run(0, 2_000, "a", "b");
--- a/umberpath-control/src/test/java/io/umberpath/control/membership/MembershipAtScaleTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/membership/MembershipAtScaleTest.java
@@ -13,15 +13,16 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * What nodes believe of each other at sizes that no test starts, in virtual time. Reports that went
- * to 40 receivers drawn at random left 24 of 100 healthy nodes for silent at 95 nodes.
+ * Failure detection at fleet sizes that no other test starts, in virtual time. Guards against false
+ * positives: when reports went to 40 random receivers, 24 of 100 healthy nodes counted as silent at
+ * 95 nodes.
  */
 final class MembershipAtScaleTest {
   private static final long SEED = 7;
   private static final long RUN_MILLIS = 15_000;
   private static final long PAUSE_MILLIS = 600;
 
-  /** A node's view, and what it heard from others directly. */
+  /** A node's view of its peers and the times of the reports that it received from its zone. */
   private static final class Node {
     private final String host;
     private final String zone;
@@ -42,7 +43,10 @@
       this.schedule = new ReportSchedule(host);
     }
 
-    /** The same set while nothing changes, so that the schedule need not rank delegates anew. */
+    /**
+     * Returns the same set while nothing changes, so that the schedule does not rank delegates
+     * again.
+     */
     Set<String> silent(long now) {
       Set<String> current = known.silent(now);
       if (!current.equals(silent)) {
@@ -171,7 +175,7 @@
     long sent = nodes.values().stream().mapToLong(node -> node.sent).sum();
     double messagesPerSecond = sent / (double) size / (RUN_MILLIS / 1_000.0);
     int zoneSize = size / zones;
-    // Gossip of a round goes to five others at most, reports of a large zone to forty.
+    // Gossip of a round goes to at most five other nodes, reports in a large zone to at most forty.
     int messagesPerRound =
         zoneSize < GossipRing.MAX_GOSSIP_NODES ? 5 : ReportSchedule.MAX_DIRECT_RECEIVERS;
     assertThat(messagesPerSecond)
@@ -187,7 +191,7 @@
     }
     Set<String> dead = new HashSet<>();
     for (Node node : nodes.values()) {
-      // A tenth, delegates and relays among them.
+      // A tenth of the nodes, including delegates and relays.
       if (Math.floorMod(node.host.hashCode(), 10) == 0) {
         node.isDead = true;
         dead.add(node.host);
@@ -197,7 +201,7 @@
     for (long now = 5_000; now < end; now += SilenceTimes.ROUND_MILLIS) {
       round(now);
       for (Node node : nodes.values()) {
-        // Those that live are reached around the dead ones.
+        // Reports of live nodes must be routed around the failed ones.
         if (!node.isDead && !dead.containsAll(node.known.silent(now))) {
           assertThat(dead).containsAll(node.known.silent(now));
         }
