--- a/umberpath-control/src/main/java/io/umberpath/control/Acceptor.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/Acceptor.java
@@ -22,17 +22,17 @@
   private static final int RECENT_STATES = 4;
 
   private final NodeContext context;
-  private final DeltaLog log = new DeltaLog();
-  private final Deque<FleetState> recent = new ArrayDeque<>();
+  private final DeltaLog deltaLog = new DeltaLog();
+  private final Deque<FleetState> recentStates = new ArrayDeque<>();
   private FleetState held = FleetState.EMPTY;
   private FleetState committed = FleetState.EMPTY;
-  private Version committedKnown = Version.NONE;
-  private Version lastRefused = Version.NONE;
+  private Version committedVersion = Version.NONE;
+  private Version lastRejected = Version.NONE;
   private long promised;
   private PeerAddress promisedTo;
   private long promisedIncarnation;
   private int slot = Member.NO_SLOT;
-  private boolean wholeStateWanted;
+  private boolean isFullStateNeeded;
 
   Acceptor(NodeContext context) {
     this.context = context;
@@ -47,8 +47,8 @@
   }
 
   /** Newest version known to be committed, whether held or not. */
-  Version committedKnown() {
-    return committedKnown;
+  Version committedVersion() {
+    return committedVersion;
   }
 
   long promised() {
@@ -70,8 +70,8 @@
   }
 
   /** Whether a delta was refused and only a whole state helps. */
-  boolean wholeStateWanted() {
-    return wholeStateWanted;
+  boolean isFullStateNeeded() {
+    return isFullStateNeeded;
   }
 
   /**
@@ -94,7 +94,7 @@
   }
 
   /** Learns that an epoch has a leader. */
-  void hearEpoch(long epoch) {
+  void observeEpoch(long epoch) {
     if (epoch > promised) {
       promised = epoch;
       promisedTo = null;
@@ -102,23 +102,23 @@
   }
 
   /** Remembers the deltas of a state that a candidate fetched, so that it can pass them on. */
-  void remember(List<StateDelta> deltas) {
-    deltas.forEach(log::add);
+  void logDeltas(List<StateDelta> deltas) {
+    deltas.forEach(deltaLog::add);
   }
 
   /** Accepts a leader's own proposal. */
-  void hold(StateDelta delta, FleetState state) {
-    log.add(delta);
-    hold(state);
+  void accept(StateDelta delta, FleetState state) {
+    deltaLog.add(delta);
+    accept(state);
   }
 
-  private void hold(FleetState state) {
+  private void accept(FleetState state) {
     held = state;
-    recent.addLast(state);
-    while (recent.size() > RECENT_STATES) {
-      recent.removeFirst();
+    recentStates.addLast(state);
+    while (recentStates.size() > RECENT_STATES) {
+      recentStates.removeFirst();
     }
-    wholeStateWanted = false;
+    isFullStateNeeded = false;
     updateSlot();
   }
 
@@ -126,8 +126,8 @@
    * Takes states from a leader, each delta applying to the one before. Nothing is held unless every
    * delta applies whole and leads to a state of a promised epoch that names this process.
    */
-  void receive(List<StateDelta> deltas, Version committedVersion) {
-    learnCommitted(committedVersion);
+  void receive(List<StateDelta> deltas, Version newCommittedVersion) {
+    learnCommitted(newCommittedVersion);
     FleetState state = held;
     List<FleetState> reached = new ArrayList<>();
     List<StateDelta> applied = new ArrayList<>();
@@ -137,52 +137,52 @@
       }
       Either<Violation, FleetState> result = context.shared().apply(delta, state);
       if (result.isLeft()) {
-        refuse(delta, result.getLeft());
+        reject(delta, result.getLeft());
         return;
       }
       state = result.get();
       reached.add(state);
       applied.add(delta);
     }
-    if (mayHold(state, reached)) {
-      applied.forEach(log::add);
-      reached.subList(0, reached.size() - 1).forEach(recent::addLast);
-      hold(state);
+    if (isAcceptable(state, reached)) {
+      applied.forEach(deltaLog::add);
+      reached.subList(0, reached.size() - 1).forEach(recentStates::addLast);
+      accept(state);
     }
-    learnCommitted(committedVersion);
+    learnCommitted(newCommittedVersion);
   }
 
-  private void refuse(StateDelta delta, Violation violation) {
-    wholeStateWanted = true;
-    if (!delta.target().equals(lastRefused)) {
-      lastRefused = delta.target();
+  private void reject(StateDelta delta, Violation violation) {
+    isFullStateNeeded = true;
+    if (!delta.target().equals(lastRejected)) {
+      lastRejected = delta.target();
       context.notice("state-refused", "version " + delta.target() + ": " + violation);
     }
   }
 
-  private boolean mayHold(FleetState state, List<FleetState> reached) {
+  private boolean isAcceptable(FleetState state, List<FleetState> reached) {
     if (!state.version().isAfter(held.version()) || state.version().epoch() < promised) {
       return false;
     }
     return isMember()
-        || reached.stream().anyMatch(each -> seat(committedOrSettled(each)) != Member.NO_SLOT);
+        || reached.stream().anyMatch(each -> findSlot(committedOrSettled(each)) != Member.NO_SLOT);
   }
 
   /** The roster of a state that is settled or known to be committed; empty otherwise. */
   private Roster committedOrSettled(FleetState state) {
-    boolean known = state.version().equals(committedKnown);
+    boolean known = state.version().equals(committedVersion);
     return known || !state.changesRoster() ? state.roster() : Roster.EMPTY;
   }
 
-  private void learnCommitted(Version version) {
-    if (version.isAfter(committedKnown)) {
-      committedKnown = version;
+  private void learnCommitted(Version newVersion) {
+    if (newVersion.isAfter(committedVersion)) {
+      committedVersion = newVersion;
     }
-    if (committed.version().equals(committedKnown)) {
+    if (committed.version().equals(committedVersion)) {
       return;
     }
-    for (FleetState state : recent) {
-      if (state.version().equals(committedKnown)) {
+    for (FleetState state : recentStates) {
+      if (state.version().equals(committedVersion)) {
         committed = state;
         updateSlot();
         return;
@@ -196,13 +196,13 @@
   }
 
   private void updateSlot() {
-    int committedSeat = seat(committed.roster());
-    slot = committedSeat != Member.NO_SLOT ? committedSeat : seat(committedOrSettled(held));
+    int committedSlot = findSlot(committed.roster());
+    slot = committedSlot != Member.NO_SLOT ? committedSlot : findSlot(committedOrSettled(held));
   }
 
-  private int seat(Roster roster) {
+  private int findSlot(Roster roster) {
     Optional<Member> member = roster.at(context.address());
-    boolean anyIncarnation = context.has(SeededFault.SKIP_INCARNATION_RULE);
+    boolean anyIncarnation = context.hasFault(SeededFault.SKIP_INCARNATION_RULE);
     return member
         .filter(found -> anyIncarnation || found.isSameProcess(context.process()))
         .map(Member::slot)
@@ -214,24 +214,25 @@
    *
    * @param from what it holds; {@link Version#NONE} for a whole state
    */
-  List<StateDelta> catchUp(Version from) {
+  List<StateDelta> catchUpDeltas(Version from) {
     if (from.equals(held.version()) || held.version().equals(Version.NONE)) {
       return List.of();
     }
     if (!from.equals(Version.NONE)) {
-      Optional<List<StateDelta>> chain = log.chain(from, held.version());
+      Optional<List<StateDelta>> chain = deltaLog.chain(from, held.version());
       if (chain.isPresent()) {
         return chain.get();
       }
     }
     if (committed.version().equals(Version.NONE) || committed == held) {
-      return List.of(context.shared().whole(held));
+      return List.of(context.shared().fullState(held));
     }
     List<StateDelta> deltas = new ArrayList<>();
-    deltas.add(context.shared().whole(committed));
+    deltas.add(context.shared().fullState(committed));
     deltas.addAll(
-        log.chain(committed.version(), held.version())
-            .orElseGet(() -> List.of(context.shared().whole(held))));
+        deltaLog
+            .chain(committed.version(), held.version())
+            .orElseGet(() -> List.of(context.shared().fullState(held))));
     return deltas;
   }
 }
--- a/umberpath-control/src/main/java/io/umberpath/control/Activation.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/Activation.java
@@ -15,15 +15,15 @@
 final class Activation {
   private final NodeContext context;
   private final Acceptor acceptor;
-  private final DocumentSpread documents;
+  private final DocumentDistributor documents;
   private ProxySnapshot active = ProxySnapshot.EMPTY;
-  private ProxySnapshot before = ProxySnapshot.EMPTY;
-  private FleetState triedState;
-  private PlatformDocument triedDocument;
+  private ProxySnapshot previous = ProxySnapshot.EMPTY;
+  private FleetState lastTriedState;
+  private PlatformDocument lastTriedDocument;
   private List<Violation> violations = List.of();
-  private boolean revisionKnown;
+  private boolean isRevisionKnown;
 
-  Activation(NodeContext context, Acceptor acceptor, DocumentSpread documents) {
+  Activation(NodeContext context, Acceptor acceptor, DocumentDistributor documents) {
     this.context = context;
     this.acceptor = acceptor;
     this.documents = documents;
@@ -45,12 +45,12 @@
   /**
    * A member told its revision, which this node holds by now; needed before the first activation.
    */
-  void revisionKnown() {
-    revisionKnown = true;
+  void markRevisionKnown() {
+    isRevisionKnown = true;
   }
 
   boolean isRevisionKnown() {
-    return revisionKnown;
+    return isRevisionKnown;
   }
 
   /**
@@ -59,17 +59,17 @@
    * @return whether the active pair changed
    */
   boolean advance() {
-    boolean uncommitted = context.has(SeededFault.ACTIVATE_UNCOMMITTED);
+    boolean uncommitted = context.hasFault(SeededFault.ACTIVATE_UNCOMMITTED);
     FleetState state = uncommitted ? acceptor.held() : acceptor.committed();
     PlatformDocument document = documents.current();
-    if (!mayActivate(state) || (state == triedState && document == triedDocument)) {
+    if (!mayActivate(state) || (state == lastTriedState && document == lastTriedDocument)) {
       return false;
     }
-    triedState = state;
-    triedDocument = document;
+    lastTriedState = state;
+    lastTriedDocument = document;
     Either<List<Violation>, ProxySnapshot> composed = context.shared().compose(state, document);
     if (composed.isLeft()) {
-      refuse(state, document, composed.getLeft());
+      reject(state, document, composed.getLeft());
       return false;
     }
     violations = List.of();
@@ -77,31 +77,31 @@
     return true;
   }
 
-  private void refuse(FleetState state, PlatformDocument document, List<Violation> found) {
+  private void reject(FleetState state, PlatformDocument document, List<Violation> newViolations) {
     if (violations.isEmpty()) {
       context.notice(
           "pair-does-not-compose",
-          state.version() + " with revision " + document.revision() + ": " + found.get(0));
+          state.version() + " with revision " + document.revision() + ": " + newViolations.get(0));
     }
-    violations = found;
+    violations = newViolations;
   }
 
   private boolean mayActivate(FleetState state) {
     if (state.version().equals(Version.NONE)) {
       return false;
     }
-    boolean first = active.version().equals(Version.NONE);
-    return !first || (acceptor.isMember() && revisionKnown);
+    boolean isFirst = active.version().equals(Version.NONE);
+    return !isFirst || (acceptor.isMember() && isRevisionKnown);
   }
 
   private void activate(ProxySnapshot snapshot) {
-    before = active;
+    previous = active;
     active = snapshot;
     context.emit(new ControlOutput.Activate(snapshot));
-    boolean goBack = context.has(SeededFault.ACCEPT_OLDER_VERSION);
-    if (goBack && !before.version().equals(Version.NONE)) {
-      active = before;
-      context.emit(new ControlOutput.Activate(before));
+    boolean goBack = context.hasFault(SeededFault.ACCEPT_OLDER_VERSION);
+    if (goBack && !previous.version().equals(Version.NONE)) {
+      active = previous;
+      context.emit(new ControlOutput.Activate(previous));
     }
   }
 }
--- a/umberpath-control/src/main/java/io/umberpath/control/ChangeBatch.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/ChangeBatch.java
@@ -35,8 +35,8 @@
   private final Version target;
   private final PlatformDocument document;
   private final Map<String, AnsweredChange> answered = new LinkedHashMap<>();
-  private final Set<ResourceKey> touched = new TreeSet<>();
-  private final TreeMap<ResourceKey, Resource> before;
+  private final Set<ResourceKey> changedKeys = new TreeSet<>();
+  private final TreeMap<ResourceKey, Resource> baseResources;
   private TreeMap<ResourceKey, Resource> resources;
   private io.vavr.collection.TreeSet<String> drained;
 
@@ -51,7 +51,7 @@
     this.base = base;
     this.target = target;
     this.document = document;
-    this.before = base.resources();
+    this.baseResources = base.resources();
     this.resources = base.resources();
     this.drained = base.drained();
   }
@@ -64,16 +64,16 @@
   Optional<ChangeResult> add(ChangeSet change) {
     String key = StateDeltas.answerKey(change.tenant(), change.requestId());
     long fingerprint = StateHasher.fingerprint(change);
-    Optional<ChangeResult> known = repeated(base, change);
+    Optional<ChangeResult> known = findPreviousResult(base, change);
     if (known.isPresent()) {
       return known;
     }
     AnsweredChange inBatch = answered.get(key);
     if (inBatch != null) {
-      boolean same = inBatch.changeHash() == fingerprint;
-      return same ? Optional.empty() : Optional.of(reused(change));
+      boolean isSame = inBatch.changeHash() == fingerprint;
+      return isSame ? Optional.empty() : Optional.of(refusalOfReusedId(change));
     }
-    Optional<ChangeResult> refusal = conflict(change);
+    Optional<ChangeResult> refusal = check(change);
     if (refusal.isPresent()) {
       return refusal;
     }
@@ -86,11 +86,11 @@
     }
     List<Violation> violations = ReferenceCheck.violations(with(next));
     if (!violations.isEmpty()) {
-      return refused(RefusalCode.INVALID, violations);
+      return refusal(RefusalCode.INVALID, violations);
     }
     resources = next;
-    touched.addAll(change.deletes());
-    change.upserts().forEach(upsert -> touched.add(upsert.key()));
+    changedKeys.addAll(change.deletes());
+    change.upserts().forEach(upsert -> changedKeys.add(upsert.key()));
     for (ChangeSet.DrainChange drain : change.drains()) {
       drained =
           drain.draining() ? drained.add(drain.backendId()) : drained.remove(drain.backendId());
@@ -100,7 +100,7 @@
   }
 
   /** The outcome of a change whose request id the state remembers. */
-  static Optional<ChangeResult> repeated(FleetState state, ChangeSet change) {
+  static Optional<ChangeResult> findPreviousResult(FleetState state, ChangeSet change) {
     String key = StateDeltas.answerKey(change.tenant(), change.requestId());
     return state
         .answered()
@@ -109,27 +109,27 @@
             first ->
                 first.changeHash() == StateHasher.fingerprint(change)
                     ? (ChangeResult) new ChangeResult.Accepted(first.version())
-                    : reused(change))
+                    : refusalOfReusedId(change))
         .toJavaOptional();
   }
 
-  private static ChangeResult reused(ChangeSet change) {
+  private static ChangeResult refusalOfReusedId(ChangeSet change) {
     Violation violation =
         new Violation("request_id", change.requestId(), "was used with a different change");
     return new ChangeResult.Refused(RefusalCode.REQUEST_ID_REUSED, List.of(violation));
   }
 
-  private static Optional<ChangeResult> refused(RefusalCode code, List<Violation> violations) {
+  private static Optional<ChangeResult> refusal(RefusalCode code, List<Violation> violations) {
     return Optional.of(new ChangeResult.Refused(code, violations));
   }
 
-  private Optional<ChangeResult> conflict(ChangeSet change) {
+  private Optional<ChangeResult> check(ChangeSet change) {
     Optional<Version> expected = change.expectedVersion();
     if (expected.isPresent() && !expected.get().equals(base.version())) {
-      return refused(RefusalCode.CONFLICT, List.of(versionViolation(expected.get())));
+      return refusal(RefusalCode.CONFLICT, List.of(versionViolation(expected.get())));
     }
     if (expected.isPresent() && !answered.isEmpty()) {
-      return refused(RefusalCode.CONFLICT, List.of(versionViolation(expected.get())));
+      return refusal(RefusalCode.CONFLICT, List.of(versionViolation(expected.get())));
     }
     List<Violation> foreign = new ArrayList<>();
     List<Violation> invalid = new ArrayList<>();
@@ -139,11 +139,11 @@
       if (!resources.containsKey(key)) {
         invalid.add(new Violation(field, key.toString(), "no resource of this name"));
       }
-      addForeign(field, key, change.tenant(), foreign);
+      addForeignTenant(field, key, change.tenant(), foreign);
     }
     for (int index = 0; index < change.upserts().size(); index++) {
       Resource upsert = change.upserts().get(index);
-      addForeign("upserts[" + index + "].name", upsert.key(), change.tenant(), foreign);
+      addForeignTenant("upserts[" + index + "].name", upsert.key(), change.tenant(), foreign);
       if (upsert instanceof Route route) {
         addForeignSecret("upserts[" + index + "].secret", route, foreign);
       } else if (upsert instanceof Pool pool) {
@@ -151,9 +151,9 @@
       }
     }
     if (!foreign.isEmpty()) {
-      return refused(RefusalCode.CONFLICT, foreign);
+      return refusal(RefusalCode.CONFLICT, foreign);
     }
-    return invalid.isEmpty() ? Optional.empty() : refused(RefusalCode.INVALID, invalid);
+    return invalid.isEmpty() ? Optional.empty() : refusal(RefusalCode.INVALID, invalid);
   }
 
   private Violation versionViolation(Version expected) {
@@ -161,7 +161,8 @@
     return new Violation("expected_version", expected.toString(), message);
   }
 
-  private void addForeign(String field, ResourceKey key, String tenant, List<Violation> found) {
+  private void addForeignTenant(
+      String field, ResourceKey key, String tenant, List<Violation> found) {
     resources
         .get(key)
         .filter(existing -> !existing.tenant().equals(tenant))
@@ -185,7 +186,7 @@
         .secret()
         .ifPresent(
             name ->
-                addForeign(
+                addForeignTenant(
                     field, new ResourceKey(ResourceKind.SECRET, name), route.tenant(), found));
   }
 
@@ -208,10 +209,10 @@
 
   List<Resource> upserts() {
     List<Resource> upserts = new ArrayList<>();
-    for (ResourceKey key : touched) {
+    for (ResourceKey key : changedKeys) {
       resources
           .get(key)
-          .filter(resource -> !before.get(key).contains(resource))
+          .filter(resource -> !baseResources.get(key).contains(resource))
           .forEach(upserts::add);
     }
     return upserts;
@@ -219,8 +220,8 @@
 
   List<ResourceKey> deletes() {
     List<ResourceKey> deletes = new ArrayList<>();
-    for (ResourceKey key : touched) {
-      if (before.containsKey(key) && !resources.containsKey(key)) {
+    for (ResourceKey key : changedKeys) {
+      if (baseResources.containsKey(key) && !resources.containsKey(key)) {
         deletes.add(key);
       }
     }
@@ -241,7 +242,7 @@
   }
 
   /** Keys that are forgotten so that no more than the given number are remembered. */
-  List<String> forgotten(int remembered) {
+  List<String> evictedKeys(int remembered) {
     int excess = base.answered().size() + answered.size() - remembered;
     return excess <= 0 ? List.of() : base.answered().keySet().take(excess).toJavaList();
   }
--- a/umberpath-control/src/main/java/io/umberpath/control/ChangeDecider.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/ChangeDecider.java
@@ -21,10 +21,10 @@
   private final NodeContext context;
   private final Acceptor acceptor;
   private final ChangeQueue queue;
-  private final OriginLedger ledger = new OriginLedger();
+  private final ForwardedChanges forwardedChanges = new ForwardedChanges();
   private final List<Entry> proposed = new ArrayList<>();
-  private boolean leads;
-  private boolean settled;
+  private boolean isLeader;
+  private boolean hasCommitted;
   private long epoch;
 
   ChangeDecider(NodeContext context, Acceptor acceptor) {
@@ -35,45 +35,45 @@
 
   void beginTerm(long newEpoch) {
     endTerm();
-    leads = true;
+    isLeader = true;
     epoch = newEpoch;
   }
 
   void endTerm() {
-    leads = false;
-    settled = false;
+    isLeader = false;
+    hasCommitted = false;
     queue.clear();
     proposed.clear();
-    ledger.clear();
+    forwardedChanges.clear();
   }
 
   /** A node passed an operator's change on. */
-  void forwarded(ForwardChange forward) {
-    if (!leads || forward.epoch() != epoch) {
+  void onForward(ForwardChange forward) {
+    if (!isLeader || forward.epoch() != epoch) {
       return;
     }
-    switch (ledger.arrived(forward)) {
-      case NEW -> queue(forward);
-      case DECIDED -> ledger.result(forward).ifPresent(result -> reply(forward, result));
+    switch (forwardedChanges.onArrival(forward)) {
+      case NEW -> enqueue(forward);
+      case DECIDED -> forwardedChanges.result(forward).ifPresent(result -> reply(forward, result));
       default -> {}
     }
   }
 
-  private void queue(ForwardChange forward) {
+  private void enqueue(ForwardChange forward) {
     Entry entry =
         new Entry(
             forward.change(),
             () -> {},
             result -> {
-              ledger.decided(forward, result);
+              forwardedChanges.markDecided(forward, result);
               reply(forward, result);
             });
-    ledger.queued(forward);
+    forwardedChanges.markQueued(forward);
     if (!offer(entry)) {
-      if (settled) {
-        entry.onResult().accept(overloaded());
+      if (hasCommitted) {
+        entry.onResult().accept(overloadRefusal());
       } else {
-        ledger.forget(forward);
+        forwardedChanges.remove(forward);
       }
     }
   }
@@ -90,8 +90,9 @@
    * @return false if the queue of its tier is full
    */
   boolean offer(Entry entry) {
-    if (settled) {
-      Optional<ChangeResult> known = ChangeBatch.repeated(acceptor.committed(), entry.change());
+    if (hasCommitted) {
+      Optional<ChangeResult> known =
+          ChangeBatch.findPreviousResult(acceptor.committed(), entry.change());
       if (known.isPresent()) {
         entry.onResult().accept(known.get());
         return true;
@@ -102,25 +103,25 @@
 
   /** Whether a change may be refused in this term. */
   boolean mayRefuse() {
-    return settled;
+    return hasCommitted;
   }
 
-  static ChangeResult overloaded() {
+  static ChangeResult overloadRefusal() {
     return new ChangeResult.Refused(RefusalCode.OVERLOADED, List.of());
   }
 
   /** Takes a change back; returns whether it certainly was not proposed in this term. */
-  boolean withdraw(Entry entry) {
+  boolean cancel(Entry entry) {
     return queue.remove(entry);
   }
 
   /** When the oldest queued change came; {@link Long#MAX_VALUE} if none waits. */
-  long waitingSince() {
+  long queuedSince() {
     return queue.firstQueuedAt();
   }
 
   /** Takes the next batch of changes; those that cannot run are answered at once. */
-  ChangeBatch batch(FleetState committed, Version target, PlatformDocument document) {
+  ChangeBatch nextBatch(FleetState committed, Version target, PlatformDocument document) {
     ChangeBatch batch = new ChangeBatch(committed, target, document);
     for (Entry entry : queue.takeBatch(context.now())) {
       ChangeSet change = entry.change();
@@ -136,11 +137,11 @@
   }
 
   /** The proposal was committed: everything in it was accepted. */
-  void committed(FleetState state) {
-    settled = true;
+  void onCommitted(FleetState state) {
+    hasCommitted = true;
     for (Entry entry : proposed) {
       ChangeResult result =
-          ChangeBatch.repeated(state, entry.change())
+          ChangeBatch.findPreviousResult(state, entry.change())
               .orElseGet(() -> new ChangeResult.Accepted(state.version()));
       entry.onResult().accept(result);
     }
--- a/umberpath-control/src/main/java/io/umberpath/control/ChangeQueue.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/ChangeQueue.java
@@ -20,9 +20,9 @@
  * there are.
  */
 final class ChangeQueue {
-  static final int BATCH = 64;
-  static final int STANDARD_SHARE = 12;
-  static final int BASIC_SHARE = 4;
+  static final int MAX_BATCH = 64;
+  static final int RESERVED_FOR_STANDARD = 12;
+  static final int RESERVED_FOR_BASIC = 4;
 
   private final int capacity;
   private final Map<Tier, ArrayDeque<Entry>> byTier = new EnumMap<>(Tier.class);
@@ -67,19 +67,19 @@
   /** Removes a change that was not proposed yet; returns whether it was there. */
   boolean remove(Entry entry) {
     boolean removed = byTier.get(entry.change().tier()).remove(entry);
-    updateEmptiness(firstQueuedAt);
+    updateFirstQueuedAt(firstQueuedAt);
     return removed;
   }
 
   /** Removes the next batch, highest tier first. */
   List<Entry> takeBatch(long now) {
-    int basic = Math.min(BASIC_SHARE, byTier.get(Tier.BASIC).size());
-    int standard = Math.min(STANDARD_SHARE, byTier.get(Tier.STANDARD).size());
+    int basic = Math.min(RESERVED_FOR_BASIC, byTier.get(Tier.BASIC).size());
+    int standard = Math.min(RESERVED_FOR_STANDARD, byTier.get(Tier.STANDARD).size());
     List<Entry> batch = new ArrayList<>();
-    move(Tier.PREMIUM, BATCH - basic - standard, batch);
-    move(Tier.STANDARD, BATCH - basic - batch.size(), batch);
-    move(Tier.BASIC, BATCH - batch.size(), batch);
-    updateEmptiness(now);
+    move(Tier.PREMIUM, MAX_BATCH - basic - standard, batch);
+    move(Tier.STANDARD, MAX_BATCH - basic - batch.size(), batch);
+    move(Tier.BASIC, MAX_BATCH - batch.size(), batch);
+    updateFirstQueuedAt(now);
     return batch;
   }
 
@@ -90,7 +90,7 @@
     }
   }
 
-  private void updateEmptiness(long waitingSince) {
+  private void updateFirstQueuedAt(long waitingSince) {
     boolean empty = byTier.values().stream().allMatch(ArrayDeque::isEmpty);
     firstQueuedAt = empty ? Long.MAX_VALUE : waitingSince;
   }
--- a/umberpath-control/src/main/java/io/umberpath/control/Child.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/Child.java
@@ -20,7 +20,7 @@
   private Round round = Round.NONE;
   private List<ReportGroup> groups = List.of();
   private long groupsNumber = -1;
-  private boolean reportWanted;
+  private boolean needsCompleteReport;
   private List<Member> joins = List.of();
   private boolean joinsChanged;
 
@@ -36,7 +36,7 @@
   }
 
   /** A repeated attachment of the same process. */
-  void attachAgain(Member member, Version newHeld, long now) {
+  void reattach(Member member, Version newHeld, long now) {
     process = member;
     held = newHeld;
     sent = newHeld;
@@ -51,33 +51,33 @@
    * @param slot the child's own slot, or {@link Member#NO_SLOT}
    * @return whether the state of the subtree changed; a late report changes nothing
    */
-  boolean take(Report report, int slot, long now) {
+  boolean applyReport(Report report, int slot, long now) {
     boolean otherProcess = report.incarnation() != process.incarnation();
     if (otherProcess || report.number() <= reportNumber) {
       return false;
     }
     heardAt = now;
     reportNumber = report.number();
-    boolean changed = takeGroups(report) | epoch != report.epoch();
+    boolean changed = applyGroups(report) | epoch != report.epoch();
     epoch = report.epoch();
     round = report.round();
     if (!report.joinsKept()) {
       joinsChanged |= !joins.equals(report.joins());
       joins = report.joins();
     }
-    held = report.wholeStateWanted() ? Version.NONE : ownHeld(slot);
+    held = report.wholeStateWanted() ? Version.NONE : heldBySlot(slot);
     if (report.wholeStateWanted()) {
       sent = Version.NONE;
     }
     return changed;
   }
 
-  private boolean takeGroups(Report report) {
+  private boolean applyGroups(Report report) {
     boolean formerKnown = groupsNumber == report.number() - 1;
     Optional<List<ReportGroup>> former = formerKnown ? Optional.of(groups) : Optional.empty();
     Optional<List<ReportGroup>> complete = ReportDifference.complete(former, report.groups());
-    reportWanted = complete.isEmpty();
-    if (reportWanted) {
+    needsCompleteReport = complete.isEmpty();
+    if (needsCompleteReport) {
       return false;
     }
     boolean changed = !groups.equals(complete.get());
@@ -89,11 +89,11 @@
   /**
    * Whether the last report builds on one that did not arrive, so that a complete one is needed.
    */
-  boolean isReportWanted() {
-    return reportWanted;
+  boolean needsCompleteReport() {
+    return needsCompleteReport;
   }
 
-  private Version ownHeld(int slot) {
+  private Version heldBySlot(int slot) {
     for (ReportGroup group : groups) {
       if (slot != Member.NO_SLOT && group.slots().contains(slot)) {
         return group.held();
@@ -116,7 +116,7 @@
   }
 
   /** The child did not take what was sent; send it again from what it reports. */
-  void rewind() {
+  void resetSent() {
     sent = held;
   }
 
@@ -142,12 +142,12 @@
   }
 
   /** Whether every member of the subtree holds the version. */
-  boolean allHold(Version version) {
+  boolean allMembersHold(Version version) {
     return groups.stream().allMatch(group -> group.held().equals(version));
   }
 
   /** Whether every member of the subtree runs the pair. */
-  boolean allRun(Version version, long revision) {
+  boolean allMembersRun(Version version, long revision) {
     return groups.stream()
         .allMatch(group -> group.active().equals(version) && group.revision() == revision);
   }
--- a/umberpath-control/src/main/java/io/umberpath/control/Children.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/Children.java
@@ -24,18 +24,22 @@
 
   private final NodeContext context;
   private final Acceptor acceptor;
-  private final LeaderTrack track;
-  private final DocumentSpread documents;
+  private final LeaderTracker leaderTracker;
+  private final DocumentDistributor documents;
   private final Map<PeerAddress, Child> children = new LinkedHashMap<>();
-  private boolean deliveryDue;
-  private boolean changed;
-  private boolean joinsChanged;
+  private boolean isDeliveryDue;
+  private boolean hasChanged;
+  private boolean haveJoinsChanged;
   private long lastDeliveryAt;
 
-  Children(NodeContext context, Acceptor acceptor, LeaderTrack track, DocumentSpread documents) {
+  Children(
+      NodeContext context,
+      Acceptor acceptor,
+      LeaderTracker leaderTracker,
+      DocumentDistributor documents) {
     this.context = context;
     this.acceptor = acceptor;
-    this.track = track;
+    this.leaderTracker = leaderTracker;
     this.documents = documents;
   }
 
@@ -51,74 +55,74 @@
     return children.size();
   }
 
-  boolean has(PeerAddress peer) {
+  boolean contains(PeerAddress peer) {
     return children.containsKey(peer);
   }
 
   /** Something new must go to every child before the current input is done. */
-  void deliveryDue() {
-    deliveryDue = true;
+  void scheduleDelivery() {
+    isDeliveryDue = true;
   }
 
   /** Whether the processes that wait for a seat may have changed since the last call. */
   boolean takeJoinsChanged() {
-    boolean taken = joinsChanged;
-    joinsChanged = false;
+    boolean taken = haveJoinsChanged;
+    haveJoinsChanged = false;
     return taken;
   }
 
   /** Whether reports or children changed since the last call. */
   boolean takeChanged() {
-    boolean taken = changed;
-    changed = false;
+    boolean taken = hasChanged;
+    hasChanged = false;
     return taken;
   }
 
   /**
    * Decides about a node that wants to be a child.
    *
-   * @param leads whether this node is the leader
+   * @param isLeader whether this node is the leader
    * @param parent this node's own parent
    * @return whether it is a child now
    */
-  boolean attach(Attach request, boolean leads, Optional<PeerAddress> parent) {
+  boolean attach(Attach request, boolean isLeader, Optional<PeerAddress> parent) {
     PeerAddress peer = request.member().address();
     Child known = children.get(peer);
     if (known != null && known.process().incarnation() > request.member().incarnation()) {
       return false;
     }
-    boolean suits = suits(request, leads) && !parent.equals(Optional.of(peer));
-    boolean full = known == null && children.size() >= context.settings().maxChildren();
-    if (!suits || (full && !makeRoom(request.member(), leads))) {
-      context.send(peer, new Redirect(candidates(request, suits)));
+    boolean isEligible = isEligible(request, isLeader) && !parent.equals(Optional.of(peer));
+    boolean isFull = known == null && children.size() >= context.settings().maxChildren();
+    if (!isEligible || (isFull && !evictWeakerChild(request.member(), isLeader))) {
+      context.send(peer, new Redirect(redirectCandidates(request, isEligible)));
       return false;
     }
     if (known != null && known.process().incarnation() == request.member().incarnation()) {
-      known.attachAgain(request.member(), request.held(), context.now());
+      known.reattach(request.member(), request.held(), context.now());
     } else {
       children.put(peer, new Child(request.member(), request.held(), context.now()));
-      joinsChanged = true;
+      haveJoinsChanged = true;
     }
-    changed |= request.member().slot() != Member.NO_SLOT;
+    hasChanged |= request.member().slot() != Member.NO_SLOT;
     if (children.size() == 1) {
       lastDeliveryAt = context.now();
     }
-    context.send(peer, new AttachAccepted(delivery(children.get(peer))));
+    context.send(peer, new AttachAccepted(buildDelivery(children.get(peer))));
     return true;
   }
 
   /** Sends a child away for one that has a better claim to the place. */
-  private boolean makeRoom(Member newcomer, boolean leads) {
-    int claim = claim(newcomer, leads);
+  private boolean evictWeakerChild(Member newcomer, boolean isLeader) {
+    int newcomerPriority = priority(newcomer, isLeader);
     PeerAddress weakest = null;
     for (Map.Entry<PeerAddress, Child> entry : children.entrySet()) {
       Member process = entry.getValue().process();
-      int otherClaim = claim(process.withSlot(slotOf(process)), leads);
-      boolean weaker = otherClaim < claim;
-      if (otherClaim == claim && !acceptor.isMember()) {
-        weaker = ranksBefore(newcomer.address(), process.address());
+      int childPriority = priority(process.withSlot(slotOf(process)), isLeader);
+      boolean isWeaker = childPriority < newcomerPriority;
+      if (childPriority == newcomerPriority && !acceptor.isMember()) {
+        isWeaker = ranksBefore(newcomer.address(), process.address());
       }
-      if (weaker && (weakest == null || ranksBefore(weakest, entry.getKey()))) {
+      if (isWeaker && (weakest == null || ranksBefore(weakest, entry.getKey()))) {
         weakest = entry.getKey();
       }
     }
@@ -133,39 +137,41 @@
   /**
    * 0 for a process without a seat, 2 for a member whose place in the tree is here, 1 otherwise.
    */
-  private int claim(Member process, boolean leads) {
+  private int priority(Member process, boolean isLeader) {
     if (process.slot() == Member.NO_SLOT) {
       return 0;
     }
     RosterView.Zone zone = context.view(acceptor.committed().roster()).zone(process.zone());
     int index = zone.indexOf(process.slot());
     if (index <= 0) {
-      return index == 0 && leads ? 2 : 1;
+      return index == 0 && isLeader ? 2 : 1;
     }
     Member parent = zone.members().get((index - 1) / context.settings().fanout());
     return parent.address().equals(context.address()) ? 2 : 1;
   }
 
-  private boolean suits(Attach request, boolean leads) {
+  private boolean isEligible(Attach request, boolean isLeader) {
     if (request.member().address().equals(context.address())) {
       return false;
     }
-    if (leads) {
+    if (isLeader) {
       return true;
     }
     if (!acceptor.isMember()) {
       return request.member().slot() == Member.NO_SLOT
           && request.held().equals(Version.NONE)
           && request.equalSuffices()
-          && !track.isFed()
+          && !leaderTracker.isDeliveryCurrent()
           && ranksBefore(context.address(), request.member().address());
     }
-    if (track.fedRound().newerThan(request.round())) {
+    if (leaderTracker.deliveredRound().newerThan(request.round())) {
       return true;
     }
-    boolean lower =
+    boolean hasLowerSlot =
         request.member().slot() == Member.NO_SLOT || acceptor.slot() < request.member().slot();
-    return request.equalSuffices() && lower && track.fedRound().equals(request.round());
+    return request.equalSuffices()
+        && hasLowerSlot
+        && leaderTracker.deliveredRound().equals(request.round());
   }
 
   /** Processes that are not members order themselves by place among the seeds, then address. */
@@ -180,11 +186,11 @@
     return index >= 0 ? index : Integer.MAX_VALUE;
   }
 
-  private List<PeerAddress> candidates(Attach request, boolean full) {
-    if (!full) {
-      return track
+  private List<PeerAddress> redirectCandidates(Attach request, boolean isFull) {
+    if (!isFull) {
+      return leaderTracker
           .leader()
-          .filter(any -> track.heardWithin(stall()))
+          .filter(any -> leaderTracker.heardWithin(stallMillis()))
           .map(List::of)
           .orElse(List.of());
     }
@@ -196,7 +202,7 @@
           }
         });
     List<PeerAddress> chosen = new ArrayList<>();
-    int start = (int) Spread.of(request.member(), 0, addresses.size());
+    int start = (int) Jitter.of(request.member(), 0, addresses.size());
     for (int index = 0; index < Math.min(REDIRECT_CANDIDATES, addresses.size()); index++) {
       chosen.add(addresses.get((start + index) % addresses.size()));
     }
@@ -204,7 +210,7 @@
     return chosen;
   }
 
-  private long stall() {
+  private long stallMillis() {
     return context.settings().parentStallMillis();
   }
 
@@ -213,15 +219,15 @@
    *
    * @return false if the sender is no child, so that it must look for a parent
    */
-  boolean report(PeerAddress from, Report report) {
+  boolean onReport(PeerAddress from, Report report) {
     Child child = children.get(from);
     if (child == null) {
       return false;
     }
-    changed |= child.take(report, slotOf(child.process()), context.now());
-    joinsChanged |= child.takeJoinsChanged();
-    if (child.isReportWanted()) {
-      context.send(from, new AttachAccepted(delivery(child)));
+    hasChanged |= child.applyReport(report, slotOf(child.process()), context.now());
+    haveJoinsChanged |= child.takeJoinsChanged();
+    if (child.needsCompleteReport()) {
+      context.send(from, new AttachAccepted(buildDelivery(child)));
     } else if (report.wholeStateWanted()) {
       deliver(from, child);
     }
@@ -244,29 +250,29 @@
   /** Forgets a child. */
   void remove(PeerAddress peer) {
     if (children.remove(peer) != null) {
-      changed = true;
-      joinsChanged = true;
+      hasChanged = true;
+      haveJoinsChanged = true;
       context.emit(new ControlOutput.Disconnect(peer));
     }
   }
 
   /** Forgets children that were not heard for long. */
   void expire() {
-    List<PeerAddress> gone = new ArrayList<>();
+    List<PeerAddress> expired = new ArrayList<>();
     children.forEach(
         (peer, child) -> {
-          if (context.now() - child.heardAt() > stall()) {
-            gone.add(peer);
+          if (context.now() - child.heardAt() > stallMillis()) {
+            expired.add(peer);
           }
         });
-    for (PeerAddress peer : gone) {
+    for (PeerAddress peer : expired) {
       context.send(peer, new Redirect(List.of()));
       remove(peer);
     }
   }
 
   /** Sends every child to the peer; a process that is not fed states cannot feed others. */
-  void dissolve(PeerAddress successor) {
+  void redirectAll(PeerAddress successor) {
     for (PeerAddress child : List.copyOf(children.keySet())) {
       context.send(child, new Redirect(List.of(successor)));
       remove(child);
@@ -275,10 +281,10 @@
 
   /** Delivers to every child if something new is due. */
   void flush() {
-    if (!deliveryDue) {
+    if (!isDeliveryDue) {
       return;
     }
-    deliveryDue = false;
+    isDeliveryDue = false;
     lastDeliveryAt = context.now();
     children.forEach(this::deliver);
   }
@@ -287,7 +293,7 @@
   void keepAlive() {
     if (!children.isEmpty() && context.now() >= nextKeepAlive()) {
       expire();
-      deliveryDue = true;
+      isDeliveryDue = true;
     }
   }
 
@@ -298,34 +304,34 @@
   }
 
   private void deliver(PeerAddress peer, Child child) {
-    context.send(peer, delivery(child));
+    context.send(peer, buildDelivery(child));
   }
 
-  private Deliver delivery(Child child) {
+  private Deliver buildDelivery(Child child) {
     List<StateDelta> deltas = List.of();
-    if (names(child.process())) {
+    if (isInRoster(child.process())) {
       long resendMillis = RESEND_HEARTBEATS * context.settings().heartbeatMillis();
-      boolean overdue = context.now() - child.sentAt() > resendMillis;
-      if (!child.held().equals(child.sent()) && overdue) {
-        child.rewind();
+      boolean isOverdue = context.now() - child.sentAt() > resendMillis;
+      if (!child.held().equals(child.sent()) && isOverdue) {
+        child.resetSent();
       }
-      deltas = acceptor.catchUp(child.sent());
+      deltas = acceptor.catchUpDeltas(child.sent());
       if (!deltas.isEmpty()) {
         child.markSent(acceptor.held().version(), context.now());
       }
     }
     return new Deliver(
-        track.fedRound(),
-        track.fedLeader().orElse(context.address()),
-        track.fedLeaderSlot(),
+        leaderTracker.deliveredRound(),
+        leaderTracker.deliveredLeader().orElse(context.address()),
+        leaderTracker.deliveredLeaderSlot(),
         acceptor.committed().version(),
-        documents.stated(),
+        documents.statedRevision(),
         deltas,
-        track.readers());
+        leaderTracker.readers());
   }
 
-  private boolean names(Member process) {
-    boolean anyIncarnation = context.has(SeededFault.SKIP_INCARNATION_RULE);
+  private boolean isInRoster(Member process) {
+    boolean anyIncarnation = context.hasFault(SeededFault.SKIP_INCARNATION_RULE);
     return slotOf(process) != Member.NO_SLOT
         || (anyIncarnation && acceptor.held().roster().at(process.address()).isPresent());
   }
--- a/umberpath-control/src/main/java/io/umberpath/control/DeltaLog.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/DeltaLog.java
@@ -33,14 +33,14 @@
   /** The deltas that lead from one version to the other; empty optional if some are missing. */
   Optional<List<StateDelta>> chain(Version from, Version to) {
     List<StateDelta> found = new ArrayList<>();
-    Version reached = from;
-    while (!reached.equals(to)) {
-      StateDelta next = byBase.get(reached);
+    Version current = from;
+    while (!current.equals(to)) {
+      StateDelta next = byBase.get(current);
       if (next == null || next.target().isAfter(to)) {
         return Optional.empty();
       }
       found.add(next);
-      reached = next.target();
+      current = next.target();
     }
     return Optional.of(found);
   }
--- a/umberpath-control/src/main/java/io/umberpath/control/DocumentDeltas.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/DocumentDeltas.java
@@ -100,18 +100,18 @@
   static long hash(PlatformDocument document) {
     long sum = document.revision();
     for (Map.Entry<String, List<BackendAddress>> entry : document.services().entrySet()) {
-      sum += text(entry.getKey());
+      sum += textHash(entry.getKey());
       for (BackendAddress backend : entry.getValue()) {
-        sum += text(entry.getKey() + backend);
+        sum += textHash(entry.getKey() + backend);
       }
     }
     for (Machine machine : document.machines()) {
-      sum += text(Objects.toString(machine));
+      sum += textHash(Objects.toString(machine));
     }
     return sum;
   }
 
-  private static long text(String value) {
+  private static long textHash(String value) {
     Hasher hasher = Hashing.murmur3_128().newHasher();
     return hasher.putString(value, StandardCharsets.UTF_8).hash().asLong();
   }
--- a/umberpath-control/src/main/java/io/umberpath/control/DocumentSpread.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/DocumentDistributor.java
@@ -19,20 +19,20 @@
  * StorePosition}), so that those of a newer era of the platform come after all others. One at or
  * below the held one changes nothing.
  */
-final class DocumentSpread {
+final class DocumentDistributor {
   private static final int RECENT_DOCUMENTS = 8;
 
   private final NodeContext context;
-  private final Deque<PlatformDocument> recent = new ArrayDeque<>();
+  private final Deque<PlatformDocument> recentDocuments = new ArrayDeque<>();
   private PlatformDocument current = PlatformDocument.NONE;
-  private long wentBackTo = Long.MAX_VALUE;
+  private long lastOlderRevision = Long.MAX_VALUE;
   private long knownRevision;
   private long nextRequestAt;
   private long nextPushAt;
   private PeerAddress source;
-  private boolean spreadDue;
+  private boolean isDistributionDue;
 
-  DocumentSpread(NodeContext context) {
+  DocumentDistributor(NodeContext context) {
     this.context = context;
   }
 
@@ -45,7 +45,7 @@
   }
 
   /** Learns that a process holds, or held, this revision. */
-  void known(long revision) {
+  void recordKnownRevision(long revision) {
     knownRevision = Math.max(knownRevision, revision);
   }
 
@@ -55,7 +55,7 @@
   }
 
   /** The held revision as children are told it: complemented while a newer one is known. */
-  long stated() {
+  long statedRevision() {
     return isNewestKnown() ? current.revision() : ~current.revision();
   }
 
@@ -65,10 +65,10 @@
   }
 
   /** The platform answered a read. */
-  void read(PlatformDocument document) {
+  void onRead(PlatformDocument document) {
     if (document.revision() < current.revision()) {
-      if (document.revision() != wentBackTo) {
-        wentBackTo = document.revision();
+      if (document.revision() != lastOlderRevision) {
+        lastOlderRevision = document.revision();
         context.notice(
             "platform-revision-went-back",
             "platform answered "
@@ -78,7 +78,7 @@
       }
       return;
     }
-    wentBackTo = Long.MAX_VALUE;
+    lastOlderRevision = Long.MAX_VALUE;
     hold(document, null);
   }
 
@@ -87,16 +87,16 @@
       return;
     }
     current = document;
-    recent.addLast(document);
-    if (recent.size() > RECENT_DOCUMENTS) {
-      recent.removeFirst();
+    recentDocuments.addLast(document);
+    if (recentDocuments.size() > RECENT_DOCUMENTS) {
+      recentDocuments.removeFirst();
     }
     source = from;
-    spreadDue = true;
+    isDistributionDue = true;
   }
 
   /** A neighbour sent a newer document, or a difference. */
-  void update(PeerAddress from, DocumentDelta delta) {
+  void onUpdate(PeerAddress from, DocumentDelta delta) {
     if (delta.revision() <= current.revision()) {
       return;
     }
@@ -121,7 +121,7 @@
   }
 
   /** A neighbour asks for what it lacks. */
-  void requested(PeerAddress from, DocumentRequest request) {
+  void onRequest(PeerAddress from, DocumentRequest request) {
     if (request.revision() < current.revision()) {
       sendTo(from, request.revision());
     }
@@ -129,7 +129,7 @@
 
   private void sendTo(PeerAddress peer, long revision) {
     PlatformDocument base = PlatformDocument.NONE;
-    for (PlatformDocument document : recent) {
+    for (PlatformDocument document : recentDocuments) {
       if (document.revision() == revision) {
         base = document;
       }
@@ -138,9 +138,9 @@
   }
 
   /** The parent told its revision, see {@link #stated()}. */
-  void parentHolds(PeerAddress parent, long stated) {
+  void onParentRevision(PeerAddress parent, long stated) {
     long revision = isNewest(stated) ? stated : ~stated;
-    known(revision);
+    recordKnownRevision(revision);
     if (revision > current.revision()) {
       request(parent, current.revision());
     } else if (revision < current.revision() && context.now() >= nextPushAt) {
@@ -150,14 +150,14 @@
   }
 
   /** A voter told the highest revision of its subtree. */
-  void voterHolds(PeerAddress voter, long revision) {
+  void onVoterRevision(PeerAddress voter, long revision) {
     if (revision > current.revision()) {
       request(voter, current.revision());
     }
   }
 
   /** A new child told its revision. */
-  void childHolds(PeerAddress child, long revision) {
+  void onChildRevision(PeerAddress child, long revision) {
     if (revision < current.revision()) {
       sendTo(child, revision);
     }
@@ -165,27 +165,27 @@
 
   /** Sends a newly held document to every neighbour but the one it came from. */
   boolean flush(Optional<PeerAddress> parent, Collection<PeerAddress> children) {
-    if (!spreadDue) {
+    if (!isDistributionDue) {
       return false;
     }
-    spreadDue = false;
-    long before = previousRevision();
-    parent.filter(peer -> !peer.equals(source)).ifPresent(peer -> sendTo(peer, before));
+    isDistributionDue = false;
+    long previousRevision = previousRevision();
+    parent.filter(peer -> !peer.equals(source)).ifPresent(peer -> sendTo(peer, previousRevision));
     for (PeerAddress child : children) {
       if (!child.equals(source)) {
-        sendTo(child, before);
+        sendTo(child, previousRevision);
       }
     }
     return true;
   }
 
   private long previousRevision() {
-    long before = 0;
-    for (PlatformDocument document : recent) {
+    long previous = 0;
+    for (PlatformDocument document : recentDocuments) {
       if (document.revision() < current.revision()) {
-        before = document.revision();
+        previous = document.revision();
       }
     }
-    return before;
+    return previous;
   }
 }
--- a/umberpath-control/src/main/java/io/umberpath/control/Election.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/Election.java
@@ -20,56 +20,56 @@
  * then for promises, fetches the newest state found, and says when this node may lead.
  */
 final class Election {
-  private static final int FIRST_PREFIX = 2;
-  private static final int PREFIX_GROWTH = 4;
+  private static final int INITIAL_MEMBERS_PER_ZONE = 2;
+  private static final int MEMBERS_PER_ZONE_GROWTH = 4;
   private static final int MAX_ATTEMPTS = 6;
   private static final int MAX_BACKOFF_SHIFT = 4;
-  private static final int LOW_INDEX = 2;
+  private static final int PREFERRED_CANDIDATES = 2;
 
   /** What this node may do with the votes it has. */
-  record Victory(long epoch, FleetState state, VoteTally tally, VoteVerdict verdict) {}
+  record Victory(long epoch, FleetState state, VoteTally tally, VoteOutcome outcome) {}
 
   private enum Phase {
     IDLE,
-    INTENT,
-    BINDING
+    PRE_VOTE,
+    VOTE
   }
 
   private final NodeContext context;
   private final Acceptor acceptor;
-  private final LeaderTrack track;
+  private final LeaderTracker leaderTracker;
   private final Children children;
   private final VoteRelay relay;
-  private final ParentChoice choice;
-  private final DocumentSpread documents;
+  private final ParentSelector parentSelector;
+  private final DocumentDistributor documents;
   private final Set<PeerAddress> acceptedLoss = new LinkedHashSet<>();
   private Phase phase = Phase.IDLE;
   private long epoch;
-  private long highestSeen;
+  private long highestSeenEpoch;
   private int attempt;
-  private int prefix = FIRST_PREFIX;
+  private int membersPerZone = INITIAL_MEMBERS_PER_ZONE;
   private int failures;
-  private long deadline = -1;
+  private long startAt = -1;
   private long timeoutAt;
   private VoteTally tally = new VoteTally();
-  private FleetState adopted = FleetState.EMPTY;
-  private Version fetching = Version.NONE;
-  private boolean fetchWhole;
+  private FleetState newestState = FleetState.EMPTY;
+  private Version requestedVersion = Version.NONE;
+  private boolean isFullFetchNeeded;
 
   Election(
       NodeContext context,
       Acceptor acceptor,
-      LeaderTrack track,
+      LeaderTracker leaderTracker,
       Children children,
       VoteRelay relay,
-      ParentChoice choice,
-      DocumentSpread documents) {
+      ParentSelector parentSelector,
+      DocumentDistributor documents) {
     this.context = context;
     this.acceptor = acceptor;
-    this.track = track;
+    this.leaderTracker = leaderTracker;
     this.children = children;
     this.relay = relay;
-    this.choice = choice;
+    this.parentSelector = parentSelector;
     this.documents = documents;
   }
 
@@ -78,9 +78,9 @@
   }
 
   /** A newer round was heard, or this node leads: no election is wanted. */
-  void quiet() {
+  void stop() {
     phase = Phase.IDLE;
-    prefix = FIRST_PREFIX;
+    membersPerZone = INITIAL_MEMBERS_PER_ZONE;
     failures = 0;
     acceptedLoss.clear();
     defer();
@@ -89,28 +89,28 @@
   /** Another candidate got this node's vote; let it try first. */
   void defer() {
     long interval = context.settings().electionMillis();
-    deadline = Math.max(deadline, context.now() + interval + delay(interval));
+    startAt = Math.max(startAt, context.now() + interval + delay(interval));
   }
 
   private long delay(long interval) {
-    int index = choice.index();
+    int index = parentSelector.index();
     long quarter = interval / 4;
-    if (index >= 0 && index < LOW_INDEX) {
-      return index * quarter + context.spread(failures, quarter);
+    if (index >= 0 && index < PREFERRED_CANDIDATES) {
+      return index * quarter + context.jitter(failures, quarter);
     }
     long backoff = quarter << Math.min(failures, MAX_BACKOFF_SHIFT);
-    return 2 * quarter + context.spread(failures, 2 * quarter) + backoff - quarter;
+    return 2 * quarter + context.jitter(failures, 2 * quarter) + backoff - quarter;
   }
 
   /** An epoch was seen somewhere; the next candidacy goes above it. */
-  void seen(long seenEpoch) {
-    highestSeen = Math.max(highestSeen, seenEpoch);
+  void observeEpoch(long seenEpoch) {
+    highestSeenEpoch = Math.max(highestSeenEpoch, seenEpoch);
   }
 
   /** An operator wants the fleet re-formed although these members are silent. */
   void reform(Set<PeerAddress> loss) {
     acceptedLoss.addAll(loss);
-    startIntent();
+    startPreVote();
   }
 
   /** Ends a candidacy; an operator's call ends with it. */
@@ -122,13 +122,13 @@
 
   /** Starts or continues a candidacy if it is time. */
   void tick(boolean mayForm) {
-    if (deadline < 0) {
+    if (startAt < 0) {
       defer();
     }
     if (phase == Phase.IDLE) {
-      boolean overdue = acceptor.isMember() && context.now() >= deadline;
-      if (overdue || (mayForm && context.now() >= timeoutAt)) {
-        startIntent();
+      boolean isOverdue = acceptor.isMember() && context.now() >= startAt;
+      if (isOverdue || (mayForm && context.now() >= timeoutAt)) {
+        startPreVote();
       }
       return;
     }
@@ -138,32 +138,35 @@
   }
 
   /** A leader that saw a higher epoch stands again at once. */
-  void standAgain() {
-    startBinding();
+  void restart() {
+    startVote();
   }
 
-  private void startIntent() {
-    phase = Phase.INTENT;
+  private void startPreVote() {
+    phase = Phase.PRE_VOTE;
     attempt = 0;
-    adopted = acceptor.held();
-    epoch = Math.max(highestSeen, acceptor.promised()) + 1;
-    ask();
+    newestState = acceptor.held();
+    epoch = Math.max(highestSeenEpoch, acceptor.promised()) + 1;
+    requestVotes();
   }
 
   private void nextAttempt() {
-    seen(tally.promised());
-    boolean outbid = phase == Phase.BINDING && tally.promised() > epoch;
-    if (outbid || attempt + 1 >= MAX_ATTEMPTS) {
+    observeEpoch(tally.promised());
+    boolean isOutvoted = phase == Phase.VOTE && tally.promised() > epoch;
+    if (isOutvoted || attempt + 1 >= MAX_ATTEMPTS) {
       phase = Phase.IDLE;
       acceptedLoss.clear();
       failures++;
-      deadline = context.now() + delay(context.settings().electionMillis());
-      timeoutAt = deadline;
+      startAt = context.now() + delay(context.settings().electionMillis());
+      timeoutAt = startAt;
       return;
     }
     attempt++;
-    prefix = Math.min(prefix * PREFIX_GROWTH, Math.max(FIRST_PREFIX, largestZone()));
-    ask();
+    membersPerZone =
+        Math.min(
+            membersPerZone * MEMBERS_PER_ZONE_GROWTH,
+            Math.max(INITIAL_MEMBERS_PER_ZONE, largestZone()));
+    requestVotes();
   }
 
   private int largestZone() {
@@ -174,15 +177,15 @@
     return largest;
   }
 
-  private void startBinding() {
-    phase = Phase.BINDING;
+  private void startVote() {
+    phase = Phase.VOTE;
     attempt = 0;
-    epoch = Math.max(Math.max(highestSeen, tally.promised()), acceptor.promised()) + 1;
-    ask();
+    epoch = Math.max(Math.max(highestSeenEpoch, tally.promised()), acceptor.promised()) + 1;
+    requestVotes();
   }
 
-  private void ask() {
-    boolean binding = phase == Phase.BINDING;
+  private void requestVotes() {
+    boolean binding = phase == Phase.VOTE;
     Member self = acceptor.self();
     if (binding && !acceptor.promise(epoch, self)) {
       abandon();
@@ -191,12 +194,12 @@
     if (!binding || attempt == 0) {
       tally = new VoteTally();
     }
-    if (acceptor.held().version().isAfter(adopted.version())) {
-      adopted = acceptor.held();
+    if (acceptor.held().version().isAfter(newestState.version())) {
+      newestState = acceptor.held();
     }
-    fetching = Version.NONE;
+    requestedVersion = Version.NONE;
     long half = context.settings().electionMillis() / 2;
-    timeoutAt = context.now() + half + context.spread(attempt + epoch, half + 1);
+    timeoutAt = context.now() + half + context.jitter(attempt + epoch, half + 1);
     relay.grant(tally);
     VoteRequest request = new VoteRequest(binding, epoch, self, attempt);
     for (PeerAddress target : targets()) {
@@ -206,9 +209,9 @@
 
   private Set<PeerAddress> targets() {
     Set<PeerAddress> targets = new LinkedHashSet<>(children.addresses());
-    addHeads(targets, context.view(acceptor.held().roster()));
+    addFirstMembers(targets, context.view(acceptor.held().roster()));
     if (acceptor.held().changesRoster()) {
-      addHeads(targets, context.view(acceptor.held().previousRoster()));
+      addFirstMembers(targets, context.view(acceptor.held().previousRoster()));
     }
     if (!acceptor.isMember() || attempt > 1) {
       targets.addAll(context.settings().seeds());
@@ -217,22 +220,22 @@
     return targets;
   }
 
-  private void addHeads(Set<PeerAddress> targets, RosterView view) {
+  private void addFirstMembers(Set<PeerAddress> targets, RosterView view) {
     for (RosterView.Zone zone : view.zones()) {
-      int count = Math.min(prefix, zone.members().size());
+      int count = Math.min(membersPerZone, zone.members().size());
       zone.members().subList(0, count).forEach(member -> targets.add(member.address()));
     }
   }
 
   /** Takes an answer that is meant for this candidate. */
-  Optional<Victory> answer(VoteAnswer answer) {
-    boolean binding = phase == Phase.BINDING;
-    boolean current =
+  Optional<Victory> onVoteAnswer(VoteAnswer answer) {
+    boolean binding = phase == Phase.VOTE;
+    boolean isCurrent =
         phase != Phase.IDLE
             && answer.binding() == binding
             && answer.epoch() == epoch
             && (binding || answer.attempt() == attempt);
-    if (!current) {
+    if (!isCurrent) {
       return Optional.empty();
     }
     tally.add(answer);
@@ -244,54 +247,54 @@
     if (phase == Phase.IDLE) {
       return Optional.empty();
     }
-    if (tally.highest().isAfter(adopted.version())) {
-      fetch();
+    if (tally.highest().isAfter(newestState.version())) {
+      requestNewestState();
       return Optional.empty();
     }
-    VoteVerdict verdict =
-        VoteVerdict.of(context, adopted, documents.current(), tally, acceptedLoss);
-    if (verdict == VoteVerdict.INSUFFICIENT) {
+    VoteOutcome outcome =
+        VoteOutcome.evaluate(context, newestState, documents.current(), tally, acceptedLoss);
+    if (outcome == VoteOutcome.INSUFFICIENT) {
       return Optional.empty();
     }
-    if (phase == Phase.INTENT) {
-      startBinding();
+    if (phase == Phase.PRE_VOTE) {
+      startVote();
       return evaluate();
     }
     phase = Phase.IDLE;
-    return Optional.of(new Victory(epoch, adopted, tally, verdict));
+    return Optional.of(new Victory(epoch, newestState, tally, outcome));
   }
 
-  private void fetch() {
+  private void requestNewestState() {
     Version wanted = tally.highest();
-    if (wanted.equals(fetching)) {
+    if (wanted.equals(requestedVersion)) {
       return;
     }
-    fetching = wanted;
-    Version held = fetchWhole ? Version.NONE : adopted.version();
+    requestedVersion = wanted;
+    Version held = isFullFetchNeeded ? Version.NONE : newestState.version();
     tally
         .holderOfHighest(attempt)
         .ifPresent(holder -> context.send(holder, new FetchState(epoch, wanted, held)));
   }
 
   /** Takes a state that was asked for. */
-  Optional<Victory> fetched(FetchedState message) {
+  Optional<Victory> onFetchedState(FetchedState message) {
     if (phase == Phase.IDLE || message.epoch() != epoch) {
       return Optional.empty();
     }
-    FleetState state = adopted;
+    FleetState state = newestState;
     for (StateDelta delta : message.deltas()) {
       Either<Violation, FleetState> result = context.shared().apply(delta, state);
       if (result.isLeft()) {
-        fetchWhole = true;
-        fetching = Version.NONE;
+        isFullFetchNeeded = true;
+        requestedVersion = Version.NONE;
         return Optional.empty();
       }
       state = result.get();
     }
-    fetchWhole = false;
-    if (state.version().isAfter(adopted.version())) {
-      adopted = state;
-      acceptor.remember(message.deltas());
+    isFullFetchNeeded = false;
+    if (state.version().isAfter(newestState.version())) {
+      newestState = state;
+      acceptor.logDeltas(message.deltas());
     }
     return evaluate();
   }
@@ -301,6 +304,6 @@
     if (phase != Phase.IDLE || mayForm) {
       return timeoutAt;
     }
-    return acceptor.isMember() ? deadline : Long.MAX_VALUE;
+    return acceptor.isMember() ? startAt : Long.MAX_VALUE;
   }
 }
--- a/umberpath-control/src/main/java/io/umberpath/control/FleetNode.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/FleetNode.java
@@ -35,284 +35,286 @@
 
   private final NodeContext context;
   private final Acceptor acceptor;
-  private final LeaderTrack track;
-  private final DocumentSpread documents;
+  private final LeaderTracker leaderTracker;
+  private final DocumentDistributor documents;
   private final Activation activation;
   private final Children children;
-  private final Reports reports;
-  private final ParentChoice choice;
+  private final SubtreeReporter reports;
+  private final ParentSelector parentSelector;
   private final ParentLink parentLink;
-  private final VoteRelay relay;
+  private final VoteRelay voteRelay;
   private final Formation formation;
   private final Election election;
   private final ChangeDecider decider;
-  private final ChangeDesk desk;
+  private final SubmittedChanges submittedChanges;
   private final Leadership leadership;
-  private final PlatformReading reading;
-  private final ObservedSpread observed;
-  private final FleetViews views;
-  private final ReformCalls reformCalls;
+  private final PlatformPoller platformPoller;
+  private final ObservationDistributor observations;
+  private final FleetViewRequests viewRequests;
+  private final ReformRequests reformRequests;
   private FleetState lastHeld = FleetState.EMPTY;
   private FleetState lastCommitted = FleetState.EMPTY;
-  private boolean revisionTold;
+  private boolean isRevisionConfirmed;
 
   FleetNode(NodeContext context) {
     this.context = context;
     acceptor = new Acceptor(context);
-    track = new LeaderTrack(context);
-    documents = new DocumentSpread(context);
+    leaderTracker = new LeaderTracker(context);
+    documents = new DocumentDistributor(context);
     activation = new Activation(context, acceptor, documents);
-    children = new Children(context, acceptor, track, documents);
-    reports = new Reports(context, acceptor, track, children, activation);
-    choice = new ParentChoice(context, acceptor, track);
-    parentLink = new ParentLink(context, acceptor, track, choice, documents);
-    relay = new VoteRelay(context, acceptor, track, children, documents);
+    children = new Children(context, acceptor, leaderTracker, documents);
+    reports = new SubtreeReporter(context, acceptor, leaderTracker, children, activation);
+    parentSelector = new ParentSelector(context, acceptor, leaderTracker);
+    parentLink = new ParentLink(context, acceptor, leaderTracker, parentSelector, documents);
+    voteRelay = new VoteRelay(context, acceptor, leaderTracker, children, documents);
     formation = new Formation(context, acceptor, reports);
-    election = new Election(context, acceptor, track, children, relay, choice, documents);
+    election =
+        new Election(
+            context, acceptor, leaderTracker, children, voteRelay, parentSelector, documents);
     decider = new ChangeDecider(context, acceptor);
-    desk = new ChangeDesk(context, track, acceptor, decider);
+    submittedChanges = new SubmittedChanges(context, leaderTracker, acceptor, decider);
     leadership =
         new Leadership(
             context,
             acceptor,
-            track,
+            leaderTracker,
             children,
             reports,
             decider,
-            new ReaderNaming(context),
+            new ReaderAssignment(context),
             documents);
-    reading = new PlatformReading(context, acceptor, track);
-    observed = new ObservedSpread(context);
-    views = new FleetViews(context);
-    reformCalls = new ReformCalls(context);
+    platformPoller = new PlatformPoller(context, acceptor, leaderTracker);
+    observations = new ObservationDistributor(context);
+    viewRequests = new FleetViewRequests(context);
+    reformRequests = new ReformRequests(context);
   }
 
   @Override
   public List<ControlOutput> handle(long nowMillis, ControlInput input) {
     context.begin(nowMillis);
     if (input instanceof ControlInput.MessageReceived received) {
-      received(received.from(), received.message());
+      onMessage(received.from(), received.message());
     } else if (input instanceof ControlInput.PeerUnreachable unreachable) {
-      parentLink.lost(unreachable.peer());
+      parentLink.onLost(unreachable.peer());
       children.remove(unreachable.peer());
     } else if (input instanceof ControlInput.ChangeSubmitted submitted) {
-      desk.submit(submitted.ticket(), submitted.change());
+      submittedChanges.submit(submitted.ticket(), submitted.change());
     } else if (input instanceof ControlInput.ChangeAbandoned abandoned) {
-      desk.abandon(abandoned.ticket());
+      submittedChanges.abandon(abandoned.ticket());
     } else if (input instanceof ControlInput.DocumentRead read) {
-      reading.answered();
-      documents.read(read.document());
+      platformPoller.onResponse();
+      documents.onRead(read.document());
     } else if (input instanceof ControlInput.DocumentReadFailed) {
-      reading.failed();
+      platformPoller.onFailure();
     } else if (input instanceof ControlInput.BackendObserved backend) {
-      observed.observed(backend.backend());
+      observations.onLocalChange(backend.backend());
     } else if (input instanceof ControlInput.ReformRequested reform) {
       reform(reform);
     } else if (input instanceof ControlInput.FleetViewRequested request) {
       requestView(request.ticket());
     }
-    settle();
+    runUpdates();
     return context.takeOutputs();
   }
 
-  private void received(PeerAddress from, ControlMessage message) {
+  private void onMessage(PeerAddress from, ControlMessage message) {
     if (message instanceof Deliver deliver) {
-      delivered(from, deliver);
+      onDelivery(from, deliver);
     } else if (message instanceof Report report) {
-      election.seen(report.epoch());
-      if (!children.report(from, report)) {
+      election.observeEpoch(report.epoch());
+      if (!children.onReport(from, report)) {
         context.send(from, new Redirect(List.of()));
       }
     } else if (message instanceof Attach attach) {
-      attached(from, attach);
+      onAttach(from, attach);
     } else if (message instanceof AttachAccepted accepted) {
-      accepted(from, accepted);
+      onAttachAccepted(from, accepted);
     } else if (message instanceof Redirect redirect) {
-      parentLink.redirected(from, redirect.candidates());
+      parentLink.onRedirect(from, redirect.candidates());
     } else if (message instanceof Detach) {
       children.remove(from);
     } else if (message instanceof ObservedUpdate update) {
-      List<ObservedBackend> newer = observed.update(from, update.backends());
+      List<ObservedBackend> newer = observations.onUpdate(from, update.backends());
       if (!newer.isEmpty()) {
         context.emit(new ControlOutput.ObservedUpdated(newer));
       }
     } else if (message instanceof DocumentUpdate update) {
-      documents.update(from, update.change());
+      documents.onUpdate(from, update.change());
     } else if (message instanceof DocumentRequest request) {
-      documents.requested(from, request);
+      documents.onRequest(from, request);
     } else if (message instanceof ForwardChange forward) {
-      decider.forwarded(forward);
+      decider.onForward(forward);
     } else if (message instanceof ChangeOutcome outcome) {
-      desk.outcome(outcome);
+      submittedChanges.onOutcome(outcome);
     } else {
-      receivedRare(from, message);
+      onRareMessage(from, message);
     }
   }
 
-  private void receivedRare(PeerAddress from, ControlMessage message) {
+  private void onRareMessage(PeerAddress from, ControlMessage message) {
     if (message instanceof VoteRequest request) {
-      requestedVote(from, request);
+      onVoteRequest(from, request);
     } else if (message instanceof VoteAnswer answer) {
-      documents.voterHolds(from, answer.revision());
+      documents.onVoterRevision(from, answer.revision());
       if (answer.candidate().equals(context.address())) {
-        election.answer(answer).ifPresent(this::lead);
+        election.onVoteAnswer(answer).ifPresent(this::startLeading);
       } else {
-        relay.answer(from, answer);
+        voteRelay.onAnswer(from, answer);
       }
     } else if (message instanceof FetchState fetch) {
-      context.send(from, new FetchedState(fetch.epoch(), acceptor.catchUp(fetch.held())));
+      context.send(from, new FetchedState(fetch.epoch(), acceptor.catchUpDeltas(fetch.held())));
     } else if (message instanceof FetchedState fetched) {
-      election.fetched(fetched).ifPresent(this::lead);
-    } else if (message instanceof FleetViewRequest request && leadership.leads()) {
+      election.onFetchedState(fetched).ifPresent(this::startLeading);
+    } else if (message instanceof FleetViewRequest request && leadership.isLeader()) {
       context.send(from, new FleetViewAnswer(request.ticket(), nodeViews()));
     } else if (message instanceof FleetViewAnswer answer) {
-      views.answered(answer);
+      viewRequests.onAnswer(answer);
     }
   }
 
-  private void delivered(PeerAddress from, Deliver delivery) {
+  private void onDelivery(PeerAddress from, Deliver delivery) {
     boolean fromParent = parentLink.isParent(from);
     if (fromParent) {
-      parentLink.heardParent();
-      reports.due();
+      parentLink.recordParentMessage();
+      reports.schedule();
     }
     if (delivery.round().epoch() < acceptor.promised()) {
       acceptor.receive(List.of(), delivery.committed());
       return;
     }
-    hear(delivery, fromParent);
+    recordRound(delivery, fromParent);
     acceptor.receive(fromParent ? delivery.deltas() : List.of(), delivery.committed());
     if (fromParent) {
-      documents.parentHolds(from, delivery.revision());
+      documents.onParentRevision(from, delivery.revision());
       if (!delivery.round().equals(Round.NONE)) {
-        revisionTold = DocumentSpread.isNewest(delivery.revision());
+        isRevisionConfirmed = DocumentDistributor.isNewest(delivery.revision());
       }
     }
   }
 
-  private void hear(Deliver delivery, boolean fromParent) {
-    Optional<PeerAddress> before = track.leader();
-    Round fedBefore = track.fedRound();
-    boolean newer = track.hear(delivery, fromParent);
-    if (track.fedRound() != fedBefore) {
-      children.deliveryDue();
+  private void recordRound(Deliver delivery, boolean fromParent) {
+    Optional<PeerAddress> before = leaderTracker.leader();
+    Round fedBefore = leaderTracker.deliveredRound();
+    boolean newer = leaderTracker.recordRound(delivery, fromParent);
+    if (leaderTracker.deliveredRound() != fedBefore) {
+      children.scheduleDelivery();
     }
     if (!newer) {
       return;
     }
-    acceptor.hearEpoch(delivery.round().epoch());
-    election.quiet();
-    reports.due();
-    if (!track.leader().equals(before)) {
+    acceptor.observeEpoch(delivery.round().epoch());
+    election.stop();
+    reports.schedule();
+    if (!leaderTracker.leader().equals(before)) {
       parentLink.reconsider();
     } else if (!fromParent) {
-      parentLink.announced(delivery.leader());
+      parentLink.onAnnouncement(delivery.leader());
     }
   }
 
-  private void attached(PeerAddress from, Attach attach) {
-    if (children.attach(attach, leadership.leads(), parentLink.parent())) {
-      documents.childHolds(from, attach.revision());
-      observed.catchUp(from, attach.missedMillis());
+  private void onAttach(PeerAddress from, Attach attach) {
+    if (children.attach(attach, leadership.isLeader(), parentLink.parent())) {
+      documents.onChildRevision(from, attach.revision());
+      observations.sendMissed(from, attach.missedMillis());
     }
   }
 
-  private void accepted(PeerAddress from, AttachAccepted accepted) {
+  private void onAttachAccepted(PeerAddress from, AttachAccepted accepted) {
     boolean isNew = !parentLink.isParent(from);
-    if (parentLink.accepted(from)) {
-      delivered(from, accepted.delivery());
-      reports.sendWhole(from);
+    if (parentLink.onAccepted(from)) {
+      onDelivery(from, accepted.delivery());
+      reports.sendComplete(from);
       if (isNew) {
-        observed.catchUp(from, parentLink.missedMillis());
+        observations.sendMissed(from, parentLink.missedMillis());
       }
     }
   }
 
-  private void requestedVote(PeerAddress from, VoteRequest request) {
+  private void onVoteRequest(PeerAddress from, VoteRequest request) {
     if (request.binding()) {
-      election.seen(request.epoch());
+      election.observeEpoch(request.epoch());
     }
-    if (relay.request(from, request, leadership.leads())) {
+    if (voteRelay.onRequest(from, request, leadership.isLeader())) {
       election.defer();
     }
     if (!acceptor.isMember() && request.candidate().slot() != Member.NO_SLOT) {
-      parentLink.announced(request.candidate().address());
+      parentLink.onAnnouncement(request.candidate().address());
     }
   }
 
   private void reform(ControlInput.ReformRequested request) {
-    if (leadership.leads() || track.heardWithin(context.settings().electionMillis())) {
-      reformCalls.refuseBecauseLed(request.ticket());
+    if (leadership.isLeader() || leaderTracker.heardWithin(context.settings().electionMillis())) {
+      reformRequests.refuseWithLeader(request.ticket());
       return;
     }
-    reformCalls.begin(request.ticket());
+    reformRequests.begin(request.ticket());
     election.reform(request.acceptedLoss());
   }
 
   private void requestView(long ticket) {
-    if (leadership.leads()) {
-      views.answer(ticket, nodeViews());
-    } else if (track.leader().isPresent()) {
-      views.request(ticket, track.leader().get());
+    if (leadership.isLeader()) {
+      viewRequests.respond(ticket, nodeViews());
+    } else if (leaderTracker.leader().isPresent()) {
+      viewRequests.request(ticket, leaderTracker.leader().get());
     } else {
-      views.answer(ticket, List.of());
+      viewRequests.respond(ticket, List.of());
     }
   }
 
   private List<NodeView> nodeViews() {
-    return FleetViews.of(acceptor.committed().roster(), reports.groups());
+    return FleetViewRequests.lazyViews(acceptor.committed().roster(), reports.groups());
   }
 
-  private void lead(Election.Victory victory) {
+  private void startLeading(Election.Victory victory) {
     parentLink.disable();
-    election.quiet();
-    documents.known(victory.tally().revision());
+    election.stop();
+    documents.recordKnownRevision(victory.tally().revision());
     leadership.start(victory);
   }
 
   /** Lets every part act on what changed; what is sent to one peer is sent once. */
-  private void settle() {
+  private void runUpdates() {
     boolean joinsChanged = children.takeJoinsChanged();
     if (joinsChanged) {
-      reports.joinsChanged();
+      reports.onJoinsChanged();
     }
     if (children.takeChanged()) {
-      leadership.collect();
-      reports.due();
+      leadership.collectReports();
+      reports.schedule();
     }
-    if (!acceptor.isMember() && track.isFed()) {
-      parentLink.parent().ifPresent(children::dissolve);
+    if (!acceptor.isMember() && leaderTracker.isDeliveryCurrent()) {
+      parentLink.parent().ifPresent(children::redirectAll);
     }
     checkTerm();
-    if (!leadership.leads()) {
+    if (!leadership.isLeader()) {
       formation.update(parentLink.parent().isPresent());
       election.tick(formation.isDue());
-      election.evaluate().ifPresent(this::lead);
+      election.evaluate().ifPresent(this::startLeading);
     }
     leadership.tick();
-    desk.flush(leadership.leads(), leadership.epoch());
+    submittedChanges.flush(leadership.isLeader(), leadership.epoch());
     advance();
-    reformCalls.check(leadership, election, acceptor.committed().version());
-    spread();
+    reformRequests.check(leadership, election, acceptor.committed().version());
+    distribute();
   }
 
   private void checkTerm() {
-    if (!leadership.leads()) {
+    if (!leadership.isLeader()) {
       return;
     }
-    String cause = leadership.lostCause();
+    String cause = leadership.stepDownCause();
     if (cause.isEmpty()) {
       return;
     }
-    boolean otherLeader = track.round().epoch() > leadership.epoch();
+    boolean otherLeader = leaderTracker.round().epoch() > leadership.epoch();
     boolean otherCandidate = acceptor.promised() > leadership.epoch();
     boolean higherEpoch = reports.epoch() > leadership.epoch();
     leadership.stepDown(cause);
     parentLink.enable();
-    election.seen(reports.epoch());
+    election.observeEpoch(reports.epoch());
     election.abandon();
     if (higherEpoch && !otherLeader && !otherCandidate) {
-      election.standAgain();
+      election.restart();
     }
   }
 
@@ -320,61 +322,61 @@
     for (int count = 0; count < MAX_ADVANCES; count++) {
       Version before = acceptor.held().version();
       leadership.advance();
-      noticeProgress();
+      detectProgress();
       if (before.equals(acceptor.held().version())) {
         return;
       }
     }
   }
 
-  private void noticeProgress() {
+  private void detectProgress() {
     if (acceptor.held() != lastHeld) {
       lastHeld = acceptor.held();
-      children.deliveryDue();
-      reports.due();
+      children.scheduleDelivery();
+      reports.schedule();
     }
     if (acceptor.committed() != lastCommitted) {
       boolean sameRoster = acceptor.committed().roster().equals(lastCommitted.roster());
       lastCommitted = acceptor.committed();
-      children.deliveryDue();
+      children.scheduleDelivery();
       if (!sameRoster) {
         parentLink.reconsider();
-        reports.joinsChanged();
+        reports.onJoinsChanged();
       }
     }
   }
 
-  private void spread() {
+  private void distribute() {
     boolean newDocument = documents.flush(parentLink.parent(), children.addresses());
-    if (isRevisionLearnt()) {
-      activation.revisionKnown();
+    if (isNewestRevisionHeld()) {
+      activation.markRevisionKnown();
     }
     if (activation.advance() || newDocument) {
-      reports.due();
+      reports.schedule();
     }
-    observed.flush(parentLink.parent(), children.addresses());
-    relay.flush();
-    reading.tick();
+    observations.flush(parentLink.parent(), children.addresses());
+    voteRelay.flush();
+    platformPoller.tick();
     parentLink.tick();
-    views.tick();
+    viewRequests.tick();
     children.keepAlive();
     children.flush();
-    if (leadership.leads() || parentLink.parent().isEmpty()) {
+    if (leadership.isLeader() || parentLink.parent().isEmpty()) {
       reports.cancel();
     } else {
       reports.flush(parentLink.parent().get());
     }
   }
 
-  private boolean isRevisionLearnt() {
+  private boolean isNewestRevisionHeld() {
     if (activation.isRevisionKnown() || !documents.isNewestKnown()) {
       return false;
     }
-    if (leadership.leads()) {
-      return leadership.isSettled()
+    if (leadership.isLeader()) {
+      return leadership.hasCommitted()
           && reports.groups().stream().allMatch(group -> group.revision() <= documents.revision());
     }
-    return revisionTold;
+    return isRevisionConfirmed;
   }
 
   @Override
@@ -382,17 +384,17 @@
     long next =
         LongStream.of(
                 leadership.nextAt(),
-                desk.nextAt(leadership.leads()),
+                submittedChanges.nextAt(leadership.isLeader()),
                 parentLink.nextAt(),
                 reports.nextAt(),
-                relay.nextAt(),
-                reading.nextAt(),
-                observed.nextAt(),
-                views.nextAt(),
+                voteRelay.nextAt(),
+                platformPoller.nextAt(),
+                observations.nextAt(),
+                viewRequests.nextAt(),
                 children.nextKeepAlive())
             .min()
             .getAsLong();
-    if (leadership.leads()) {
+    if (leadership.isLeader()) {
       return next;
     }
     next = Math.min(next, formation.nextAt());
@@ -405,7 +407,7 @@
     Optional<Member> leader =
         role == Role.LEADER
             ? Optional.of(acceptor.self())
-            : track.leader().flatMap(acceptor.committed().roster()::at);
+            : leaderTracker.leader().flatMap(acceptor.committed().roster()::at);
     return new ControlStatus(
         acceptor.self(),
         role,
@@ -418,13 +420,13 @@
         activation.version(),
         activation.revision(),
         documents.current(),
-        reading.isReader(),
+        platformPoller.isReader(),
         activation.violations(),
         role == Role.LEADER ? nodeViews() : List.of());
   }
 
   private Role role() {
-    if (leadership.leads()) {
+    if (leadership.isLeader()) {
       return Role.LEADER;
     }
     if (!acceptor.isMember()) {
--- a/umberpath-control/src/main/java/io/umberpath/control/FleetViews.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/FleetViewRequests.java
@@ -15,16 +15,16 @@
 import java.util.Map;
 
 /** Answers requests for the leader's per-member view, at the leader and elsewhere. */
-final class FleetViews {
+final class FleetViewRequests {
   private final NodeContext context;
-  private final Map<Long, Long> waitingUntil = new LinkedHashMap<>();
+  private final Map<Long, Long> deadlineByTicket = new LinkedHashMap<>();
 
-  FleetViews(NodeContext context) {
+  FleetViewRequests(NodeContext context) {
     this.context = context;
   }
 
   /** One entry per roster member, computed when first read. */
-  static List<NodeView> of(Roster roster, List<ReportGroup> groups) {
+  static List<NodeView> lazyViews(Roster roster, List<ReportGroup> groups) {
     return new LazyViews(roster, groups);
   }
 
@@ -58,34 +58,34 @@
 
   /** Asks the leader. */
   void request(long ticket, PeerAddress leader) {
-    waitingUntil.put(ticket, context.now() + context.settings().electionMillis());
+    deadlineByTicket.put(ticket, context.now() + context.settings().electionMillis());
     context.send(leader, new FleetViewRequest(ticket));
   }
 
   /** Answers a local request. */
-  void answer(long ticket, List<NodeView> nodes) {
+  void respond(long ticket, List<NodeView> nodes) {
     context.emit(new ControlOutput.FleetViewAnswered(ticket, nodes));
   }
 
   /** The leader answered. */
-  void answered(FleetViewAnswer answer) {
-    if (waitingUntil.remove(answer.ticket()) != null) {
-      answer(answer.ticket(), answer.nodes());
+  void onAnswer(FleetViewAnswer answer) {
+    if (deadlineByTicket.remove(answer.ticket()) != null) {
+      respond(answer.ticket(), answer.nodes());
     }
   }
 
   /** Answers requests that no leader answered. */
   void tick() {
-    for (Map.Entry<Long, Long> entry : List.copyOf(waitingUntil.entrySet())) {
+    for (Map.Entry<Long, Long> entry : List.copyOf(deadlineByTicket.entrySet())) {
       if (context.now() >= entry.getValue()) {
-        waitingUntil.remove(entry.getKey());
-        answer(entry.getKey(), List.of());
+        deadlineByTicket.remove(entry.getKey());
+        respond(entry.getKey(), List.of());
       }
     }
   }
 
   /** When {@link #tick} is due. */
   long nextAt() {
-    return waitingUntil.values().stream().min(Long::compare).orElse(Long.MAX_VALUE);
+    return deadlineByTicket.values().stream().min(Long::compare).orElse(Long.MAX_VALUE);
   }
 }
--- a/umberpath-control/src/main/java/io/umberpath/control/Formation.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/Formation.java
@@ -13,12 +13,12 @@
 
   private final NodeContext context;
   private final Acceptor acceptor;
-  private final Reports reports;
-  private boolean due;
+  private final SubtreeReporter reports;
+  private boolean isDue;
   private long parentlessSince = Long.MAX_VALUE;
   private long dueAt = Long.MAX_VALUE;
 
-  Formation(NodeContext context, Acceptor acceptor, Reports reports) {
+  Formation(NodeContext context, Acceptor acceptor, SubtreeReporter reports) {
     this.context = context;
     this.acceptor = acceptor;
     this.reports = reports;
@@ -26,17 +26,17 @@
 
   /** Looks again at what this process holds and sees. */
   void update(boolean hasParent) {
-    boolean blank = !acceptor.isMember() && acceptor.held().version().equals(Version.NONE);
-    due = false;
+    boolean isBlank = !acceptor.isMember() && acceptor.held().version().equals(Version.NONE);
+    isDue = false;
     dueAt = Long.MAX_VALUE;
-    if (!blank || hasParent) {
+    if (!isBlank || hasParent) {
       parentlessSince = Long.MAX_VALUE;
       return;
     }
     parentlessSince = Math.min(parentlessSince, context.now());
     if (reports.joins().size() >= context.settings().initialMembers()) {
       dueAt = parentlessSince + delay();
-      due = context.now() >= dueAt;
+      isDue = context.now() >= dueAt;
     }
   }
 
@@ -49,11 +49,11 @@
 
   /** Whether this process may ask the others to form a fleet now. */
   boolean isDue() {
-    return due;
+    return isDue;
   }
 
   /** When that may become so; {@link Long#MAX_VALUE} if it is so or nothing points to it. */
   long nextAt() {
-    return due ? Long.MAX_VALUE : dueAt;
+    return isDue ? Long.MAX_VALUE : dueAt;
   }
 }
--- a/umberpath-control/src/main/java/io/umberpath/control/OriginLedger.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/ForwardedChanges.java
@@ -12,7 +12,7 @@
  * What a leader decided about forwarded changes in its term, so that a late or duplicated forward
  * never runs a change whose origin already has its answer.
  */
-final class OriginLedger {
+final class ForwardedChanges {
   private final Map<PeerAddress, Origin> origins = new HashMap<>();
 
   /** What to do with a forward. */
@@ -20,7 +20,7 @@
     /** Seen for the first time: queue it. */
     NEW,
     /** Queued or proposed already, or closed by its origin: do nothing. */
-    KNOWN,
+    DUPLICATE,
     /** Decided already: repeat the answer. */
     DECIDED
   }
@@ -41,7 +41,7 @@
   }
 
   /** Looks a forward up and closes the numbers that its origin has closed. */
-  Arrival arrived(ForwardChange forward) {
+  Arrival onArrival(ForwardChange forward) {
     PeerAddress address = forward.origin().address();
     Origin origin = origins.get(address);
     if (origin == null || origin.incarnation < forward.origin().incarnation()) {
@@ -49,32 +49,32 @@
       origins.put(address, origin);
     }
     if (origin.incarnation > forward.origin().incarnation()) {
-      return Arrival.KNOWN;
+      return Arrival.DUPLICATE;
     }
     origin.lowestOpen = Math.max(origin.lowestOpen, forward.lowestOpen());
     origin.open.headMap(origin.lowestOpen).clear();
     if (forward.number() < origin.lowestOpen) {
-      return Arrival.KNOWN;
+      return Arrival.DUPLICATE;
     }
     Optional<ChangeResult> known = origin.open.get(forward.number());
     if (known == null) {
       return Arrival.NEW;
     }
-    return known.isPresent() ? Arrival.DECIDED : Arrival.KNOWN;
+    return known.isPresent() ? Arrival.DECIDED : Arrival.DUPLICATE;
   }
 
   /** The change was queued. */
-  void queued(ForwardChange forward) {
+  void markQueued(ForwardChange forward) {
     origin(forward).ifPresent(origin -> origin.open.put(forward.number(), Optional.empty()));
   }
 
   /** The change was not queued after all. */
-  void forget(ForwardChange forward) {
+  void remove(ForwardChange forward) {
     origin(forward).ifPresent(origin -> origin.open.remove(forward.number()));
   }
 
   /** The change was decided. */
-  void decided(ForwardChange forward, ChangeResult result) {
+  void markDecided(ForwardChange forward, ChangeResult result) {
     origin(forward)
         .filter(origin -> forward.number() >= origin.lowestOpen)
         .ifPresent(origin -> origin.open.put(forward.number(), Optional.of(result)));
--- a/umberpath-control/src/main/java/io/umberpath/control/Spread.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/Jitter.java
@@ -3,10 +3,10 @@
 import io.umberpath.model.Member;
 
 /** Deterministic jitter: spreads nodes over an interval without a random source. */
-final class Spread {
+final class Jitter {
   private static final long MULTIPLIER = 0x9E3779B97F4A7C15L;
 
-  private Spread() {}
+  private Jitter() {}
 
   /**
    * A number that depends on the process and the attempt.
--- a/umberpath-control/src/main/java/io/umberpath/control/LeaderTrack.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/LeaderTracker.java
@@ -10,31 +10,31 @@
  * What a node knows of the newest heartbeat round. A round that came down the tree shows that the
  * node is fed by the leader; one that a leader announced directly only shows that it exists.
  */
-final class LeaderTrack {
+final class LeaderTracker {
   private final NodeContext context;
   private Round round = Round.NONE;
   private long heardAt;
   private PeerAddress leader;
-  private Round fedRound = Round.NONE;
-  private PeerAddress fedLeader;
-  private int fedLeaderSlot;
+  private Round deliveredRound = Round.NONE;
+  private PeerAddress deliveredLeader;
+  private int deliveredLeaderSlot;
   private List<Integer> readers = List.of();
-  private long fedAt;
+  private long deliveredAt;
   private long steadySince;
 
-  LeaderTrack(NodeContext context) {
+  LeaderTracker(NodeContext context) {
     this.context = context;
   }
 
   /**
    * Takes a round.
    *
-   * @param fed whether it came from the parent, or is this leader's own
+   * @param isDelivered whether it came from the parent, or is this leader's own
    * @return whether it is newer than any heard before
    */
-  boolean hear(Deliver delivery, boolean fed) {
-    if (fed && delivery.round().newerThan(fedRound)) {
-      feed(delivery);
+  boolean recordRound(Deliver delivery, boolean isDelivered) {
+    if (isDelivered && delivery.round().newerThan(deliveredRound)) {
+      recordDelivery(delivery);
     }
     if (!delivery.round().newerThan(round)) {
       return false;
@@ -45,15 +45,15 @@
     return true;
   }
 
-  private void feed(Deliver delivery) {
-    if (context.now() - fedAt > context.settings().parentStallMillis()) {
+  private void recordDelivery(Deliver delivery) {
+    if (context.now() - deliveredAt > context.settings().parentStallMillis()) {
       steadySince = context.now();
     }
-    fedRound = delivery.round();
-    fedLeader = delivery.leader();
-    fedLeaderSlot = delivery.leaderSlot();
+    deliveredRound = delivery.round();
+    deliveredLeader = delivery.leader();
+    deliveredLeaderSlot = delivery.leaderSlot();
     readers = delivery.readers();
-    fedAt = context.now();
+    deliveredAt = context.now();
   }
 
   /** The node learnt that the leader it knew leads no longer. */
@@ -76,17 +76,17 @@
   }
 
   /** The newest round that came down the tree. */
-  Round fedRound() {
-    return fedRound;
+  Round deliveredRound() {
+    return deliveredRound;
   }
 
   /** The leader of {@link #fedRound}. */
-  Optional<PeerAddress> fedLeader() {
-    return Optional.ofNullable(fedLeader);
+  Optional<PeerAddress> deliveredLeader() {
+    return Optional.ofNullable(deliveredLeader);
   }
 
-  int fedLeaderSlot() {
-    return fedLeaderSlot;
+  int deliveredLeaderSlot() {
+    return deliveredLeaderSlot;
   }
 
   /** The readers that {@link #fedRound} names. */
@@ -95,18 +95,18 @@
   }
 
   /** When {@link #fedRound} came; 0 before the first. */
-  long fedAt() {
-    return fedAt;
+  long deliveredAt() {
+    return deliveredAt;
   }
 
   /** Whether a round came down the tree within the last milliseconds. */
-  boolean fedWithin(long millis) {
-    return fedLeader != null && context.now() - fedAt < millis;
+  boolean deliveredWithin(long millis) {
+    return deliveredLeader != null && context.now() - deliveredAt < millis;
   }
 
   /** Whether a round came down the tree within the election time. */
-  boolean isFed() {
-    return fedWithin(context.settings().electionMillis());
+  boolean isDeliveryCurrent() {
+    return deliveredWithin(context.settings().electionMillis());
   }
 
   /**
@@ -114,6 +114,6 @@
    * example after this process was paused, tell nothing of the present.
    */
   boolean isSteady() {
-    return fedAt - steadySince >= context.settings().heartbeatMillis() / 2;
+    return deliveredAt - steadySince >= context.settings().heartbeatMillis() / 2;
   }
 }
--- a/umberpath-control/src/main/java/io/umberpath/control/Leadership.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/Leadership.java
@@ -18,50 +18,50 @@
  * end of the term when the quorum or the epoch is lost.
  */
 final class Leadership {
-  private static final int ANNOUNCE_PER_ZONE = 3;
+  private static final int ANNOUNCEMENTS_PER_ZONE = 3;
 
   private final NodeContext context;
   private final Acceptor acceptor;
-  private final LeaderTrack track;
+  private final LeaderTracker leaderTracker;
   private final Children children;
-  private final Reports reports;
+  private final SubtreeReporter reports;
   private final Membership membership;
   private final ChangeDecider decider;
-  private final ReaderNaming readerNaming;
-  private final DocumentSpread documents;
+  private final ReaderAssignment readerAssignment;
+  private final DocumentDistributor documents;
   private final RoaringBitmap acknowledged = new RoaringBitmap();
   private RoaringBitmap reachable = new RoaringBitmap();
-  private boolean leads;
-  private boolean settled;
+  private boolean isLeader;
+  private boolean hasCommitted;
   private long epoch;
   private long round;
   private long nextRoundAt;
-  private long quorumAt;
+  private long quorumHeardAt;
   private long joinsSince = Long.MAX_VALUE;
   private List<Member> joins = List.of();
 
   Leadership(
       NodeContext context,
       Acceptor acceptor,
-      LeaderTrack track,
+      LeaderTracker leaderTracker,
       Children children,
-      Reports reports,
+      SubtreeReporter reports,
       ChangeDecider decider,
-      ReaderNaming readerNaming,
-      DocumentSpread documents) {
+      ReaderAssignment readerAssignment,
+      DocumentDistributor documents) {
     this.context = context;
     this.acceptor = acceptor;
-    this.track = track;
+    this.leaderTracker = leaderTracker;
     this.children = children;
     this.reports = reports;
     this.membership = new Membership(context);
     this.decider = decider;
-    this.readerNaming = readerNaming;
+    this.readerAssignment = readerAssignment;
     this.documents = documents;
   }
 
-  boolean leads() {
-    return leads;
+  boolean isLeader() {
+    return isLeader;
   }
 
   long epoch() {
@@ -75,30 +75,30 @@
 
   /** Begins a term: proposes the state found again, or re-forms the fleet. */
   void start(Election.Victory victory) {
-    leads = true;
-    settled = false;
+    isLeader = true;
+    hasCommitted = false;
     epoch = victory.epoch();
     round = 0;
-    quorumAt = context.now();
+    quorumHeardAt = context.now();
     joinsSince = Long.MAX_VALUE;
     joins = List.of();
     membership.reset();
     decider.beginTerm(epoch);
     FleetState found = victory.state();
-    if (victory.verdict() == VoteVerdict.QUORUM) {
-      propose(Proposals.again(found, epoch, victory.tally().settles(found)), found);
+    if (victory.outcome() == VoteOutcome.QUORUM) {
+      propose(Proposals.reproposal(found, epoch, victory.tally().isRosterSettled(found)), found);
     } else {
       RosterStep step = Membership.reformed(found, victory.tally());
-      propose(Proposals.reformed(found, epoch, step), found);
-      noticeReformed(victory.verdict(), step);
+      propose(Proposals.reformation(found, epoch, step), found);
+      reportReformation(victory.outcome(), step);
     }
-    readerNaming.beginTerm(victory.verdict() == VoteVerdict.NEW_FLEET);
+    readerAssignment.beginTerm(victory.outcome() == VoteOutcome.NEW_FLEET);
     context.notice("leader-elected", context.address() + " leads epoch " + epoch);
-    beat();
+    sendHeartbeat();
   }
 
-  private void noticeReformed(VoteVerdict verdict, RosterStep step) {
-    if (verdict == VoteVerdict.NEW_FLEET) {
+  private void reportReformation(VoteOutcome outcome, RosterStep step) {
+    if (outcome == VoteOutcome.NEW_FLEET) {
       context.notice(
           "fleet-formed-from-nothing",
           "no process held any agreed state; "
@@ -116,44 +116,44 @@
 
   private void propose(StateDelta delta, FleetState base) {
     FleetState next = context.shared().apply(delta, base).get();
-    acceptor.hold(delta, next);
+    acceptor.accept(delta, next);
     acknowledged.clear();
-    children.deliveryDue();
+    children.scheduleDelivery();
   }
 
   /** Ends the term; changes that were not proposed have not run. */
   void stepDown(String cause) {
-    leads = false;
-    track.forgetLeader();
+    isLeader = false;
+    leaderTracker.forgetLeader();
     decider.endTerm();
     context.notice("leader-stepped-down", "epoch " + epoch + ": " + cause);
   }
 
   /** Sends a heartbeat if it is due and checks that a quorum is heard. */
   void tick() {
-    if (leads && context.now() >= nextRoundAt) {
+    if (isLeader && context.now() >= nextRoundAt) {
       children.expire();
-      collect();
-      beat();
+      collectReports();
+      sendHeartbeat();
     }
   }
 
-  private void beat() {
+  private void sendHeartbeat() {
     round++;
     nextRoundAt = context.now() + context.settings().heartbeatMillis();
     membership.scan(acceptor.committed().roster(), reachable, documents.current());
-    List<Integer> readers = readerNaming.name(acceptor.committed().roster(), reachable);
+    List<Integer> readers = readerAssignment.assign(acceptor.committed().roster(), reachable);
     Deliver own =
         new Deliver(
             new Round(epoch, round),
             context.address(),
             acceptor.slot(),
             acceptor.committed().version(),
-            documents.stated(),
+            documents.statedRevision(),
             List.of(),
             readers);
-    track.hear(own, true);
-    children.deliveryDue();
+    leaderTracker.recordRound(own, true);
+    children.scheduleDelivery();
     announce(own);
   }
 
@@ -164,30 +164,30 @@
       if (heard == zone.members().size()) {
         continue;
       }
-      for (PeerAddress peer : announcees(zone)) {
+      for (PeerAddress peer : announcementTargets(zone)) {
         context.send(peer, own);
       }
     }
-    membership.unseated(round).forEach(peer -> context.send(peer, own));
+    membership.unjoinedMachines(round).forEach(peer -> context.send(peer, own));
   }
 
-  private List<PeerAddress> announcees(RosterView.Zone zone) {
+  private List<PeerAddress> announcementTargets(RosterView.Zone zone) {
     List<PeerAddress> silent = new ArrayList<>();
     for (Member member : zone.members()) {
       if (!reachable.contains(member.slot()) && !member.address().equals(context.address())) {
         silent.add(member.address());
       }
-      if (silent.size() >= ANNOUNCE_PER_ZONE * (1 + round % ANNOUNCE_PER_ZONE)) {
+      if (silent.size() >= ANNOUNCEMENTS_PER_ZONE * (1 + round % ANNOUNCEMENTS_PER_ZONE)) {
         break;
       }
     }
-    int from = Math.max(0, silent.size() - ANNOUNCE_PER_ZONE);
+    int from = Math.max(0, silent.size() - ANNOUNCEMENTS_PER_ZONE);
     return silent.subList(from, silent.size());
   }
 
   /** Gathers what the subtrees report. */
-  void collect() {
-    if (!leads) {
+  void collectReports() {
+    if (!isLeader) {
       return;
     }
     RoaringBitmap heard = new RoaringBitmap();
@@ -201,10 +201,10 @@
     }
     reachable = heard;
     if (isHeardByQuorum(heard)) {
-      quorumAt = context.now();
+      quorumHeardAt = context.now();
     }
     joins = reports.joins();
-    if (!membership.isWanted(joins)) {
+    if (!membership.isChangeNeeded(joins)) {
       joinsSince = Long.MAX_VALUE;
     } else if (joinsSince == Long.MAX_VALUE) {
       joinsSince = context.now();
@@ -225,12 +225,12 @@
   }
 
   /** Why the term must end, or an empty text. */
-  String lostCause() {
-    long seen = Math.max(reports.epoch(), track.round().epoch());
+  String stepDownCause() {
+    long seen = Math.max(reports.epoch(), leaderTracker.round().epoch());
     if (seen > epoch) {
       return "epoch " + seen + " was seen";
     }
-    long silence = context.now() - quorumAt;
+    long silence = context.now() - quorumHeardAt;
     return silence >= context.settings().electionMillis()
         ? "no quorum was heard for " + silence + " ms"
         : "";
@@ -238,12 +238,12 @@
 
   /** Commits the proposal if a quorum holds it, and makes the next one if it is time. */
   void advance() {
-    if (!leads) {
+    if (!isLeader) {
       return;
     }
     if (!isCommitted()) {
       acknowledged.add(acceptor.slot());
-      if (isQuorumOfBoth(acknowledged) || context.has(SeededFault.COMMIT_BEFORE_QUORUM)) {
+      if (isQuorumOfBoth(acknowledged) || context.hasFault(SeededFault.COMMIT_BEFORE_QUORUM)) {
         commit();
       }
     }
@@ -258,13 +258,13 @@
 
   private void commit() {
     acceptor.commitHeld();
-    settled = true;
-    decider.committed(acceptor.committed());
-    children.deliveryDue();
+    hasCommitted = true;
+    decider.onCommitted(acceptor.committed());
+    children.scheduleDelivery();
   }
 
   private long nextProposalAt() {
-    long changesAt = decider.waitingSince();
+    long changesAt = decider.queuedSince();
     if (changesAt != Long.MAX_VALUE) {
       changesAt += context.settings().batchWindowMillis();
     }
@@ -278,12 +278,12 @@
   private void proposeNext() {
     FleetState committed = acceptor.committed();
     RosterStep step = RosterStep.NONE;
-    if (membership.isWanted(joins)) {
-      step = membership.next(committed, joins, reachable);
+    if (membership.isChangeNeeded(joins)) {
+      step = membership.nextStep(committed, joins, reachable);
     }
     joinsSince = Long.MAX_VALUE;
     ChangeBatch batch =
-        decider.batch(committed, committed.version().next(epoch), documents.current());
+        decider.nextBatch(committed, committed.version().next(epoch), documents.current());
     if (step.isEmpty() && batch.isEmpty()) {
       return;
     }
@@ -292,13 +292,13 @@
   }
 
   /** Whether this term committed anything yet; before, no change may be refused. */
-  boolean isSettled() {
-    return settled;
+  boolean hasCommitted() {
+    return hasCommitted;
   }
 
   /** When {@link #tick} or {@link #advance} is due. */
   long nextAt() {
-    if (!leads) {
+    if (!isLeader) {
       return Long.MAX_VALUE;
     }
     return isCommitted() ? Math.min(nextRoundAt, nextProposalAt()) : nextRoundAt;
--- a/umberpath-control/src/main/java/io/umberpath/control/Membership.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/Membership.java
@@ -24,12 +24,12 @@
   static final long REMOVAL_MILLIS = 60_000;
 
   private static final long SCAN_MILLIS = 10_000;
-  private static final int UNSEATED_PER_ROUND = 3;
+  private static final int UNJOINED_PER_ROUND = 3;
 
   private final NodeContext context;
   private final Map<Integer, Long> unreachableSince = new LinkedHashMap<>();
   private Set<Integer> removable = Set.of();
-  private List<PeerAddress> unseated = List.of();
+  private List<PeerAddress> unjoinedMachines = List.of();
   private long nextScanAt;
 
   /** One step from a roster to the next. */
@@ -42,7 +42,7 @@
   }
 
   /** A swap, an addition or a removal that must happen in one step. */
-  private record Item(List<Integer> removed, List<Member> added) {}
+  private record RosterEdit(List<Integer> removed, List<Member> added) {}
 
   Membership(NodeContext context) {
     this.context = context;
@@ -52,7 +52,7 @@
   void reset() {
     unreachableSince.clear();
     removable = Set.of();
-    unseated = List.of();
+    unjoinedMachines = List.of();
     nextScanAt = context.now() + SCAN_MILLIS;
   }
 
@@ -66,7 +66,7 @@
     unreachableSince.keySet().removeIf(slot -> roster.withSlot(slot).isEmpty());
     Set<PeerAddress> listed = new HashSet<>();
     document.machines().forEach(machine -> listed.add(machine.control()));
-    Set<Integer> gone = new LinkedHashSet<>();
+    Set<Integer> newRemovable = new LinkedHashSet<>();
     for (Member member : roster.members()) {
       if (reachable.contains(member.slot())) {
         continue;
@@ -74,29 +74,30 @@
       long since = unreachableSince.computeIfAbsent(member.slot(), slot -> context.now());
       boolean silentForLong = context.now() - since >= REMOVAL_MILLIS;
       if (silentForLong && !listed.isEmpty() && !listed.contains(member.address())) {
-        gone.add(member.slot());
+        newRemovable.add(member.slot());
       }
     }
-    removable = gone;
-    unseated = listed.stream().filter(address -> roster.at(address).isEmpty()).sorted().toList();
+    removable = newRemovable;
+    unjoinedMachines =
+        listed.stream().filter(address -> roster.at(address).isEmpty()).sorted().toList();
   }
 
   /**
    * Some of the machines that the platform listed at the last scan and that had no member; others
    * in each round. A process whose seeds are all gone learns of the fleet in no other way.
    */
-  List<PeerAddress> unseated(long round) {
-    int size = unseated.size();
-    int count = Math.min(size, UNSEATED_PER_ROUND);
-    List<PeerAddress> some = new ArrayList<>();
+  List<PeerAddress> unjoinedMachines(long round) {
+    int size = unjoinedMachines.size();
+    int count = Math.min(size, UNJOINED_PER_ROUND);
+    List<PeerAddress> selected = new ArrayList<>();
     for (int place = 0; place < count; place++) {
-      some.add(unseated.get((int) ((round * UNSEATED_PER_ROUND + place) % size)));
+      selected.add(unjoinedMachines.get((int) ((round * UNJOINED_PER_ROUND + place) % size)));
     }
-    return some;
+    return selected;
   }
 
   /** Whether a roster change may be wanted. */
-  boolean isWanted(List<Member> joins) {
+  boolean isChangeNeeded(List<Member> joins) {
     return !joins.isEmpty() || !removable.isEmpty();
   }
 
@@ -107,10 +108,10 @@
    * @param joins processes that wait for a seat
    * @param reachable slots that were heard lately
    */
-  RosterStep next(FleetState state, List<Member> joins, RoaringBitmap reachable) {
-    List<Item> items = items(state.roster(), joins);
-    for (int count = items.size(); count > 0; count /= 2) {
-      RosterStep step = step(items.subList(0, count), state.nextSlot());
+  RosterStep nextStep(FleetState state, List<Member> joins, RoaringBitmap reachable) {
+    List<RosterEdit> edits = edits(state.roster(), joins);
+    for (int count = edits.size(); count > 0; count /= 2) {
+      RosterStep step = step(edits.subList(0, count), state.nextSlot());
       if (keepsQuorum(state.roster(), step, reachable)) {
         return step;
       }
@@ -118,30 +119,30 @@
     return RosterStep.NONE;
   }
 
-  private List<Item> items(Roster roster, List<Member> joins) {
-    List<Item> items = new ArrayList<>();
+  private List<RosterEdit> edits(Roster roster, List<Member> joins) {
+    List<RosterEdit> edits = new ArrayList<>();
     Set<Integer> replaced = new HashSet<>();
     for (Member join : joins) {
-      Member seated = roster.at(join.address()).orElse(null);
-      if (seated == null) {
-        items.add(new Item(List.of(), List.of(join)));
-      } else if (seated.incarnation() < join.incarnation()) {
-        replaced.add(seated.slot());
-        items.add(new Item(List.of(seated.slot()), List.of(join)));
+      Member current = roster.at(join.address()).orElse(null);
+      if (current == null) {
+        edits.add(new RosterEdit(List.of(), List.of(join)));
+      } else if (current.incarnation() < join.incarnation()) {
+        replaced.add(current.slot());
+        edits.add(new RosterEdit(List.of(current.slot()), List.of(join)));
       }
     }
     for (int slot : removable) {
       if (!replaced.contains(slot) && roster.withSlot(slot).isPresent()) {
-        items.add(new Item(List.of(slot), List.of()));
+        edits.add(new RosterEdit(List.of(slot), List.of()));
       }
     }
-    return items;
+    return edits;
   }
 
-  private static RosterStep step(List<Item> items, int nextSlot) {
+  private static RosterStep step(List<RosterEdit> edits, int nextSlot) {
     List<Integer> removed = new ArrayList<>();
     List<Member> added = new ArrayList<>();
-    for (Item item : items) {
+    for (RosterEdit item : edits) {
       removed.addAll(item.removed);
       for (Member member : item.added) {
         added.add(member.withSlot(nextSlot + added.size()));
--- a/umberpath-control/src/main/java/io/umberpath/control/NodeContext.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/NodeContext.java
@@ -45,7 +45,7 @@
     return quorum;
   }
 
-  boolean has(SeededFault candidate) {
+  boolean hasFault(SeededFault candidate) {
     return fault.isPresent() && fault.get() == candidate;
   }
 
@@ -81,7 +81,7 @@
   }
 
   /** Jitter of this process. */
-  long spread(long attempt, long bound) {
-    return Spread.of(process(), attempt, bound);
+  long jitter(long attempt, long bound) {
+    return Jitter.of(process(), attempt, bound);
   }
 }
--- a/umberpath-control/src/main/java/io/umberpath/control/ObservedSpread.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/ObservationDistributor.java
@@ -15,45 +15,45 @@
  * and counter. Changes are gathered for a moment, and a message carries a bounded number of them,
  * so that a storm costs bounded bytes per second; only the newest statement per back end waits.
  */
-final class ObservedSpread {
+final class ObservationDistributor {
   private static final long FLUSH_MILLIS = 200;
   private static final int MAX_PER_FLUSH = 256;
 
   private final NodeContext context;
-  private final Map<String, Entry> byArrival = new LinkedHashMap<>();
-  private final Map<String, PeerAddress> waiting = new LinkedHashMap<>();
+  private final Map<String, Entry> entriesByArrival = new LinkedHashMap<>();
+  private final Map<String, PeerAddress> sourceByPendingId = new LinkedHashMap<>();
   private long flushAt = Long.MAX_VALUE;
 
   private record Entry(ObservedBackend backend, long arrivedAt) {}
 
-  ObservedSpread(NodeContext context) {
+  ObservationDistributor(NodeContext context) {
     this.context = context;
   }
 
   /** The back end beside this node changed. */
-  void observed(ObservedBackend backend) {
-    take(backend, context.address());
+  void onLocalChange(ObservedBackend backend) {
+    store(backend, context.address());
   }
 
   /** A neighbour sent statements; returns those that were newer. */
-  List<ObservedBackend> update(PeerAddress from, List<ObservedBackend> backends) {
+  List<ObservedBackend> onUpdate(PeerAddress from, List<ObservedBackend> backends) {
     List<ObservedBackend> newer = new ArrayList<>();
     for (ObservedBackend backend : backends) {
-      if (take(backend, from)) {
+      if (store(backend, from)) {
         newer.add(backend);
       }
     }
     return newer;
   }
 
-  private boolean take(ObservedBackend backend, PeerAddress from) {
-    Entry known = byArrival.get(backend.backendId());
+  private boolean store(ObservedBackend backend, PeerAddress from) {
+    Entry known = entriesByArrival.get(backend.backendId());
     if (known != null && !backend.supersedes(known.backend)) {
       return false;
     }
-    byArrival.remove(backend.backendId());
-    byArrival.put(backend.backendId(), new Entry(backend, context.now()));
-    waiting.put(backend.backendId(), from);
+    entriesByArrival.remove(backend.backendId());
+    entriesByArrival.put(backend.backendId(), new Entry(backend, context.now()));
+    sourceByPendingId.put(backend.backendId(), from);
     flushAt = Math.min(flushAt, context.now() + FLUSH_MILLIS);
     return true;
   }
@@ -64,22 +64,22 @@
       return;
     }
     List<Map.Entry<String, PeerAddress>> batch = new ArrayList<>();
-    for (Map.Entry<String, PeerAddress> entry : waiting.entrySet()) {
+    for (Map.Entry<String, PeerAddress> entry : sourceByPendingId.entrySet()) {
       if (batch.size() < MAX_PER_FLUSH) {
         batch.add(Map.entry(entry.getKey(), entry.getValue()));
       }
     }
-    batch.forEach(entry -> waiting.remove(entry.getKey()));
+    batch.forEach(entry -> sourceByPendingId.remove(entry.getKey()));
     parent.ifPresent(peer -> send(peer, batch));
     children.forEach(peer -> send(peer, batch));
-    flushAt = waiting.isEmpty() ? Long.MAX_VALUE : context.now() + FLUSH_MILLIS;
+    flushAt = sourceByPendingId.isEmpty() ? Long.MAX_VALUE : context.now() + FLUSH_MILLIS;
   }
 
   private void send(PeerAddress peer, List<Map.Entry<String, PeerAddress>> batch) {
     List<ObservedBackend> backends = new ArrayList<>();
     for (Map.Entry<String, PeerAddress> entry : batch) {
       if (!entry.getValue().equals(peer)) {
-        backends.add(byArrival.get(entry.getKey()).backend);
+        backends.add(entriesByArrival.get(entry.getKey()).backend);
       }
     }
     if (!backends.isEmpty()) {
@@ -92,11 +92,11 @@
    *
    * @param missedMillis how long it was without a neighbour; negative for everything
    */
-  void catchUp(PeerAddress peer, long missedMillis) {
+  void sendMissed(PeerAddress peer, long missedMillis) {
     long slack = FLUSH_MILLIS + context.settings().parentStallMillis();
     long since = missedMillis < 0 ? Long.MIN_VALUE : context.now() - missedMillis - slack;
     List<ObservedBackend> missed = new ArrayList<>();
-    for (Entry entry : byArrival.values()) {
+    for (Entry entry : entriesByArrival.values()) {
       if (entry.arrivedAt >= since) {
         missed.add(entry.backend);
       }
--- a/umberpath-control/src/main/java/io/umberpath/control/ParentLink.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/ParentLink.java
@@ -13,13 +13,13 @@
 final class ParentLink {
   private static final int MAX_BACKOFF_SHIFT = 4;
   private static final int MAX_REDIRECTS = 16;
-  private static final long SETTLE_MILLIS = 5_000;
+  private static final long RECONSIDER_MILLIS = 5_000;
 
   private final NodeContext context;
   private final Acceptor acceptor;
-  private final LeaderTrack track;
-  private final ParentChoice choice;
-  private final DocumentSpread documents;
+  private final LeaderTracker leaderTracker;
+  private final ParentSelector parentSelector;
+  private final DocumentDistributor documents;
   private final Deque<PeerAddress> redirects = new ArrayDeque<>();
   private PeerAddress parent;
   private long parentHeardAt;
@@ -29,18 +29,18 @@
   private int attempt;
   private int redirectsFollowed;
   private long nextAttemptAt;
-  private boolean enabled = true;
+  private boolean isEnabled = true;
 
   ParentLink(
       NodeContext context,
       Acceptor acceptor,
-      LeaderTrack track,
-      ParentChoice choice,
-      DocumentSpread documents) {
+      LeaderTracker leaderTracker,
+      ParentSelector parentSelector,
+      DocumentDistributor documents) {
     this.context = context;
     this.acceptor = acceptor;
-    this.track = track;
-    this.choice = choice;
+    this.leaderTracker = leaderTracker;
+    this.parentSelector = parentSelector;
     this.documents = documents;
   }
 
@@ -58,7 +58,7 @@
 
   /** The node leads now and has no parent. */
   void disable() {
-    enabled = false;
+    isEnabled = false;
     leaveParent();
     target = null;
     redirects.clear();
@@ -66,14 +66,14 @@
 
   /** The node leads no longer. */
   void enable() {
-    if (!enabled) {
-      enabled = true;
+    if (!isEnabled) {
+      isEnabled = true;
       searchSoon();
     }
   }
 
   /** The parent sent something. */
-  void heardParent() {
+  void recordParentMessage() {
     parentHeardAt = context.now();
   }
 
@@ -85,16 +85,18 @@
   /** The best parent may have changed; look for it soon. */
   void reconsider() {
     attempt = 0;
-    long jitter = context.spread(track.round().epoch(), context.settings().heartbeatMillis());
+    long jitter =
+        context.jitter(leaderTracker.round().epoch(), context.settings().heartbeatMillis());
     nextAttemptAt = Math.min(nextAttemptAt, context.now() + jitter);
   }
 
   /** A leader or candidate made itself known; it takes this node if nobody better does. */
-  void announced(PeerAddress member) {
-    boolean unled = !acceptor.isMember() && !track.isFed();
-    boolean lacking = parent == null || context.now() - parentHeardAt >= stall() / 2 || unled;
-    boolean useful = !member.equals(parent) && !redirects.contains(member);
-    if (enabled && lacking && useful && (attempt > 0 || unled)) {
+  void onAnnouncement(PeerAddress member) {
+    boolean hasNoLeader = !acceptor.isMember() && !leaderTracker.isDeliveryCurrent();
+    boolean needsParent =
+        parent == null || context.now() - parentHeardAt >= stallMillis() / 2 || hasNoLeader;
+    boolean isUseful = !member.equals(parent) && !redirects.contains(member);
+    if (isEnabled && needsParent && isUseful && (attempt > 0 || hasNoLeader)) {
       redirects.addFirst(member);
       nextAttemptAt = context.now();
     }
@@ -103,11 +105,11 @@
   private void searchSoon() {
     attempt = 0;
     redirectsFollowed = 0;
-    nextAttemptAt = context.now() + context.spread(0, context.settings().heartbeatMillis() / 4);
+    nextAttemptAt = context.now() + context.jitter(0, context.settings().heartbeatMillis() / 4);
   }
 
   /** A connection broke, or the peer said that this node is not its child. */
-  void lost(PeerAddress peer) {
+  void onLost(PeerAddress peer) {
     if (peer.equals(target)) {
       target = null;
       failedAttempt();
@@ -127,15 +129,15 @@
   }
 
   /** The peer takes no child; it may know others. */
-  void redirected(PeerAddress from, List<PeerAddress> candidates) {
-    boolean expected = isNeeded(from);
-    lost(from);
-    if (!expected || redirectsFollowed >= MAX_REDIRECTS) {
+  void onRedirect(PeerAddress from, List<PeerAddress> candidates) {
+    boolean isExpected = isNeeded(from);
+    onLost(from);
+    if (!isExpected || redirectsFollowed >= MAX_REDIRECTS) {
       return;
     }
     for (PeerAddress candidate : candidates) {
-      boolean useful = !candidate.equals(context.address()) && !candidate.equals(parent);
-      if (useful && redirects.size() < MAX_REDIRECTS) {
+      boolean isUseful = !candidate.equals(context.address()) && !candidate.equals(parent);
+      if (isUseful && redirects.size() < MAX_REDIRECTS) {
         redirects.add(candidate);
       }
     }
@@ -150,40 +152,40 @@
    *
    * @return whether it is the parent now; otherwise the acceptance came too late
    */
-  boolean accepted(PeerAddress from) {
+  boolean onAccepted(PeerAddress from) {
     if (from.equals(parent)) {
-      heardParent();
+      recordParentMessage();
       return true;
     }
-    if (!enabled || !from.equals(target)) {
+    if (!isEnabled || !from.equals(target)) {
       context.send(from, new Detach());
       return false;
     }
-    missedMillis = missed();
+    missedMillis = currentMissedMillis();
     leaveParent();
     parent = from;
     target = null;
     attempt = 0;
     redirectsFollowed = 0;
     redirects.clear();
-    heardParent();
-    nextAttemptAt = context.now() + settleMillis();
+    recordParentMessage();
+    nextAttemptAt = context.now() + reconsiderMillis();
     return true;
   }
 
-  private long settleMillis() {
-    return SETTLE_MILLIS + context.spread(attempt, SETTLE_MILLIS);
+  private long reconsiderMillis() {
+    return RECONSIDER_MILLIS + context.jitter(attempt, RECONSIDER_MILLIS);
   }
 
   /** Tries to attach if a better parent is needed. */
   void tick() {
-    if (!enabled) {
+    if (!isEnabled) {
       return;
     }
-    if (parent != null && context.now() - parentHeardAt >= stall()) {
-      lost(parent);
+    if (parent != null && context.now() - parentHeardAt >= stallMillis()) {
+      onLost(parent);
     }
-    if (target != null && context.now() >= targetSince + attemptMillis()) {
+    if (target != null && context.now() >= targetSince + attemptTimeoutMillis()) {
       target = null;
       failedAttempt();
     }
@@ -193,44 +195,45 @@
   }
 
   private void tryNext() {
-    Optional<PeerAddress> next = next();
+    Optional<PeerAddress> next = nextCandidate();
     if (next.isEmpty()) {
-      nextAttemptAt = context.now() + (parent == null ? attemptMillis() : settleMillis());
+      nextAttemptAt =
+          context.now() + (parent == null ? attemptTimeoutMillis() : reconsiderMillis());
       return;
     }
     target = next.get();
     targetSince = context.now();
-    boolean equalSuffices = parent == null || !roundIsStale();
+    boolean equalSuffices = parent == null || !isRoundStale();
     context.send(
         target,
         new Attach(
             acceptor.self(),
-            acceptor.wholeStateWanted() ? Version.NONE : acceptor.held().version(),
+            acceptor.isFullStateNeeded() ? Version.NONE : acceptor.held().version(),
             documents.revision(),
             acceptor.promised(),
-            track.fedRound(),
+            leaderTracker.deliveredRound(),
             equalSuffices,
-            missed()));
+            currentMissedMillis()));
   }
 
-  private long missed() {
+  private long currentMissedMillis() {
     return parentHeardAt == 0 ? -1 : context.now() - parentHeardAt;
   }
 
-  private Optional<PeerAddress> next() {
+  private Optional<PeerAddress> nextCandidate() {
     PeerAddress redirect = redirects.pollFirst();
     if (redirect != null) {
       return Optional.of(redirect).filter(peer -> !peer.equals(parent));
     }
     redirectsFollowed = 0;
-    if (parent == null || roundIsStale()) {
-      return choice.candidate(attempt).filter(peer -> !peer.equals(parent));
+    if (parent == null || isRoundStale()) {
+      return parentSelector.candidate(attempt).filter(peer -> !peer.equals(parent));
     }
-    return choice.preferred().filter(peer -> !peer.equals(parent));
+    return parentSelector.preferred().filter(peer -> !peer.equals(parent));
   }
 
-  private boolean roundIsStale() {
-    return !track.fedWithin(stall());
+  private boolean isRoundStale() {
+    return !leaderTracker.deliveredWithin(stallMillis());
   }
 
   private void failedAttempt() {
@@ -240,28 +243,28 @@
     if (parent == null) {
       interval = context.settings().heartbeatMillis() / 4 << shift;
     } else {
-      interval = roundIsStale() ? stall() / 2 << shift : SETTLE_MILLIS << shift;
+      interval = isRoundStale() ? stallMillis() / 2 << shift : RECONSIDER_MILLIS << shift;
     }
     if (!redirects.isEmpty()) {
       interval = 0;
     }
-    nextAttemptAt = context.now() + interval / 2 + context.spread(attempt, interval / 2 + 1);
+    nextAttemptAt = context.now() + interval / 2 + context.jitter(attempt, interval / 2 + 1);
   }
 
-  private long stall() {
+  private long stallMillis() {
     return context.settings().parentStallMillis();
   }
 
-  private long attemptMillis() {
-    return Math.max(1, stall() / 2);
+  private long attemptTimeoutMillis() {
+    return Math.max(1, stallMillis() / 2);
   }
 
   /** When {@link #tick} has something to do next. */
   long nextAt() {
-    if (!enabled) {
+    if (!isEnabled) {
       return Long.MAX_VALUE;
     }
-    long next = target == null ? nextAttemptAt : targetSince + attemptMillis();
-    return parent == null ? next : Math.min(next, parentHeardAt + stall());
+    long next = target == null ? nextAttemptAt : targetSince + attemptTimeoutMillis();
+    return parent == null ? next : Math.min(next, parentHeardAt + stallMillis());
   }
 }
--- a/umberpath-control/src/main/java/io/umberpath/control/ParentChoice.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/ParentSelector.java
@@ -10,18 +10,18 @@
  * Which parents a node asks, in order. Within a zone a parent has a smaller slot than its child, so
  * that members that live long relay and no cycle forms.
  */
-final class ParentChoice {
+final class ParentSelector {
   private static final int ZONE_ATTEMPTS = 3;
   private static final int HEAD_ATTEMPTS = 2;
 
   private final NodeContext context;
   private final Acceptor acceptor;
-  private final LeaderTrack track;
+  private final LeaderTracker leaderTracker;
 
-  ParentChoice(NodeContext context, Acceptor acceptor, LeaderTrack track) {
+  ParentSelector(NodeContext context, Acceptor acceptor, LeaderTracker leaderTracker) {
     this.context = context;
     this.acceptor = acceptor;
-    this.track = track;
+    this.leaderTracker = leaderTracker;
   }
 
   /** Position of this node among the members of its zone; -1 if it is no member. */
@@ -44,7 +44,7 @@
       return Optional.empty();
     }
     if (index == 0) {
-      return track.leader().filter(leader -> !leader.equals(context.address()));
+      return leaderTracker.leader().filter(leader -> !leader.equals(context.address()));
     }
     return Optional.of(zone().members().get((index - 1) / context.settings().fanout()).address());
   }
@@ -53,36 +53,36 @@
   Optional<PeerAddress> candidate(int attempt) {
     int index = index();
     if (index < 0) {
-      return stranger(attempt);
+      return fallback(attempt);
     }
     int cycle = 1 + ZONE_ATTEMPTS + HEAD_ATTEMPTS + 2;
     int step = attempt % cycle;
     if (step == 0) {
-      return preferred().or(() -> head(attempt));
+      return preferred().or(() -> zoneHead(attempt));
     }
     if (step <= ZONE_ATTEMPTS && index > 0) {
-      return Optional.of(zone().members().get((int) context.spread(attempt, index)).address());
+      return Optional.of(zone().members().get((int) context.jitter(attempt, index)).address());
     }
     if (step <= ZONE_ATTEMPTS + HEAD_ATTEMPTS) {
-      return head(attempt);
+      return zoneHead(attempt);
     }
     return step == cycle - 1
-        ? stranger(attempt / cycle)
-        : track.leader().filter(leader -> !leader.equals(context.address()));
+        ? fallback(attempt / cycle)
+        : leaderTracker.leader().filter(leader -> !leader.equals(context.address()));
   }
 
-  private Optional<PeerAddress> head(int attempt) {
+  private Optional<PeerAddress> zoneHead(int attempt) {
     List<PeerAddress> heads = new ArrayList<>();
     for (Member head : view().zoneHeads()) {
       if (!head.address().equals(context.address())) {
         heads.add(head.address());
       }
     }
-    return pick(heads, attempt);
+    return select(heads, attempt);
   }
 
   /** Seeds, and the members of the last roster this process knew, if any. */
-  private Optional<PeerAddress> stranger(int attempt) {
+  private Optional<PeerAddress> fallback(int attempt) {
     List<PeerAddress> known = new ArrayList<>(context.settings().seeds());
     for (Member head : view().zoneHeads()) {
       if (!known.contains(head.address())) {
@@ -90,14 +90,14 @@
       }
     }
     known.remove(context.address());
-    return pick(known, attempt);
+    return select(known, attempt);
   }
 
-  private Optional<PeerAddress> pick(List<PeerAddress> peers, int attempt) {
+  private Optional<PeerAddress> select(List<PeerAddress> peers, int attempt) {
     if (peers.isEmpty()) {
       return Optional.empty();
     }
-    long start = context.spread(0, peers.size());
+    long start = context.jitter(0, peers.size());
     return Optional.of(peers.get((int) ((start + attempt) % peers.size())));
   }
 }
--- a/umberpath-control/src/main/java/io/umberpath/control/PlatformReading.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/PlatformPoller.java
@@ -1,22 +1,22 @@
 package io.umberpath.control;
 
 /** Whether this node reads the platform, and when; reads back off with jitter when they fail. */
-final class PlatformReading {
+final class PlatformPoller {
   private static final int MAX_BACKOFF_SHIFT = 5;
-  private static final long ANSWER_MILLIS = 10_000;
+  private static final long RESPONSE_TIMEOUT_MILLIS = 10_000;
 
   private final NodeContext context;
   private final Acceptor acceptor;
-  private final LeaderTrack track;
+  private final LeaderTracker leaderTracker;
   private long nextReadAt;
   private int failures;
   private long reads;
-  private boolean reading;
+  private boolean isReading;
 
-  PlatformReading(NodeContext context, Acceptor acceptor, LeaderTrack track) {
+  PlatformPoller(NodeContext context, Acceptor acceptor, LeaderTracker leaderTracker) {
     this.context = context;
     this.acceptor = acceptor;
-    this.track = track;
+    this.leaderTracker = leaderTracker;
   }
 
   /** Whether this node may read now. */
@@ -25,15 +25,15 @@
       return false;
     }
     ControlSettings settings = context.settings();
-    if (track.fedWithin(ReaderNaming.permissionMillis(settings))) {
-      return track.isSteady() && track.readers().contains(acceptor.slot());
+    if (leaderTracker.deliveredWithin(ReaderAssignment.permissionMillis(settings))) {
+      return leaderTracker.isSteady() && leaderTracker.readers().contains(acceptor.slot());
     }
-    return isStandIn();
+    return isStandbyReader();
   }
 
-  private boolean isStandIn() {
+  private boolean isStandbyReader() {
     RosterView view = context.view(acceptor.committed().roster());
-    return ReaderNaming.standIns(view, context.settings().maxReaders()).stream()
+    return ReaderAssignment.standbyReaders(view, context.settings().maxReaders()).stream()
         .anyMatch(member -> member.slot() == acceptor.slot());
   }
 
@@ -42,30 +42,30 @@
     if (context.now() < nextReadAt || !isReader()) {
       return;
     }
-    if (reading) {
-      failed();
+    if (isReading) {
+      onFailure();
       return;
     }
-    reading = true;
+    isReading = true;
     reads++;
-    nextReadAt = context.now() + Math.max(ANSWER_MILLIS, context.settings().readMillis());
+    nextReadAt = context.now() + Math.max(RESPONSE_TIMEOUT_MILLIS, context.settings().readMillis());
     context.emit(new ControlOutput.ReadPlatform());
   }
 
   /** A read was answered. */
-  void answered() {
-    reading = false;
+  void onResponse() {
+    isReading = false;
     failures = 0;
     long interval = context.settings().readMillis();
-    nextReadAt = context.now() + interval + context.spread(reads, interval / 8);
+    nextReadAt = context.now() + interval + context.jitter(reads, interval / 8);
   }
 
   /** A read failed. */
-  void failed() {
-    reading = false;
+  void onFailure() {
+    isReading = false;
     failures = Math.min(failures + 1, MAX_BACKOFF_SHIFT);
     long interval = context.settings().readMillis() << failures;
-    nextReadAt = context.now() + interval / 2 + context.spread(reads + failures, interval / 2 + 1);
+    nextReadAt = context.now() + interval / 2 + context.jitter(reads + failures, interval / 2 + 1);
   }
 
   /** When {@link #tick} is due; the owner also calls it when rounds are heard or missed. */
@@ -73,10 +73,11 @@
     if (isReader()) {
       return nextReadAt;
     }
-    if (!acceptor.isMember() || !isStandIn()) {
+    if (!acceptor.isMember() || !isStandbyReader()) {
       return Long.MAX_VALUE;
     }
-    long permissionEnds = track.fedAt() + ReaderNaming.permissionMillis(context.settings());
+    long permissionEnds =
+        leaderTracker.deliveredAt() + ReaderAssignment.permissionMillis(context.settings());
     return Math.max(nextReadAt, permissionEnds);
   }
 }
--- a/umberpath-control/src/main/java/io/umberpath/control/Proposals.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/Proposals.java
@@ -18,21 +18,21 @@
    *
    * @param settled whether its roster is known to be committed, so that the former one is done with
    */
-  static StateDelta again(FleetState state, long epoch, boolean settled) {
+  static StateDelta reproposal(FleetState state, long epoch, boolean settled) {
     RosterBasis basis = settled ? RosterBasis.SETTLED : RosterBasis.KEPT;
-    return hashed(draft(state, epoch, RosterStep.NONE, basis, null, 0), state);
+    return withHash(draft(state, epoch, RosterStep.NONE, basis, null, 0), state);
   }
 
   /** A fleet that forms or re-forms: the roster before does not vote. */
-  static StateDelta reformed(FleetState state, long epoch, RosterStep step) {
-    return hashed(draft(state, epoch, step, RosterBasis.SETTLED, null, 0), state);
+  static StateDelta reformation(FleetState state, long epoch, RosterStep step) {
+    return withHash(draft(state, epoch, step, RosterBasis.SETTLED, null, 0), state);
   }
 
   /** The next state after a committed one. */
   static StateDelta next(
       FleetState committed, long epoch, RosterStep step, ChangeBatch batch, int remembered) {
     RosterBasis basis = step.isEmpty() ? RosterBasis.SETTLED : RosterBasis.FROM_BASE;
-    return hashed(draft(committed, epoch, step, basis, batch, remembered), committed);
+    return withHash(draft(committed, epoch, step, basis, batch, remembered), committed);
   }
 
   private static StateDelta draft(
@@ -56,11 +56,11 @@
         basis,
         Optional.empty(),
         batch == null ? List.of() : batch.answers(),
-        batch == null ? List.of() : batch.forgotten(remembered),
+        batch == null ? List.of() : batch.evictedKeys(remembered),
         0);
   }
 
-  private static StateDelta hashed(StateDelta draft, FleetState base) {
+  private static StateDelta withHash(StateDelta draft, FleetState base) {
     return draft.withTargetHash(StateDeltas.produce(draft, base).contentHash());
   }
 }
--- a/umberpath-control/src/main/java/io/umberpath/control/ReaderNaming.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/ReaderAssignment.java
@@ -15,17 +15,17 @@
  * named reader that is lost keeps its place until its permission has certainly ended, so that the
  * cap holds in partitions, too.
  */
-final class ReaderNaming {
-  private static final int RELAY_STALLS = 2;
+final class ReaderAssignment {
+  private static final int RELAY_STALL_TIMEOUTS = 2;
   private static final int ROTATION_READS = 60;
 
   private final NodeContext context;
-  private final Map<Integer, Long> named = new LinkedHashMap<>();
-  private final Map<Integer, Long> ending = new LinkedHashMap<>();
-  private long nameFrom;
-  private int lastNamed = Member.NO_SLOT;
+  private final Map<Integer, Long> assignedSince = new LinkedHashMap<>();
+  private final Map<Integer, Long> expiryBySlot = new LinkedHashMap<>();
+  private long assignFrom;
+  private int lastAssigned = Member.NO_SLOT;
 
-  ReaderNaming(NodeContext context) {
+  ReaderAssignment(NodeContext context) {
     this.context = context;
   }
 
@@ -40,7 +40,7 @@
   }
 
   /** The stand-ins of a roster, for parts without a leader. */
-  static List<Member> standIns(RosterView view, int maxReaders) {
+  static List<Member> standbyReaders(RosterView view, int maxReaders) {
     List<Member> heads = view.zoneHeads();
     int count = Math.max(0, maxReaders - activeReaders(maxReaders));
     return heads.subList(0, Math.min(count, heads.size()));
@@ -49,70 +49,74 @@
   /**
    * A term begins. Readers that a former leader named may go on until their permission ends.
    *
-   * @param nobodyReads whether no former leader can have named any
+   * @param hasNoReaders whether no former leader can have named any
    */
-  void beginTerm(boolean nobodyReads) {
-    named.clear();
-    ending.clear();
-    nameFrom = nobodyReads ? context.now() : context.now() + endMillis();
+  void beginTerm(boolean hasNoReaders) {
+    assignedSince.clear();
+    expiryBySlot.clear();
+    assignFrom = hasNoReaders ? context.now() : context.now() + expiryMillis();
   }
 
   /**
    * When a reader that another leader names has certainly stopped: relays and that leader notice
    * that they are cut off, then the permission ends.
    */
-  private long endMillis() {
+  private long expiryMillis() {
     ControlSettings settings = context.settings();
-    long leaderNotices = settings.electionMillis() + RELAY_STALLS * settings.parentStallMillis();
+    long leaderNotices =
+        settings.electionMillis() + RELAY_STALL_TIMEOUTS * settings.parentStallMillis();
     return leaderNotices + permissionMillis(settings);
   }
 
   /** The readers for the next round. */
-  List<Integer> name(Roster roster, RoaringBitmap reachable) {
+  List<Integer> assign(Roster roster, RoaringBitmap reachable) {
     long now = context.now();
-    if (now < nameFrom) {
+    if (now < assignFrom) {
       return List.of();
     }
-    ending.values().removeIf(endsAt -> now >= endsAt);
+    expiryBySlot.values().removeIf(endsAt -> now >= endsAt);
     long rotation = ROTATION_READS * context.settings().readMillis();
     List<Integer> dropped = new ArrayList<>();
-    named.forEach(
+    assignedSince.forEach(
         (slot, since) -> {
-          boolean gone = !reachable.contains(slot) || roster.withSlot(slot).isEmpty();
-          if (gone || (now - since >= rotation && dropped.isEmpty())) {
+          boolean isGone = !reachable.contains(slot) || roster.withSlot(slot).isEmpty();
+          if (isGone || (now - since >= rotation && dropped.isEmpty())) {
             dropped.add(slot);
           }
         });
     for (int slot : dropped) {
-      named.remove(slot);
-      ending.put(slot, now + endMillis());
+      assignedSince.remove(slot);
+      expiryBySlot.put(slot, now + expiryMillis());
     }
-    int free = activeReaders(context.settings().maxReaders()) - named.size() - ending.size();
+    int free =
+        activeReaders(context.settings().maxReaders()) - assignedSince.size() - expiryBySlot.size();
     for (int count = 0; count < free; count++) {
-      addNext(roster, reachable);
+      assignNext(roster, reachable);
     }
-    return List.copyOf(named.keySet());
+    return List.copyOf(assignedSince.keySet());
   }
 
   /** Names the next reachable member after the last one named, in slot order. */
-  private void addNext(Roster roster, RoaringBitmap reachable) {
+  private void assignNext(Roster roster, RoaringBitmap reachable) {
     Member first = null;
     Member next = null;
     for (Member member : roster.members()) {
       int slot = member.slot();
-      if (!reachable.contains(slot) || named.containsKey(slot) || ending.containsKey(slot)) {
+      if (!reachable.contains(slot)
+          || assignedSince.containsKey(slot)
+          || expiryBySlot.containsKey(slot)) {
         continue;
       }
       first = first == null ? member : first;
-      if (slot > lastNamed) {
+      if (slot > lastAssigned) {
         next = member;
         break;
       }
     }
     Member chosen = next == null ? first : next;
     if (chosen != null) {
-      lastNamed = chosen.slot();
-      named.put(chosen.slot(), context.now());
+      lastAssigned = chosen.slot();
+      assignedSince.put(chosen.slot(), context.now());
     }
   }
 }
--- a/umberpath-control/src/main/java/io/umberpath/control/ReformCalls.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/ReformRequests.java
@@ -8,11 +8,11 @@
 import java.util.List;
 
 /** Answers operators' calls to re-form the fleet. */
-final class ReformCalls {
+final class ReformRequests {
   private final NodeContext context;
   private final List<Long> tickets = new ArrayList<>();
 
-  ReformCalls(NodeContext context) {
+  ReformRequests(NodeContext context) {
     this.context = context;
   }
 
@@ -21,9 +21,9 @@
   }
 
   /** A fleet with a leader is not re-formed. */
-  void refuseBecauseLed(long ticket) {
+  void refuseWithLeader(long ticket) {
     Violation violation = new Violation("fleet", "led", "a leader is heard; nothing to re-form");
-    answer(ticket, new ChangeResult.Refused(RefusalCode.CONFLICT, List.of(violation)));
+    respond(ticket, new ChangeResult.Refused(RefusalCode.CONFLICT, List.of(violation)));
   }
 
   /** Answers the calls once this node leads with a committed state, or gave up. */
@@ -31,20 +31,20 @@
     if (tickets.isEmpty()) {
       return;
     }
-    boolean done = leadership.leads() && leadership.isSettled();
-    boolean failed = !leadership.leads() && !election.isCandidate();
-    if (!done && !failed) {
+    boolean isDone = leadership.isLeader() && leadership.hasCommitted();
+    boolean hasFailed = !leadership.isLeader() && !election.isCandidate();
+    if (!isDone && !hasFailed) {
       return;
     }
     ChangeResult result =
-        done
+        isDone
             ? new ChangeResult.Accepted(committed)
             : new ChangeResult.Refused(RefusalCode.NO_QUORUM, List.of());
-    tickets.forEach(ticket -> answer(ticket, result));
+    tickets.forEach(ticket -> respond(ticket, result));
     tickets.clear();
   }
 
-  private void answer(long ticket, ChangeResult result) {
+  private void respond(long ticket, ChangeResult result) {
     context.emit(new ControlOutput.ChangeAnswered(ticket, result));
   }
 }
--- a/umberpath-control/src/main/java/io/umberpath/control/ReportDifference.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/ReportDifference.java
@@ -20,7 +20,7 @@
    * @param former complete groups of the former report
    * @param groups complete groups of this one
    */
-  static List<ReportGroup> of(List<ReportGroup> former, List<ReportGroup> groups) {
+  static List<ReportGroup> between(List<ReportGroup> former, List<ReportGroup> groups) {
     int largest = largest(groups);
     if (largest < 0) {
       return groups;
@@ -28,7 +28,7 @@
     List<ReportGroup> shortened = new ArrayList<>(groups);
     ReportGroup group = groups.get(largest);
     shortened.set(largest, withSlots(group, SlotSet.EMPTY));
-    return rest(former, shortened).equals(group.slots()) ? shortened : groups;
+    return remainder(former, shortened).equals(group.slots()) ? shortened : groups;
   }
 
   /**
@@ -42,14 +42,15 @@
     if (groups.stream().allMatch(group -> group.slots().size() > 0)) {
       return Optional.of(groups);
     }
-    return former.map(known -> filled(known, groups));
+    return former.map(known -> fillRemainder(known, groups));
   }
 
-  private static List<ReportGroup> filled(List<ReportGroup> former, List<ReportGroup> groups) {
-    SlotSet rest = rest(former, groups);
+  private static List<ReportGroup> fillRemainder(
+      List<ReportGroup> former, List<ReportGroup> groups) {
+    SlotSet remainder = remainder(former, groups);
     List<ReportGroup> complete = new ArrayList<>();
     for (ReportGroup group : groups) {
-      complete.add(group.slots().size() > 0 ? group : withSlots(group, rest));
+      complete.add(group.slots().size() > 0 ? group : withSlots(group, remainder));
     }
     return List.copyOf(complete);
   }
@@ -64,7 +65,7 @@
     return largest;
   }
 
-  private static SlotSet rest(List<ReportGroup> former, List<ReportGroup> groups) {
+  private static SlotSet remainder(List<ReportGroup> former, List<ReportGroup> groups) {
     RoaringBitmap slots = union(former);
     slots.andNot(union(groups));
     return SlotSet.copyOf(slots);
--- a/umberpath-control/src/main/java/io/umberpath/control/SharedStates.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/SharedStates.java
@@ -20,7 +20,7 @@
  * times. Thread-safe and bounded.
  */
 public final class SharedStates {
-  private static final int OWN_CAPACITY = 4;
+  private static final int SINGLE_NODE_CAPACITY = 4;
 
   private final Cache<StateDelta, Applied> applied;
   private final Cache<FleetState, StateDelta> whole;
@@ -32,7 +32,7 @@
 
   /** For one node in a process of its own. */
   public SharedStates() {
-    this(OWN_CAPACITY);
+    this(SINGLE_NODE_CAPACITY);
   }
 
   /**
@@ -58,7 +58,7 @@
         .<K, V>build();
   }
 
-  private static <K, V> V remembered(Cache<K, V> cache, K key, Function<K, V> function) {
+  private static <K, V> V computeIfAbsent(Cache<K, V> cache, K key, Function<K, V> function) {
     V known = cache.getIfPresent(key);
     if (known != null) {
       return known;
@@ -85,12 +85,12 @@
       return known.result;
     }
     Either<Violation, FleetState> result =
-        StateDeltas.apply(delta, effective).flatMap(SharedStates::referencesHold);
+        StateDeltas.apply(delta, effective).flatMap(SharedStates::checkReferences);
     applied.put(delta, new Applied(effective, result));
     return result;
   }
 
-  private static Either<Violation, FleetState> referencesHold(FleetState state) {
+  private static Either<Violation, FleetState> checkReferences(FleetState state) {
     List<Violation> violations = ReferenceCheck.violations(state);
     return violations.isEmpty() ? Either.right(state) : Either.left(violations.get(0));
   }
@@ -101,8 +101,8 @@
   }
 
   /** The whole state as a delta. */
-  StateDelta whole(FleetState state) {
-    return remembered(
+  StateDelta fullState(FleetState state) {
+    return computeIfAbsent(
         whole,
         state,
         key -> {
@@ -125,12 +125,12 @@
 
   /** The roster arranged by zone. */
   RosterView view(Roster roster) {
-    return remembered(views, roster, RosterView::new);
+    return computeIfAbsent(views, roster, RosterView::new);
   }
 
   /** Content hash of a document. */
   long hash(PlatformDocument document) {
-    return remembered(hashes, document, DocumentDeltas::hash);
+    return computeIfAbsent(hashes, document, DocumentDeltas::hash);
   }
 
   /** The difference that leads from one document to the other. */
--- a/umberpath-control/src/main/java/io/umberpath/control/ChangeDesk.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/SubmittedChanges.java
@@ -14,13 +14,13 @@
  * The changes operators submitted at this node. A change is refused here only if it was never
  * forwarded or proposed; otherwise only a leader's answer or "unknown" ends it.
  */
-final class ChangeDesk {
-  private static final int NO_LEADER_ELECTIONS = 2;
+final class SubmittedChanges {
+  private static final int NO_LEADER_ELECTION_TIMEOUTS = 2;
   private static final int RESEND_HEARTBEATS = 2;
   private static final long NEVER = -1;
 
   private final NodeContext context;
-  private final LeaderTrack track;
+  private final LeaderTracker leaderTracker;
   private final Acceptor acceptor;
   private final ChangeDecider decider;
   private final TreeMap<Long, Pending> byNumber = new TreeMap<>();
@@ -45,9 +45,10 @@
     }
   }
 
-  ChangeDesk(NodeContext context, LeaderTrack track, Acceptor acceptor, ChangeDecider decider) {
+  SubmittedChanges(
+      NodeContext context, LeaderTracker leaderTracker, Acceptor acceptor, ChangeDecider decider) {
     this.context = context;
-    this.track = track;
+    this.leaderTracker = leaderTracker;
     this.acceptor = acceptor;
     this.decider = decider;
   }
@@ -55,7 +56,7 @@
   /** An operator submitted a change. */
   void submit(long ticket, ChangeSet change) {
     if (byNumber.size() >= context.settings().maxQueuedChanges()) {
-      answer(ticket, ChangeDecider.overloaded());
+      respond(ticket, ChangeDecider.overloadRefusal());
       return;
     }
     lastNumber++;
@@ -66,15 +67,15 @@
   void abandon(long ticket) {
     for (Pending pending : List.copyOf(byNumber.values())) {
       if (pending.ticket == ticket) {
-        boolean withdrawn = pending.queued != null && decider.withdraw(pending.queued);
-        finish(pending, !pending.mayHaveRun ? refusedOrUnknown(pending, withdrawn) : unknown());
+        boolean withdrawn = pending.queued != null && decider.cancel(pending.queued);
+        finish(pending, !pending.mayHaveRun ? refusalOrUnknown(pending, withdrawn) : unknown());
       }
     }
   }
 
-  private ChangeResult refusedOrUnknown(Pending pending, boolean withdrawn) {
-    boolean certain = pending.queued == null || withdrawn;
-    return certain ? new ChangeResult.Refused(RefusalCode.NO_QUORUM, List.of()) : unknown();
+  private ChangeResult refusalOrUnknown(Pending pending, boolean withdrawn) {
+    boolean isCertain = pending.queued == null || withdrawn;
+    return isCertain ? new ChangeResult.Refused(RefusalCode.NO_QUORUM, List.of()) : unknown();
   }
 
   private static ChangeResult unknown() {
@@ -82,7 +83,7 @@
   }
 
   /** A leader answered a forwarded change; a refusal of a former leader decides nothing now. */
-  void outcome(ChangeOutcome outcome) {
+  void onOutcome(ChangeOutcome outcome) {
     Pending pending = byNumber.get(outcome.number());
     if (pending != null
         && outcome.incarnation() == context.process().incarnation()
@@ -94,31 +95,31 @@
 
   private void finish(Pending pending, ChangeResult result) {
     if (byNumber.remove(pending.number) != null) {
-      answer(pending.ticket, result);
+      respond(pending.ticket, result);
     }
   }
 
-  private void answer(long ticket, ChangeResult result) {
+  private void respond(long ticket, ChangeResult result) {
     context.emit(new ControlOutput.ChangeAnswered(ticket, result));
   }
 
   /** Hands pending changes to the leader, again if needed, and refuses those that found none. */
-  void flush(boolean leads, long epoch) {
+  void flush(boolean isLeader, long epoch) {
     if (byNumber.isEmpty()) {
       return;
     }
     for (Pending pending : new ArrayList<>(byNumber.values())) {
-      if (leads) {
-        queueHere(pending, epoch);
-      } else if (track.heardWithin(context.settings().electionMillis())) {
+      if (isLeader) {
+        enqueueLocally(pending, epoch);
+      } else if (leaderTracker.heardWithin(context.settings().electionMillis())) {
         forward(pending);
       } else {
-        refuseIfOverdue(pending);
+        refuseIfExpired(pending);
       }
     }
   }
 
-  private void queueHere(Pending pending, long epoch) {
+  private void enqueueLocally(Pending pending, long epoch) {
     if (pending.sentEpoch == epoch) {
       return;
     }
@@ -132,14 +133,15 @@
     }
     pending.queued = null;
     if (decider.mayRefuse()) {
-      finish(pending, ChangeDecider.overloaded());
+      finish(pending, ChangeDecider.overloadRefusal());
     }
   }
 
   private void forward(Pending pending) {
-    long epoch = track.round().epoch();
-    boolean again = pending.sentEpoch != epoch || context.now() >= pending.sentAt + resendMillis();
-    if (!again || track.leader().isEmpty()) {
+    long epoch = leaderTracker.round().epoch();
+    boolean isSendDue =
+        pending.sentEpoch != epoch || context.now() >= pending.sentAt + resendMillis();
+    if (!isSendDue || leaderTracker.leader().isEmpty()) {
       return;
     }
     pending.queued = null;
@@ -147,13 +149,13 @@
     pending.sentAt = context.now();
     pending.mayHaveRun = true;
     context.send(
-        track.leader().get(),
+        leaderTracker.leader().get(),
         new ForwardChange(
             epoch, acceptor.self(), pending.number, byNumber.firstKey(), pending.change));
   }
 
-  private void refuseIfOverdue(Pending pending) {
-    if (!pending.mayHaveRun && context.now() >= pending.submittedAt + noLeaderMillis()) {
+  private void refuseIfExpired(Pending pending) {
+    if (!pending.mayHaveRun && context.now() >= pending.submittedAt + noLeaderTimeoutMillis()) {
       finish(pending, new ChangeResult.Refused(RefusalCode.NO_QUORUM, List.of()));
     }
   }
@@ -162,22 +164,22 @@
     return RESEND_HEARTBEATS * context.settings().heartbeatMillis();
   }
 
-  private long noLeaderMillis() {
-    return NO_LEADER_ELECTIONS * context.settings().electionMillis();
+  private long noLeaderTimeoutMillis() {
+    return NO_LEADER_ELECTION_TIMEOUTS * context.settings().electionMillis();
   }
 
   /** When {@link #flush} is due. */
-  long nextAt(boolean leads) {
-    if (byNumber.isEmpty() || leads) {
+  long nextAt(boolean isLeader) {
+    if (byNumber.isEmpty() || isLeader) {
       return Long.MAX_VALUE;
     }
     long next = Long.MAX_VALUE;
-    boolean heard = track.heardWithin(context.settings().electionMillis());
+    boolean heard = leaderTracker.heardWithin(context.settings().electionMillis());
     for (Pending pending : byNumber.values()) {
       if (heard) {
         next = Math.min(next, pending.sentAt + resendMillis());
       } else if (!pending.mayHaveRun) {
-        next = Math.min(next, pending.submittedAt + noLeaderMillis());
+        next = Math.min(next, pending.submittedAt + noLeaderTimeoutMillis());
       }
     }
     return next;
--- a/umberpath-control/src/main/java/io/umberpath/control/Reports.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/SubtreeReporter.java
@@ -17,23 +17,23 @@
  * until its whole subtree holds a proposal, runs a commit or has answered a round, so that one
  * message answers for all; it waits a bounded time only.
  */
-final class Reports {
+final class SubtreeReporter {
   /** How long the first report of a proposal waits for members that do not hold it yet. */
-  private static final long FIRST_HOLD_MILLIS = 20;
+  private static final long FIRST_REPORT_DELAY_MILLIS = 20;
 
   /** Later reports of the same proposal wait this part of a heartbeat. */
-  private static final int LATER_HOLD_PART = 10;
+  private static final int LATER_REPORT_DELAY_DIVISOR = 10;
 
   /** Reports of what members run, and of rounds, wait this part of a heartbeat. */
-  private static final int RUN_PART = 4;
+  private static final int ACTIVATION_REPORT_DELAY_DIVISOR = 4;
 
-  private static final int JOINS_REPEAT = 4;
+  private static final int REPORTS_PER_FULL_JOINS = 4;
   private static final Comparator<Key> ORDER =
       Comparator.comparing(Key::held).thenComparing(Key::active).thenComparingLong(Key::revision);
 
   private final NodeContext context;
   private final Acceptor acceptor;
-  private final LeaderTrack track;
+  private final LeaderTracker leaderTracker;
   private final Children children;
   private final Activation activation;
   private long number;
@@ -43,65 +43,65 @@
   private List<Member> joins;
   private long lastSentAt;
   private Version lastHeld = Version.NONE;
-  private Version partlyReported = Version.NONE;
-  private Version fullyReported = Version.NONE;
+  private Version lastReportedVersion = Version.NONE;
+  private Version lastFullyReportedVersion = Version.NONE;
   private long reportedEpoch;
   private List<ReportGroup> lastGroups = List.of();
 
   private record Key(Version held, Version active, long revision) {}
 
-  Reports(
+  SubtreeReporter(
       NodeContext context,
       Acceptor acceptor,
-      LeaderTrack track,
+      LeaderTracker leaderTracker,
       Children children,
       Activation activation) {
     this.context = context;
     this.acceptor = acceptor;
-    this.track = track;
+    this.leaderTracker = leaderTracker;
     this.children = children;
     this.activation = activation;
   }
 
   /** What the subtree holds and runs, this node included. */
   List<ReportGroup> groups() {
-    TreeMap<Key, RoaringBitmap> bySituation = new TreeMap<>(ORDER);
+    TreeMap<Key, RoaringBitmap> slotsByKey = new TreeMap<>(ORDER);
     if (acceptor.isMember()) {
       Key own = new Key(acceptor.held().version(), activation.version(), activation.revision());
-      bySituation.computeIfAbsent(own, key -> new RoaringBitmap()).add(acceptor.slot());
+      slotsByKey.computeIfAbsent(own, key -> new RoaringBitmap()).add(acceptor.slot());
     }
     for (Child child : children.all()) {
       for (ReportGroup group : child.groups()) {
         Key key = new Key(group.held(), group.active(), group.revision());
-        group.slots().addTo(bySituation.computeIfAbsent(key, any -> new RoaringBitmap()));
+        group.slots().addTo(slotsByKey.computeIfAbsent(key, any -> new RoaringBitmap()));
       }
     }
     List<ReportGroup> groups = new ArrayList<>();
-    bySituation.forEach(
+    slotsByKey.forEach(
         (key, slots) ->
             groups.add(new ReportGroup(key.held, key.active, key.revision, SlotSet.copyOf(slots))));
     return groups;
   }
 
   /** The waiting processes changed; the parent learns of it with others within half a heartbeat. */
-  void joinsChanged() {
+  void onJoinsChanged() {
     joins = null;
-    joinsDueAt = Math.min(joinsDueAt, Math.max(context.now(), lastSentAt + joinsMillis()));
+    joinsDueAt = Math.min(joinsDueAt, Math.max(context.now(), lastSentAt + joinsDelayMillis()));
   }
 
-  private long joinsMillis() {
+  private long joinsDelayMillis() {
     return context.settings().heartbeatMillis() / 2;
   }
 
   /** Processes of the subtree that wait for a seat, newest incarnation per address. */
   List<Member> joins() {
     if (joins == null) {
-      joins = gatherJoins();
+      joins = collectJoins();
     }
     return joins;
   }
 
-  private List<Member> gatherJoins() {
+  private List<Member> collectJoins() {
     TreeMap<PeerAddress, Member> byAddress = new TreeMap<>();
     if (!acceptor.isMember()) {
       byAddress.put(context.address(), context.process());
@@ -111,16 +111,16 @@
         byAddress.merge(join.address(), join, (a, b) -> a.incarnation() >= b.incarnation() ? a : b);
       }
     }
-    byAddress.values().removeIf(this::isSeated);
+    byAddress.values().removeIf(this::isMember);
     return List.copyOf(byAddress.values());
   }
 
-  private boolean isSeated(Member process) {
+  private boolean isMember(Member process) {
     return acceptor
         .committed()
         .roster()
         .at(process.address())
-        .filter(seated -> seated.incarnation() >= process.incarnation())
+        .filter(member -> member.incarnation() >= process.incarnation())
         .isPresent();
   }
 
@@ -134,7 +134,7 @@
   }
 
   /** Something the parent should know changed, or a round asks for a sign of life. */
-  void due() {
+  void schedule() {
     dueSince = Math.min(dueSince, context.now());
   }
 
@@ -143,33 +143,35 @@
     if (dueSince == Long.MAX_VALUE) {
       return joinsDueAt;
     }
-    return Math.min(joinsDueAt, dueSince + waitMillis());
+    return Math.min(joinsDueAt, dueSince + delayMillis());
   }
 
-  private long waitMillis() {
+  private long delayMillis() {
     long heartbeat = context.settings().heartbeatMillis();
     Version held = acceptor.held().version();
-    boolean allHold = subtreeHolds(held);
-    if (epoch() != reportedEpoch || acceptor.wholeStateWanted()) {
+    boolean allHold = isHeldBySubtree(held);
+    if (epoch() != reportedEpoch || acceptor.isFullStateNeeded()) {
       return 0;
     }
     if (!allHold) {
-      return held.equals(partlyReported)
-          ? heartbeat / LATER_HOLD_PART
-          : Math.min(FIRST_HOLD_MILLIS, heartbeat / LATER_HOLD_PART);
+      return held.equals(lastReportedVersion)
+          ? heartbeat / LATER_REPORT_DELAY_DIVISOR
+          : Math.min(FIRST_REPORT_DELAY_MILLIS, heartbeat / LATER_REPORT_DELAY_DIVISOR);
     }
-    return !held.equals(fullyReported) || subtreeIsCurrent() ? 0 : heartbeat / RUN_PART;
+    return !held.equals(lastFullyReportedVersion) || isSubtreeCurrent()
+        ? 0
+        : heartbeat / ACTIVATION_REPORT_DELAY_DIVISOR;
   }
 
-  private boolean subtreeHolds(Version held) {
-    return children.all().stream().allMatch(child -> child.allHold(held));
+  private boolean isHeldBySubtree(Version held) {
+    return children.all().stream().allMatch(child -> child.allMembersHold(held));
   }
 
   /** Whether the whole subtree runs what this node runs and has answered the round. */
-  private boolean subtreeIsCurrent() {
+  private boolean isSubtreeCurrent() {
     for (Child child : children.all()) {
-      boolean runs = child.allRun(activation.version(), activation.revision());
-      if (!runs || track.fedRound().newerThan(child.round())) {
+      boolean runs = child.allMembersRun(activation.version(), activation.revision());
+      if (!runs || leaderTracker.deliveredRound().newerThan(child.round())) {
         return false;
       }
     }
@@ -178,9 +180,9 @@
 
   /** Sends the report if it is due. */
   void flush(PeerAddress parent) {
-    if (!acceptor.held().version().equals(lastHeld) || acceptor.wholeStateWanted()) {
+    if (!acceptor.held().version().equals(lastHeld) || acceptor.isFullStateNeeded()) {
       lastHeld = acceptor.held().version();
-      due();
+      schedule();
     }
     if (context.now() >= deadline()) {
       send(parent);
@@ -188,7 +190,7 @@
   }
 
   /** Sends a complete report now, for a parent that lacks the former one. */
-  void sendWhole(PeerAddress parent) {
+  void sendComplete(PeerAddress parent) {
     lastJoins = null;
     lastGroups = List.of();
     send(parent);
@@ -196,14 +198,14 @@
 
   private void send(PeerAddress parent) {
     cancel();
-    noteReported();
+    recordReported();
     lastSentAt = context.now();
     number++;
     List<Member> waiting = joins();
-    boolean kept = waiting == lastJoins && number % JOINS_REPEAT != 0;
+    boolean joinsUnchanged = waiting == lastJoins && number % REPORTS_PER_FULL_JOINS != 0;
     lastJoins = waiting;
     List<ReportGroup> groups = groups();
-    List<ReportGroup> difference = ReportDifference.of(lastGroups, groups);
+    List<ReportGroup> difference = ReportDifference.between(lastGroups, groups);
     lastGroups = groups;
     context.send(
         parent,
@@ -211,18 +213,18 @@
             context.process().incarnation(),
             number,
             epoch(),
-            track.round(),
+            leaderTracker.round(),
             difference,
-            kept ? List.of() : waiting,
-            kept,
-            acceptor.wholeStateWanted()));
+            joinsUnchanged ? List.of() : waiting,
+            joinsUnchanged,
+            acceptor.isFullStateNeeded()));
   }
 
-  private void noteReported() {
+  private void recordReported() {
     reportedEpoch = epoch();
-    partlyReported = acceptor.held().version();
-    if (subtreeHolds(partlyReported)) {
-      fullyReported = partlyReported;
+    lastReportedVersion = acceptor.held().version();
+    if (isHeldBySubtree(lastReportedVersion)) {
+      lastFullyReportedVersion = lastReportedVersion;
     }
   }
 
--- a/umberpath-control/src/main/java/io/umberpath/control/VoteVerdict.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/VoteOutcome.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 
 /** What a set of votes allows a candidate to do. */
-enum VoteVerdict {
+enum VoteOutcome {
   /** Nothing yet. */
   INSUFFICIENT,
   /** A quorum of the state's roster, and of its previous roster while that may decide, granted. */
@@ -20,7 +20,7 @@
   /**
    * Every member is accounted for: it granted, is certainly gone, or is given up by an operator.
    */
-  FULL_ACCOUNT,
+  ALL_ACCOUNTED_FOR,
   /** Nobody holds any state and every expected process granted or is given up. */
   NEW_FLEET;
 
@@ -31,30 +31,30 @@
    * @param document the platform's document that the candidate holds
    * @param acceptedLoss addresses that an operator gives up
    */
-  static VoteVerdict of(
+  static VoteOutcome evaluate(
       NodeContext context,
       FleetState state,
       PlatformDocument document,
       VoteTally tally,
       Set<PeerAddress> acceptedLoss) {
     if (state.version().equals(Version.NONE)) {
-      return mayForm(context, document, tally, acceptedLoss) ? NEW_FLEET : INSUFFICIENT;
+      return canFormFleet(context, document, tally, acceptedLoss) ? NEW_FLEET : INSUFFICIENT;
     }
-    Roster previous = tally.settles(state) ? state.roster() : state.previousRoster();
+    Roster previous = tally.isRosterSettled(state) ? state.roster() : state.previousRoster();
     if (isQuorum(context, state.roster(), tally) && isQuorum(context, previous, tally)) {
       return QUORUM;
     }
-    boolean accounted =
-        isAccounted(state.roster(), state, tally, acceptedLoss)
-            && isAccounted(previous, state, tally, acceptedLoss);
-    return accounted ? FULL_ACCOUNT : INSUFFICIENT;
+    boolean allAccountedFor =
+        areAllAccountedFor(state.roster(), state, tally, acceptedLoss)
+            && areAllAccountedFor(previous, state, tally, acceptedLoss);
+    return allAccountedFor ? ALL_ACCOUNTED_FOR : INSUFFICIENT;
   }
 
   /**
    * As many processes as expected, and among them every machine of the newest document that a voter
    * holds, or every seed if nobody holds one: a survivor of a former fleet is one of them.
    */
-  private static boolean mayForm(
+  private static boolean canFormFleet(
       NodeContext context,
       PlatformDocument document,
       VoteTally tally,
@@ -76,13 +76,13 @@
     return context.quorum().isQuorum(context.view(roster), tally.granted());
   }
 
-  private static boolean isAccounted(
+  private static boolean areAllAccountedFor(
       Roster roster, FleetState state, VoteTally tally, Set<PeerAddress> acceptedLoss) {
     for (Member member : roster.members()) {
       if (!tally.granted().contains(member.slot())
           && !acceptedLoss.contains(member.address())
-          && !answeredWithoutSeat(member, tally)
-          && !isSucceeded(member, state)) {
+          && !hasGrantedAsJoiner(member, tally)
+          && !isSuperseded(member, state)) {
         return false;
       }
     }
@@ -90,13 +90,13 @@
   }
 
   /** The member itself granted before it took its seat, or a later process at its address did. */
-  private static boolean answeredWithoutSeat(Member member, VoteTally tally) {
+  private static boolean hasGrantedAsJoiner(Member member, VoteTally tally) {
     Member process = tally.fresh().get(member.address());
     return process != null && process.incarnation() >= member.incarnation();
   }
 
   /** The state seats a later process at the address; the member ended before it was proposed. */
-  private static boolean isSucceeded(Member member, FleetState state) {
+  private static boolean isSuperseded(Member member, FleetState state) {
     return state
         .roster()
         .at(member.address())
--- a/umberpath-control/src/main/java/io/umberpath/control/VoteRelay.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/VoteRelay.java
@@ -22,9 +22,9 @@
 
   private final NodeContext context;
   private final Acceptor acceptor;
-  private final LeaderTrack track;
+  private final LeaderTracker leaderTracker;
   private final Children children;
-  private final DocumentSpread documents;
+  private final DocumentDistributor documents;
   private final Map<Key, Poll> polls = new LinkedHashMap<>();
 
   /** One request at a time is remembered of each candidate and kind. */
@@ -46,12 +46,12 @@
   VoteRelay(
       NodeContext context,
       Acceptor acceptor,
-      LeaderTrack track,
+      LeaderTracker leaderTracker,
       Children children,
-      DocumentSpread documents) {
+      DocumentDistributor documents) {
     this.context = context;
     this.acceptor = acceptor;
-    this.track = track;
+    this.leaderTracker = leaderTracker;
     this.children = children;
     this.documents = documents;
   }
@@ -59,20 +59,20 @@
   /**
    * Takes a request.
    *
-   * @param leads whether this node leads now
+   * @param isLeader whether this node leads now
    * @return whether this node granted
    */
-  boolean request(PeerAddress from, VoteRequest request, boolean leads) {
+  boolean onRequest(PeerAddress from, VoteRequest request, boolean isLeader) {
     Key key = new Key(request.binding(), request.candidate().address());
     Poll poll = polls.get(key);
     if (poll != null && poll.request.equals(request)) {
       if (poll.requesters.size() < MAX_REQUESTERS) {
         poll.requesters.add(from);
       }
-      due(poll);
+      schedule(poll);
       return false;
     }
-    boolean granted = grants(request, leads);
+    boolean granted = shouldGrant(request, isLeader);
     poll = new Poll(request);
     poll.tally.promised(acceptor.promised());
     poll.tally.revision(documents.revision());
@@ -87,7 +87,7 @@
         context.send(child, request);
       }
     }
-    due(poll);
+    schedule(poll);
     return granted;
   }
 
@@ -99,17 +99,18 @@
     }
   }
 
-  private boolean grants(VoteRequest request, boolean leads) {
+  private boolean shouldGrant(VoteRequest request, boolean isLeader) {
     if (request.binding()) {
       return acceptor.promise(request.epoch(), request.candidate());
     }
-    boolean leaderHeard = leads || track.heardWithin(context.settings().electionMillis());
+    boolean leaderHeard =
+        isLeader || leaderTracker.heardWithin(context.settings().electionMillis());
     return !leaderHeard && request.epoch() > acceptor.promised();
   }
 
   /** Adds this node's own vote. */
   void grant(VoteTally tally) {
-    tally.committed(acceptor.committedKnown());
+    tally.committed(acceptor.committedVersion());
     Version held = acceptor.held().version();
     if (acceptor.isMember()) {
       tally.add(new HeldGroup(held, context.address(), SlotSet.of(acceptor.slot())));
@@ -122,7 +123,7 @@
   }
 
   /** Takes a child's answer; answers to other requests are ignored. */
-  void answer(PeerAddress from, VoteAnswer answer) {
+  void onAnswer(PeerAddress from, VoteAnswer answer) {
     Poll poll = polls.get(new Key(answer.binding(), answer.candidate()));
     if (poll != null
         && poll.request.epoch() == answer.epoch()
@@ -130,12 +131,12 @@
       boolean changed = poll.tally.add(answer);
       changed |= poll.expected.remove(from);
       if (changed) {
-        due(poll);
+        schedule(poll);
       }
     }
   }
 
-  private void due(Poll poll) {
+  private void schedule(Poll poll) {
     long delay = poll.expected.isEmpty() ? 0 : COALESCE_MILLIS;
     poll.dueAt = Math.min(poll.dueAt, context.now() + delay);
   }
--- a/umberpath-control/src/main/java/io/umberpath/control/VoteTally.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/VoteTally.java
@@ -92,7 +92,7 @@
   }
 
   /** Whether the roster of a state alone decides: it is settled or known to be committed. */
-  boolean settles(FleetState state) {
+  boolean isRosterSettled(FleetState state) {
     return !state.changesRoster() || state.version().equals(committed);
   }
 
--- a/umberpath-control/src/test/java/io/umberpath/control/ChangeRaceTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/ChangeRaceTest.java
@@ -96,8 +96,8 @@
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("refused")
-  void onlyTheOffendingChangeOfABatchIsRefused(
-      String name, ChangeSet offending, RefusalCode code, String field) {
+  void onlyTheInvalidChangeOfABatchIsRefused(
+      String name, ChangeSet invalid, RefusalCode code, String field) {
     ChangeBatch batch = new ChangeBatch(FleetState.EMPTY, new Version(1, 1), DOCUMENT);
     List<Resource> resources =
         List.of(
@@ -105,7 +105,7 @@
             new Secret("s1", "t1", Tier.BASIC, new byte[] {65}),
             new Route("r1", "t1", Tier.BASIC, "*", "/", "p1", Optional.of("s1"), Set.of(), 9));
     assertThat(batch.add(change("first", "t1", Optional.empty(), resources))).isEmpty();
-    ChangeResult result = batch.add(offending).orElseThrow();
+    ChangeResult result = batch.add(invalid).orElseThrow();
     assertThat(result).isInstanceOf(ChangeResult.Refused.class);
     ChangeResult.Refused refused = (ChangeResult.Refused) result;
     assertThat(refused.code()).isEqualTo(code);
@@ -117,23 +117,23 @@
   }
 
   @Test
-  void aRepeatThroughAnotherNodeIsAnsweredLikeTheFirst() {
+  void retryThroughAnotherNodeGetsTheOriginalResult() {
     TestFleet fleet = new TestFleet(21, 6, 2);
     fleet.startAll();
     assertThat(fleet.runUntil(20_000, fleet::converged)).isNotNegative();
     long first = fleet.submit(fleet.process(4), TestFleet.pool("same", "p1"));
     fleet.run(2_000);
-    long repeat = fleet.submit(fleet.process(5), TestFleet.pool("same", "p1"));
+    long retry = fleet.submit(fleet.process(5), TestFleet.pool("same", "p1"));
     long reuse = fleet.submit(fleet.process(3), TestFleet.pool("same", "p2"));
     fleet.run(2_000);
     assertThat(fleet.answers.get(first)).isInstanceOf(ChangeResult.Accepted.class);
-    assertThat(fleet.answers.get(repeat)).isEqualTo(fleet.answers.get(first));
+    assertThat(fleet.answers.get(retry)).isEqualTo(fleet.answers.get(first));
     assertThat(((ChangeResult.Refused) fleet.answers.get(reuse)).code())
         .isEqualTo(RefusalCode.REQUEST_ID_REUSED);
   }
 
   @Test
-  void ofTwoChangesThatExpectOneVersionOneWins() {
+  void oneOfTwoChangesWithTheSameExpectedVersionIsAccepted() {
     TestFleet fleet = new TestFleet(22, 6, 2);
     fleet.batchWindow = 50;
     fleet.startAll();
@@ -152,7 +152,7 @@
   }
 
   @Test
-  void aFullQueueRefusesAndTheLowestTierIsNotStarved() {
+  void fullQueueRefusesAndLowestTierIsNotStarved() {
     ChangeQueue queue = new ChangeQueue(200);
     for (int index = 0; index < 200; index++) {
       assertThat(queue.offer(entry(Tier.PREMIUM), 0)).isTrue();
@@ -161,10 +161,10 @@
     assertThat(queue.offer(entry(Tier.PREMIUM), 0)).isFalse();
     assertThat(queue.offer(entry(Tier.STANDARD), 0)).isTrue();
     List<ChangeQueue.Entry> batch = queue.takeBatch(0);
-    assertThat(batch).hasSize(ChangeQueue.BATCH);
+    assertThat(batch).hasSize(ChangeQueue.MAX_BATCH);
     assertThat(batch.get(0).change().tier()).isEqualTo(Tier.PREMIUM);
     assertThat(batch.stream().filter(each -> each.change().tier() == Tier.BASIC))
-        .hasSize(ChangeQueue.BASIC_SHARE);
+        .hasSize(ChangeQueue.RESERVED_FOR_BASIC);
     assertThat(batch.stream().filter(each -> each.change().tier() == Tier.STANDARD)).hasSize(1);
   }
 
@@ -175,20 +175,20 @@
   }
 
   @Test
-  void aLateForwardOfARefusedChangeDoesNotRun() {
-    OriginLedger ledger = new OriginLedger();
+  void lateForwardOfARefusedChangeDoesNotRun() {
+    ForwardedChanges forwardedChanges = new ForwardedChanges();
     io.umberpath.model.Member origin =
         new io.umberpath.model.Member(
             3, new io.umberpath.model.PeerAddress("10.0.0.3", 1), 9, "z", "r");
     ChangeSet change = TestFleet.pool("r1", "p1");
     ControlMessage.ForwardChange first = new ControlMessage.ForwardChange(5, origin, 1, 1, change);
     ControlMessage.ForwardChange second = new ControlMessage.ForwardChange(5, origin, 2, 2, change);
-    assertThat(ledger.arrived(first)).isEqualTo(OriginLedger.Arrival.NEW);
-    ledger.queued(first);
-    assertThat(ledger.arrived(first)).isEqualTo(OriginLedger.Arrival.KNOWN);
-    ledger.decided(first, ChangeDecider.overloaded());
-    assertThat(ledger.arrived(first)).isEqualTo(OriginLedger.Arrival.DECIDED);
-    assertThat(ledger.arrived(second)).isEqualTo(OriginLedger.Arrival.NEW);
-    assertThat(ledger.arrived(first)).isEqualTo(OriginLedger.Arrival.KNOWN);
+    assertThat(forwardedChanges.onArrival(first)).isEqualTo(ForwardedChanges.Arrival.NEW);
+    forwardedChanges.markQueued(first);
+    assertThat(forwardedChanges.onArrival(first)).isEqualTo(ForwardedChanges.Arrival.DUPLICATE);
+    forwardedChanges.markDecided(first, ChangeDecider.overloadRefusal());
+    assertThat(forwardedChanges.onArrival(first)).isEqualTo(ForwardedChanges.Arrival.DECIDED);
+    assertThat(forwardedChanges.onArrival(second)).isEqualTo(ForwardedChanges.Arrival.NEW);
+    assertThat(forwardedChanges.onArrival(first)).isEqualTo(ForwardedChanges.Arrival.DUPLICATE);
   }
 }
--- a/umberpath-control/src/test/java/io/umberpath/control/ChaosRun.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/ChaosRun.java
@@ -11,7 +11,7 @@
 /** One seeded run: a fleet under random faults and changes, then peace, then every check. */
 final class ChaosRun {
   private static final long FAULT_MILLIS = 20_000;
-  private static final long PEACE_LIMIT_MILLIS = 40_000;
+  private static final long RECOVERY_LIMIT_MILLIS = 40_000;
 
   final TestFleet fleet;
   private final SplittableRandom random;
@@ -37,37 +37,37 @@
   /** Runs; returns everything that is wrong, empty if nothing is. */
   List<String> run() {
     fleet.startAll();
-    List<String> wrong = new ArrayList<>();
+    List<String> failures = new ArrayList<>();
     if (fleet.runUntil(30_000, fleet::converged) < 0) {
-      wrong.add("did not form");
-      return wrong;
+      failures.add("did not form");
+      return failures;
     }
     fleet.loss = random.nextInt(3) * 0.05;
     fleet.duplication = random.nextInt(2) * 0.1;
     fleet.maxDelay = 1 + random.nextInt(4) * 40;
     long end = fleet.now + FAULT_MILLIS;
     while (fleet.now < end) {
-      disturb();
+      injectFault();
       submit();
       fleet.run(50 + random.nextInt(800));
     }
     heal();
-    if (fleet.runUntil(PEACE_LIMIT_MILLIS, this::peaceful) < 0) {
-      wrong.add(fleet.now + " did not converge after the faults: " + describe());
+    if (fleet.runUntil(RECOVERY_LIMIT_MILLIS, this::hasRecovered) < 0) {
+      failures.add(fleet.now + " did not converge after the faults: " + describe());
     } else {
-      wrong.addAll(fleet.lostChanges(poolByTicket));
+      failures.addAll(fleet.lostChanges(poolByTicket));
     }
-    wrong.addAll(fleet.violations);
+    failures.addAll(fleet.violations);
     if (fleet.maxConcurrentReaders > fleet.maxReaders) {
-      wrong.add(fleet.maxConcurrentReaders + " readers at once of " + fleet.maxReaders);
+      failures.add(fleet.maxConcurrentReaders + " readers at once of " + fleet.maxReaders);
     }
-    return wrong;
+    return failures;
   }
 
-  private boolean peaceful() {
-    boolean oneRevision =
+  private boolean hasRecovered() {
+    boolean isSameRevision =
         fleet.alive().stream().allMatch(process -> process.revision == fleet.platform.revision());
-    return fleet.converged() && oneRevision && fleet.answers.size() == poolByTicket.size();
+    return fleet.converged() && isSameRevision && fleet.answers.size() == poolByTicket.size();
   }
 
   private String describe() {
@@ -101,12 +101,12 @@
   }
 
   /** Kills so few that a quorum of the processes that hold the state stays. */
-  private void disturb() {
+  private void injectFault() {
     int index = random.nextInt(size);
     switch (random.nextInt(8)) {
       case 0, 1 -> replaceOne(index);
       case 2 -> fleet.leader().ifPresent(this::replaceLeader);
-      case 3 -> cutOff();
+      case 3 -> partition();
       case 4 -> heal();
       case 5 -> pauseFor(index);
       case 6 -> fleet.platform = TestFleet.document(fleet.platform.revision() + 1);
@@ -114,7 +114,7 @@
     }
   }
 
-  private boolean settled() {
+  private boolean isStable() {
     return fleet.leader().isPresent() && fleet.converged();
   }
 
@@ -127,27 +127,27 @@
   }
 
   private void replaceOne(int index) {
-    if (settled() && !fleet.process(index).paused) {
-      forgetTicketsOf(fleet.process(index));
+    if (isStable() && !fleet.process(index).paused) {
+      discardTicketsOf(fleet.process(index));
       fleet.restart(index);
     }
   }
 
   /** A process that dies takes the answers it owes with it. */
-  private void forgetTicketsOf(TestFleet.Process process) {
+  private void discardTicketsOf(TestFleet.Process process) {
     process.pending().forEach(poolByTicket::remove);
   }
 
-  private void cutOff() {
+  private void partition() {
     int cutSize = 1 + random.nextInt(size - 1);
     List<PeerAddress> part = new ArrayList<>();
     for (int index = 0; index < cutSize; index++) {
       part.add(fleet.address(random.nextInt(size)));
     }
-    boolean oneWay = random.nextInt(4) == 0;
-    fleet.cut =
+    boolean isOneWay = random.nextInt(4) == 0;
+    fleet.isCut =
         (from, to) ->
-            oneWay
+            isOneWay
                 ? part.contains(from) && !part.contains(to)
                 : part.contains(from) != part.contains(to);
   }
@@ -167,6 +167,6 @@
   }
 
   private void heal() {
-    fleet.cut = (from, to) -> false;
+    fleet.isCut = (from, to) -> false;
   }
 }
--- a/umberpath-control/src/test/java/io/umberpath/control/ChaosTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/ChaosTest.java
@@ -10,7 +10,7 @@
   private static final int FIRST = Integer.getInteger("umberpath.control.first.seed", 1);
 
   @Test
-  void everySeedKeepsEveryInvariantAndConverges() {
+  void everySeedKeepsTheInvariantsAndConverges() {
     for (int seed = FIRST; seed < FIRST + SEEDS; seed++) {
       assertThat(new ChaosRun(seed, Optional.empty()).run()).as("seed " + seed).isEmpty();
     }
--- a/umberpath-control/src/test/java/io/umberpath/control/CodecTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/CodecTest.java
@@ -82,13 +82,13 @@
 
   @ParameterizedTest
   @MethodSource("messages")
-  void everyMessageSurvivesCbor(ControlMessage message) throws Exception {
+  void everyMessageRoundTripsThroughCbor(ControlMessage message) throws Exception {
     byte[] bytes = MAPPER.writerFor(ControlMessage.class).writeValueAsBytes(message);
     assertThat(MAPPER.readValue(bytes, ControlMessage.class)).isEqualTo(message);
   }
 
   @Test
-  void theTableNamesEveryMessage() {
+  void everyMessageTypeIsCovered() {
     assertThat(messages().map(Object::getClass).distinct())
         .hasSameSizeAs(ControlMessage.class.getPermittedSubclasses());
   }
--- a/umberpath-control/src/test/java/io/umberpath/control/DisasterTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/DisasterRecoveryTest.java
@@ -18,10 +18,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class DisasterTest {
+class DisasterRecoveryTest {
   private static final int SIZE = 12;
 
-  private static TestFleet formed(long seed) {
+  private static TestFleet formedFleet(long seed) {
     TestFleet fleet = new TestFleet(seed, SIZE, 4);
     fleet.platform = TestFleet.document(1);
     fleet.startAll();
@@ -29,7 +29,7 @@
     return fleet;
   }
 
-  private static Map<Long, String> accepted(TestFleet fleet, String pool) {
+  private static Map<Long, String> submitAccepted(TestFleet fleet, String pool) {
     TreeMap<Long, String> tickets = new TreeMap<>();
     long ticket = fleet.submit(fleet.alive().get(0), TestFleet.pool("r-" + pool, pool));
     tickets.put(ticket, pool);
@@ -41,9 +41,9 @@
 
   @ParameterizedTest
   @CsvSource({"5,1", "9,2", "11,3", "5,4", "9,5", "11,6"})
-  void aFleetThatLosesManyAtOnceReformsOnWhatTheSurvivorsHold(int killed, long seed) {
-    TestFleet fleet = formed(seed);
-    Map<Long, String> tickets = accepted(fleet, "p1");
+  void fleetThatLosesManyNodesReformsOnTheSurvivorsState(int killed, long seed) {
+    TestFleet fleet = formedFleet(seed);
+    Map<Long, String> tickets = submitAccepted(fleet, "p1");
     for (int index = 0; index < killed; index++) {
       fleet.kill(index);
     }
@@ -59,8 +59,8 @@
   }
 
   @Test
-  void aFleetThatDiedWholeFormsAnewAndSaysSo() {
-    TestFleet fleet = formed(9);
+  void fleetThatLosesAllNodesFormsAgainAndReportsIt() {
+    TestFleet fleet = formedFleet(9);
     fleet.notices.clear();
     for (int index = 0; index < SIZE; index++) {
       fleet.restart(index);
@@ -70,9 +70,9 @@
   }
 
   @Test
-  void silentMembersBlockUntilAnOperatorGivesThemUp() {
-    TestFleet fleet = formed(10);
-    Map<Long, String> tickets = accepted(fleet, "p1");
+  void silentMembersBlockUntilAnOperatorAcceptsTheirLoss() {
+    TestFleet fleet = formedFleet(10);
+    Map<Long, String> tickets = submitAccepted(fleet, "p1");
     Set<PeerAddress> lost = new LinkedHashSet<>();
     for (int index = 0; index < 8; index++) {
       lost.add(fleet.address(index));
@@ -94,20 +94,20 @@
 
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void bothPartsGoOnWithThePlatformAndOneWithAgreedVersions(boolean oneWay) {
-    TestFleet fleet = formed(11);
+  void bothPartitionsFollowThePlatformAndOneAcceptsChanges(boolean oneWay) {
+    TestFleet fleet = formedFleet(11);
     fleet.maxReaders = 4;
-    Set<PeerAddress> part = new LinkedHashSet<>();
+    Set<PeerAddress> partition = new LinkedHashSet<>();
     for (int index = 0; index < SIZE; index++) {
       if (index % 4 == 0) {
-        part.add(fleet.address(index));
+        partition.add(fleet.address(index));
       }
     }
-    fleet.cut =
+    fleet.isCut =
         (from, to) ->
             oneWay
-                ? part.contains(from) && !part.contains(to)
-                : part.contains(from) != part.contains(to);
+                ? partition.contains(from) && !partition.contains(to)
+                : partition.contains(from) != partition.contains(to);
     fleet.run(5_000);
     fleet.platform = TestFleet.document(2);
     assertThat(
@@ -118,41 +118,42 @@
     long ticket = fleet.submit(fleet.process(1), TestFleet.pool("r-part", "part"));
     assertThat(fleet.runUntil(10_000, () -> fleet.answers.containsKey(ticket))).isNotNegative();
     assertThat(fleet.answers.get(ticket)).isInstanceOf(ChangeResult.Accepted.class);
-    fleet.cut = (from, to) -> false;
+    fleet.isCut = (from, to) -> false;
     assertThat(fleet.runUntil(10_000, fleet::converged)).as("one state again").isNotNegative();
     assertThat(fleet.violations).isEmpty();
   }
 
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void processesThatForgotDoNotVoteAnAcceptedChangeAway(boolean skipIncarnationRule) {
+  void restartedProcessesDoNotOutvoteAnAcceptedChange(boolean skipIncarnationRule) {
     TestFleet fleet = new TestFleet(16, 5, 1);
     fleet.fault =
         skipIncarnationRule ? Optional.of(SeededFault.SKIP_INCARNATION_RULE) : Optional.empty();
     fleet.platform = TestFleet.document(1);
     fleet.startAll();
     assertThat(fleet.runUntil(30_000, fleet::converged)).isNotNegative();
-    Set<PeerAddress> late = Set.of(fleet.address(3), fleet.address(4));
-    fleet.cut = (from, to) -> late.contains(from) != late.contains(to);
+    Set<PeerAddress> isolated = Set.of(fleet.address(3), fleet.address(4));
+    fleet.isCut = (from, to) -> isolated.contains(from) != isolated.contains(to);
     fleet.run(10_000);
     TreeMap<Long, String> tickets = new TreeMap<>();
     tickets.put(fleet.submit(fleet.process(2), TestFleet.pool("r1", "p1")), "p1");
     fleet.run(10_000);
     assertThat(fleet.answers.values()).allMatch(ChangeResult.Accepted.class::isInstance);
     PeerAddress holder = fleet.address(2);
-    fleet.cut = (from, to) -> from.equals(holder) != to.equals(holder);
+    fleet.isCut = (from, to) -> from.equals(holder) != to.equals(holder);
     fleet.restart(0);
     fleet.restart(1);
     fleet.run(20_000);
-    fleet.cut = (from, to) -> false;
+    fleet.isCut = (from, to) -> false;
     boolean converged = fleet.runUntil(20_000, fleet::converged) >= 0;
-    boolean whole = converged && fleet.violations.isEmpty() && fleet.lostChanges(tickets).isEmpty();
-    assertThat(whole).isEqualTo(!skipIncarnationRule);
+    boolean isIntact =
+        converged && fleet.violations.isEmpty() && fleet.lostChanges(tickets).isEmpty();
+    assertThat(isIntact).isEqualTo(!skipIncarnationRule);
   }
 
   @Test
-  void aLeaderThatWakesAfterAMinuteChangesNothing() {
-    TestFleet fleet = formed(12);
+  void leaderResumedAfterAMinuteChangesNothing() {
+    TestFleet fleet = formedFleet(12);
     TestFleet.Process old = fleet.leader().orElseThrow();
     old.paused = true;
     assertThat(fleet.runUntil(20_000, () -> fleet.leader().filter(each -> each != old).isPresent()))
@@ -170,7 +171,7 @@
   }
 
   @Test
-  void theTreeStaysWithinItsCap() {
+  void relayTreeStaysWithinMaxChildren() {
     TestFleet fleet = new TestFleet(13, 40, 1);
     fleet.maxChildren = 4;
     fleet.startAll();
@@ -184,8 +185,8 @@
 
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void aMemberLeavesOnlyIfItIsSilentForLongAndNoLongerListed(boolean listed) {
-    TestFleet fleet = formed(17);
+  void memberIsRemovedOnlyIfSilentForLongAndNotListed(boolean listed) {
+    TestFleet fleet = formedFleet(17);
     List<PlatformDocument.Machine> machines = new ArrayList<>();
     for (int index = listed ? 0 : 1; index < SIZE; index++) {
       machines.add(
@@ -207,8 +208,8 @@
   }
 
   @Test
-  void aPlatformThatGoesBackIsReportedAndIgnored() {
-    TestFleet fleet = formed(14);
+  void olderPlatformRevisionIsReportedAndIgnored() {
+    TestFleet fleet = formedFleet(14);
     fleet.platform = TestFleet.document(5);
     fleet.run(5_000);
     fleet.platform = TestFleet.document(3);
@@ -223,8 +224,8 @@
    * until they had passed the held one, as documents were ordered by the revision alone.
    */
   @Test
-  void aPlatformThatComesBackInANewerEraIsFollowed() {
-    TestFleet fleet = formed(14);
+  void platformRestoredInANewerEraIsFollowed() {
+    TestFleet fleet = formedFleet(14);
     fleet.platform = TestFleet.document(5);
     fleet.run(5_000);
     long restored = new StorePosition(1, 3).packed();
@@ -238,9 +239,9 @@
   }
 
   @Test
-  void aPairThatDoesNotComposeLeavesTheLastGoodOne() {
-    TestFleet fleet = formed(15);
-    accepted(fleet, "p1");
+  void pairThatDoesNotComposeKeepsTheLastValidOne() {
+    TestFleet fleet = formedFleet(15);
+    submitAccepted(fleet, "p1");
     fleet.platform = new PlatformDocument(9, new TreeMap<>(), List.of());
     fleet.run(5_000);
     assertThat(fleet.alive()).allMatch(each -> each.revision == 1);
--- a/umberpath-control/src/test/java/io/umberpath/control/SpreadTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/DistributionTest.java
@@ -15,10 +15,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.roaringbitmap.RoaringBitmap;
 
-class SpreadTest {
+class DistributionTest {
   @ParameterizedTest
   @CsvSource({"0,0", "0.2,0.2"})
-  void theNewestStatementReachesEveryNodeAlsoOverRestarts(double loss, double duplication) {
+  void newestObservationReachesEveryNodeAcrossRestarts(double loss, double duplication) {
     TestFleet fleet = new TestFleet(31, 12, 4);
     fleet.startAll();
     assertThat(fleet.runUntil(20_000, fleet::converged)).isNotNegative();
@@ -26,20 +26,20 @@
       observe(fleet, 3, new ObservedBackend("b1", 7, counter, Phase.READY, counter));
     }
     observe(fleet, 3, new ObservedBackend("b1", 6, 99, Phase.DOWN, 0));
-    assertThat(fleet.runUntil(5_000, () -> allSaw(fleet, 50))).isNotNegative();
+    assertThat(fleet.runUntil(5_000, () -> hasReachedAll(fleet, 50))).isNotNegative();
     fleet.loss = loss;
     fleet.duplication = duplication;
     fleet.restart(8);
     fleet.restart(0);
     assertThat(fleet.runUntil(60_000, fleet::converged)).isNotNegative();
-    assertThat(fleet.runUntil(60_000, () -> allSaw(fleet, 50))).isNotNegative();
+    assertThat(fleet.runUntil(60_000, () -> hasReachedAll(fleet, 50))).isNotNegative();
   }
 
   private static void observe(TestFleet fleet, int index, ObservedBackend backend) {
     fleet.process(index).input(new ControlInput.BackendObserved(backend));
   }
 
-  private static boolean allSaw(TestFleet fleet, long counter) {
+  private static boolean hasReachedAll(TestFleet fleet, long counter) {
     return fleet.alive().stream()
         .filter(each -> !each.address().equals(fleet.address(3)))
         .allMatch(
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void aDocumentDifferenceLeadsToTheSameContentAndRefusesAnotherBase() {
+  void documentDeltaReproducesTheContentAndRejectsAnotherBase() {
     PlatformDocument first = TestFleet.document(1);
     PlatformDocument second = new PlatformDocument(2, first.services(), List.of());
     ControlMessage.DocumentDelta delta = DocumentDeltas.between(first, second);
@@ -78,7 +78,7 @@
     "ZONE_MAJORITY,6,2,4,true",
     "ZONE_MAJORITY,6,2,3,false"
   })
-  void quorumsFollowTheirRule(
+  void quorumFollowsTheConfiguredRule(
       ControlSettings.QuorumRule rule, int size, int zones, int agreed, boolean expected) {
     RoaringBitmap slots = new RoaringBitmap();
     slots.add(0L, agreed);
--- a/umberpath-control/src/test/java/io/umberpath/control/FormationTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/FormationTest.java
@@ -14,7 +14,7 @@
 class FormationTest {
   @ParameterizedTest
   @CsvSource({"1,1", "3,1", "5,2", "12,4", "30,4"})
-  void aNewFleetFormsCommitsAndActivates(int size, int zones) {
+  void newFleetFormsCommitsAndActivates(int size, int zones) {
     TestFleet fleet = new TestFleet(7, size, zones);
     fleet.platform = TestFleet.document(4);
     fleet.startAll();
@@ -33,23 +33,23 @@
   }
 
   @Test
-  void partsThatEachSeeEnoughProcessesFormNoFleetWithoutEverySeed() {
+  void partitionsWithEnoughProcessesFormNoFleetWithoutEverySeed() {
     TestFleet fleet = new TestFleet(9, 12, 4);
     fleet.initialMembers = 5;
     Set<PeerAddress> part = new HashSet<>();
     IntStream.of(0, 3, 4, 5, 6).mapToObj(fleet::address).forEach(part::add);
-    fleet.cut = (from, to) -> part.contains(from) != part.contains(to);
+    fleet.isCut = (from, to) -> part.contains(from) != part.contains(to);
     fleet.startAll();
     fleet.run(30_000);
     assertThat(fleet.leader()).isEmpty();
     assertThat(fleet.violations).isEmpty();
-    fleet.cut = (from, to) -> false;
+    fleet.isCut = (from, to) -> false;
     assertThat(fleet.runUntil(30_000, fleet::converged)).isNotNegative();
     assertThat(fleet.violations).isEmpty();
   }
 
   @Test
-  void aJoinerIsCaughtUpAndARestartedProcessIsANewMember() {
+  void joinerCatchesUpAndRestartedProcessIsANewMember() {
     TestFleet fleet = new TestFleet(8, 6, 2);
     fleet.initialMembers = 5;
     for (int index = 0; index < 5; index++) {
--- a/umberpath-control/src/test/java/io/umberpath/control/ReportDifferenceTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/ReportDifferenceTest.java
@@ -35,19 +35,19 @@
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("reports")
-  void completesToWhatWasMeant(
+  void completionRestoresTheOriginalGroups(
       String name, List<ReportGroup> former, List<ReportGroup> groups, boolean leavesOut) {
-    List<ReportGroup> sent = ReportDifference.of(former, groups);
+    List<ReportGroup> sent = ReportDifference.between(former, groups);
     assertThat(!sent.equals(groups)).as(name).isEqualTo(leavesOut);
     assertThat(ReportDifference.complete(Optional.of(former), sent)).contains(groups);
     assertThat(ReportDifference.complete(Optional.empty(), sent).isEmpty()).isEqualTo(leavesOut);
   }
 
   @Test
-  void sizeDoesNotDependOnScatteredMembers() {
+  void sizeDoesNotDependOnTheNumberOfMembers() {
     int[] scattered = IntStream.range(0, 700).map(index -> index * 8).toArray();
     List<ReportGroup> sent =
-        ReportDifference.of(List.of(group(1, scattered)), List.of(group(2, scattered)));
+        ReportDifference.between(List.of(group(1, scattered)), List.of(group(2, scattered)));
     assertThat(sent.get(0).slots()).isEqualTo(SlotSet.EMPTY);
   }
 }
--- a/umberpath-control/src/test/java/io/umberpath/control/SeededFaultTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/SeededFaultTest.java
@@ -7,13 +7,13 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.EnumSource.Mode;
 
-/** The incarnation rule has its own scenario in {@link DisasterTest}. */
+/** The incarnation rule has its own scenario in {@link DisasterRecoveryTest}. */
 class SeededFaultTest {
   private static final int SEEDS = 60;
 
   @ParameterizedTest
   @EnumSource(value = SeededFault.class, mode = Mode.EXCLUDE, names = "SKIP_INCARNATION_RULE")
-  void theChecksCatchEveryKnownWrongVariant(SeededFault fault) {
+  void checksDetectEverySeededFault(SeededFault fault) {
     int caught = 0;
     for (int seed = 1; seed <= SEEDS && caught == 0; seed++) {
       boolean wrong =
