--- a/umberpath-control/src/test/java/io/umberpath/control/TestFleet.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/TestFleet.java
@@ -52,7 +52,7 @@
   int maxChildren = 8;
   int maxReaders = 2;
   long batchWindow = 10;
-  BiPredicate<PeerAddress, PeerAddress> cut = (from, to) -> false;
+  BiPredicate<PeerAddress, PeerAddress> isCut = (from, to) -> false;
   PlatformDocument platform = PlatformDocument.NONE;
   BiPredicate<PeerAddress, PlatformDocument> platformReachable = (reader, document) -> true;
   long sent;
@@ -61,7 +61,7 @@
   private final SplittableRandom random;
   private final PriorityQueue<Event> events = new PriorityQueue<>();
   private final SharedStates shared = new SharedStates(64);
-  private final Map<Version, Long> values = new HashMap<>();
+  private final Map<Version, Long> contentByVersion = new HashMap<>();
   private final int zones;
   private final int size;
   private long sequence;
@@ -272,7 +272,7 @@
 
   private void arrive(PeerAddress from, ControlOutput.Send send) {
     Process to = processes.get(send.to());
-    if (to == null || !to.alive || cut.test(from, send.to())) {
+    if (to == null || !to.alive || isCut.test(from, send.to())) {
       return;
     }
     if (to.paused) {
@@ -294,7 +294,7 @@
     process.snapshot = snapshot;
     long content = snapshot.pools().hashCode() + 31L * snapshot.routes().hashCode();
     long revision = snapshot.revision();
-    Long known = values.putIfAbsent(snapshot.version(), content);
+    Long known = contentByVersion.putIfAbsent(snapshot.version(), content);
     if (known != null && known != content && revision == 0) {
       violations.add("two values for " + snapshot.version());
     }
--- a/umberpath-control/src/test/java/io/umberpath/control/VoteVerdictTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/VoteOutcomeTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class VoteVerdictTest {
+class VoteOutcomeTest {
   private static final Version VERSION = new Version(1, 9);
   private static final Member RESTARTED = member(5, 3, 2);
 
@@ -76,19 +76,19 @@
   /**
    * Processes without a seat are written as machine/incarnation.
    *
-   * @param why what the row shows
+   * @param description what the row shows
    */
   @ParameterizedTest(name = "{0}")
   @CsvSource({
     "a quorum of both rosters, 0 1 4, 2/2, QUORUM",
-    "the swapped process grants before it took its seat, 0 1, 2/2 3/2 4/2, FULL_ACCOUNT",
-    "the swapped process grants with its seat, 0 1 5, 2/2 4/2, FULL_ACCOUNT",
+    "the swapped process grants before it took its seat, 0 1, 2/2 3/2 4/2, ALL_ACCOUNTED_FOR",
+    "the swapped process grants with its seat, 0 1 5, 2/2 4/2, ALL_ACCOUNTED_FOR",
     "the swapped process is silent, 0 1, 2/2 4/2, INSUFFICIENT",
     "an earlier process of its machine answers, 0 1, 2/2 3/1 4/2, INSUFFICIENT",
     "a member is silent, 0 1, 3/2 4/2, INSUFFICIENT"
   })
   void everyMemberOfBothRostersMustBeAccountedFor(
-      String why, String slots, String processes, VoteVerdict expected) {
+      String description, String slots, String processes, VoteOutcome expected) {
     VoteTally tally = new VoteTally();
     for (String slot : slots.split(" ")) {
       tally.add(new HeldGroup(VERSION, address(0), SlotSet.of(Integer.parseInt(slot))));
@@ -98,7 +98,9 @@
         .map(part -> member(Member.NO_SLOT, Integer.parseInt(part[0]), Long.parseLong(part[1])))
         .forEach(tally::addFresh);
 
-    assertThat(VoteVerdict.of(context(), unsettledSwap(), PlatformDocument.NONE, tally, Set.of()))
+    assertThat(
+            VoteOutcome.evaluate(
+                context(), unsettledSwap(), PlatformDocument.NONE, tally, Set.of()))
         .isEqualTo(expected);
   }
 
@@ -133,19 +135,20 @@
     "a machine that answers and is given up counts once, 0 1 2 3, '', 3, 0, INSUFFICIENT",
     "too few, 0 1 2 3, 0 1 2 3, '', 3, INSUFFICIENT"
   })
-  void aNewFleetNeedsEveryMachineThatMayHoldAFormerOne(
-      String why,
+  void newFleetNeedsEveryMachineOfAPossibleFormerFleet(
+      String description,
       String machines,
       String listed,
-      String givenUp,
+      String acceptedLoss,
       long revision,
-      VoteVerdict expected) {
+      VoteOutcome expected) {
     VoteTally tally = new VoteTally();
     addresses(machines).forEach(each -> tally.addFresh(new Member(-1, each, 1, "z", "r")));
     tally.revision(revision);
 
-    VoteVerdict verdict =
-        VoteVerdict.of(context(), FleetState.EMPTY, document(listed), tally, addresses(givenUp));
+    VoteOutcome verdict =
+        VoteOutcome.evaluate(
+            context(), FleetState.EMPTY, document(listed), tally, addresses(acceptedLoss));
 
     assertThat(verdict).isEqualTo(expected);
   }
