--- a/umberpath-control/src/main/java/io/umberpath/control/Acceptor.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/Acceptor.java
@@ -15,8 +15,8 @@
 import java.util.Optional;
 
 /**
- * The acceptor's part of the register: promises, the newest state accepted, and the newest state
- * known to be committed. Promises and versions only rise.
+ * Acceptor role of the replicated register: holds the promised epoch, the newest accepted state and
+ * the newest state known to be committed. Epochs and versions only increase.
  */
 final class Acceptor {
   private static final int RECENT_STATES = 4;
@@ -46,7 +46,7 @@
     return committed;
   }
 
-  /** Newest version known to be committed, whether held or not. */
+  /** The newest version known to be committed, whether this node holds it or not. */
   Version committedVersion() {
     return committedVersion;
   }
@@ -55,7 +55,7 @@
     return promised;
   }
 
-  /** This process's slot, or {@link Member#NO_SLOT} while no settled roster names it. */
+  /** The slot of this process, or {@link Member#NO_SLOT} while no settled roster contains it. */
   int slot() {
     return slot;
   }
@@ -69,15 +69,15 @@
     return context.process().withSlot(slot);
   }
 
-  /** Whether a delta was refused and only a whole state helps. */
+  /** Whether a delta was rejected, so that only a full state can bring this node up to date. */
   boolean isFullStateNeeded() {
     return isFullStateNeeded;
   }
 
   /**
-   * Promises to accept nothing below the epoch.
+   * Promises not to accept anything below the epoch.
    *
-   * @return whether the promise was given; an epoch is promised to one candidate only
+   * @return whether the promise was given; an epoch is promised to only one candidate
    */
   boolean promise(long epoch, Member candidate) {
     if (epoch == promised) {
@@ -93,7 +93,7 @@
     return true;
   }
 
-  /** Learns that an epoch has a leader. */
+  /** Records that an epoch has a leader. */
   void observeEpoch(long epoch) {
     if (epoch > promised) {
       promised = epoch;
@@ -101,12 +101,14 @@
     }
   }
 
-  /** Remembers the deltas of a state that a candidate fetched, so that it can pass them on. */
+  /**
+   * Logs the deltas of a state that a candidate fetched, so that they can be sent to other nodes.
+   */
   void logDeltas(List<StateDelta> deltas) {
     deltas.forEach(deltaLog::add);
   }
 
-  /** Accepts a leader's own proposal. */
+  /** Accepts this node's own proposal as leader. */
   void accept(StateDelta delta, FleetState state) {
     deltaLog.add(delta);
     accept(state);
@@ -123,8 +125,9 @@
   }
 
   /**
-   * Takes states from a leader, each delta applying to the one before. Nothing is held unless every
-   * delta applies whole and leads to a state of a promised epoch that names this process.
+   * Accepts states from a leader, where each delta applies to the state before it. Nothing is
+   * accepted unless all deltas apply completely and lead to a state of a promised epoch whose
+   * roster contains this process.
    */
   void receive(List<StateDelta> deltas, Version newCommittedVersion) {
     learnCommitted(newCommittedVersion);
@@ -168,7 +171,7 @@
         || reached.stream().anyMatch(each -> findSlot(committedOrSettled(each)) != Member.NO_SLOT);
   }
 
-  /** The roster of a state that is settled or known to be committed; empty otherwise. */
+  /** The roster of a state if it is settled or known to be committed; empty otherwise. */
   private Roster committedOrSettled(FleetState state) {
     boolean known = state.version().equals(committedVersion);
     return known || !state.changesRoster() ? state.roster() : Roster.EMPTY;
@@ -190,7 +193,7 @@
     }
   }
 
-  /** The leader's own commit of what it holds. */
+  /** Marks the held state as committed, as leader. */
   void commitHeld() {
     learnCommitted(held.version());
   }
@@ -210,9 +213,9 @@
   }
 
   /**
-   * What a node that holds the given version needs to hold what this one holds.
+   * The deltas that bring a node from the given version to the held state.
    *
-   * @param from what it holds; {@link Version#NONE} for a whole state
+   * @param from version that the node holds; {@link Version#NONE} to get a full state
    */
   List<StateDelta> catchUpDeltas(Version from) {
     if (from.equals(held.version()) || held.version().equals(Version.NONE)) {
--- a/umberpath-control/src/main/java/io/umberpath/control/Activation.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/Activation.java
@@ -9,8 +9,9 @@
 import java.util.List;
 
 /**
- * Decides what the proxy runs: the newest committed state composed with the newest document. Both
- * versions of the pair only rise; a pair that does not compose is not activated.
+ * Decides which configuration the proxy runs: the newest committed state composed with the newest
+ * platform document. Both versions of the pair only increase, and a pair that does not compose is
+ * not activated.
  */
 final class Activation {
   private final NodeContext context;
@@ -37,13 +38,14 @@
     return active.revision();
   }
 
-  /** Why the newest pair does not compose; empty if it does. */
+  /** The reasons why the newest pair does not compose; empty if it does. */
   List<Violation> violations() {
     return violations;
   }
 
   /**
-   * A member told its revision, which this node holds by now; needed before the first activation.
+   * Records that this node holds the revision that a member has reported, which is required before
+   * the first activation.
    */
   void markRevisionKnown() {
     isRevisionKnown = true;
@@ -54,7 +56,7 @@
   }
 
   /**
-   * Activates the newest pair if it is new and composes.
+   * Activates the newest pair if it has changed and composes.
    *
    * @return whether the active pair changed
    */
--- a/umberpath-control/src/main/java/io/umberpath/control/ChangeBatch.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/ChangeBatch.java
@@ -27,8 +27,8 @@
 import java.util.TreeSet;
 
 /**
- * Gathers changes into one proposal on a committed state. Each change is judged against the state
- * that results from those before it; one that is refused leaves the batch as it was.
+ * Combines changes into one proposal based on a committed state. Each change is validated against
+ * the state that results from the changes before it; a refused change leaves the batch unmodified.
  */
 final class ChangeBatch {
   private final FleetState base;
@@ -44,8 +44,8 @@
    * Starts a batch.
    *
    * @param base the committed state
-   * @param target the version the proposal will have
-   * @param document the newest platform document the leader holds
+   * @param target version of the proposal
+   * @param document newest platform document that the leader holds
    */
   ChangeBatch(FleetState base, Version target, PlatformDocument document) {
     this.base = base;
@@ -59,7 +59,7 @@
   /**
    * Adds a change.
    *
-   * @return its outcome if that is known without a proposal; empty if it depends on the commit
+   * @return its result if that is known without a proposal; empty if it depends on the commit
    */
   Optional<ChangeResult> add(ChangeSet change) {
     String key = StateDeltas.answerKey(change.tenant(), change.requestId());
@@ -99,7 +99,7 @@
     return Optional.empty();
   }
 
-  /** The outcome of a change whose request id the state remembers. */
+  /** The result of a change whose request id is remembered by the state. */
   static Optional<ChangeResult> findPreviousResult(FleetState state, ChangeSet change) {
     String key = StateDeltas.answerKey(change.tenant(), change.requestId());
     return state
@@ -202,7 +202,7 @@
         base.contentHash());
   }
 
-  /** Whether the batch changes nothing. */
+  /** Whether the batch contains no changes. */
   boolean isEmpty() {
     return answered.isEmpty();
   }
@@ -241,7 +241,9 @@
     return answers;
   }
 
-  /** Keys that are forgotten so that no more than the given number are remembered. */
+  /**
+   * Keys of the oldest remembered results to evict so that at most the given number are remembered.
+   */
   List<String> evictedKeys(int remembered) {
     int excess = base.answered().size() + answered.size() - remembered;
     return excess <= 0 ? List.of() : base.answered().keySet().take(excess).toJavaList();
--- a/umberpath-control/src/main/java/io/umberpath/control/ChangeDecider.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/ChangeDecider.java
@@ -14,8 +14,8 @@
 import java.util.Optional;
 
 /**
- * A leader's decisions about operator changes. Nothing is refused before the term has committed its
- * first state: until then a change that a former leader proposed may still turn up.
+ * Decides operator changes at the leader. No change is refused before the term has committed its
+ * first state, because a change proposed by a previous leader may still be committed until then.
  */
 final class ChangeDecider {
   private final NodeContext context;
@@ -47,7 +47,7 @@
     forwardedChanges.clear();
   }
 
-  /** A node passed an operator's change on. */
+  /** Handles an operator change forwarded by another node. */
   void onForward(ForwardChange forward) {
     if (!isLeader || forward.epoch() != epoch) {
       return;
@@ -85,7 +85,7 @@
   }
 
   /**
-   * Queues a change, or answers it at once if it was answered before.
+   * Queues a change, or responds immediately if its result is already known.
    *
    * @return false if the queue of its tier is full
    */
@@ -101,7 +101,7 @@
     return queue.offer(entry, context.now());
   }
 
-  /** Whether a change may be refused in this term. */
+  /** Whether changes may be refused at this point of the term. */
   boolean mayRefuse() {
     return hasCommitted;
   }
@@ -110,17 +110,22 @@
     return new ChangeResult.Refused(RefusalCode.OVERLOADED, List.of());
   }
 
-  /** Takes a change back; returns whether it certainly was not proposed in this term. */
+  /**
+   * Removes a change from the queue; returns whether it certainly was not proposed in this term.
+   */
   boolean cancel(Entry entry) {
     return queue.remove(entry);
   }
 
-  /** When the oldest queued change came; {@link Long#MAX_VALUE} if none waits. */
+  /** When the oldest queued change arrived; {@link Long#MAX_VALUE} if the queue is empty. */
   long queuedSince() {
     return queue.firstQueuedAt();
   }
 
-  /** Takes the next batch of changes; those that cannot run are answered at once. */
+  /**
+   * Takes the next batch of changes from the queue; changes that are refused get their result
+   * immediately.
+   */
   ChangeBatch nextBatch(FleetState committed, Version target, PlatformDocument document) {
     ChangeBatch batch = new ChangeBatch(committed, target, document);
     for (Entry entry : queue.takeBatch(context.now())) {
@@ -136,7 +141,7 @@
     return batch;
   }
 
-  /** The proposal was committed: everything in it was accepted. */
+  /** Reports the changes of the committed proposal as accepted. */
   void onCommitted(FleetState state) {
     hasCommitted = true;
     for (Entry entry : proposed) {
--- a/umberpath-control/src/main/java/io/umberpath/control/ChangeQueue.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/ChangeQueue.java
@@ -13,11 +13,11 @@
 /**
  * A leader's queued changes, one bounded queue per tier.
  *
- * <p>A batch holds at most {@value #BATCH} changes. Of these, up to {@value #BASIC_SHARE} places
- * are kept for BASIC and up to {@value #STANDARD_SHARE} for STANDARD while they wait; all other
- * places go to the highest tier that waits. So the n-th waiting BASIC change is proposed at the
- * latest in the (n / {@value #BASIC_SHARE})-th batch, rounded up, however many PREMIUM changes
- * there are.
+ * <p>A batch holds at most {@value #BATCH} changes. Of these, up to {@value #RESERVED_FOR_BASIC}
+ * places are reserved for queued BASIC changes and up to {@value #RESERVED_FOR_STANDARD} for queued
+ * STANDARD changes; all other places go to the highest tier with queued changes. The n-th queued
+ * BASIC change is therefore proposed no later than in batch n / {@value #RESERVED_FOR_BASIC},
+ * rounded up, regardless of the number of PREMIUM changes.
  */
 final class ChangeQueue {
   static final int MAX_BATCH = 64;
@@ -32,8 +32,9 @@
    * A queued change.
    *
    * @param change the change
-   * @param onProposed called when it becomes part of a proposal, so that it may have run
-   * @param onResult called once with its outcome
+   * @param onProposed called when the change becomes part of a proposal and may therefore take
+   *     effect
+   * @param onResult called once with the result
    */
   record Entry(ChangeSet change, Runnable onProposed, Consumer<ChangeResult> onResult) {}
 
@@ -59,12 +60,12 @@
     return firstQueuedAt == Long.MAX_VALUE;
   }
 
-  /** When the oldest batch began to wait; {@link Long#MAX_VALUE} if none waits. */
+  /** When the oldest queued batch started waiting; {@link Long#MAX_VALUE} if the queue is empty. */
   long firstQueuedAt() {
     return firstQueuedAt;
   }
 
-  /** Removes a change that was not proposed yet; returns whether it was there. */
+  /** Removes a change that was not proposed yet; returns whether it was queued. */
   boolean remove(Entry entry) {
     boolean removed = byTier.get(entry.change().tier()).remove(entry);
     updateFirstQueuedAt(firstQueuedAt);
@@ -95,7 +96,7 @@
     firstQueuedAt = empty ? Long.MAX_VALUE : waitingSince;
   }
 
-  /** Forgets every queued change; none of them was proposed. */
+  /** Removes all queued changes; none of them was proposed. */
   void clear() {
     byTier.values().forEach(ArrayDeque::clear);
     firstQueuedAt = Long.MAX_VALUE;
--- a/umberpath-control/src/main/java/io/umberpath/control/Child.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/Child.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** What a parent knows of one child and its subtree. */
+/** A parent's view of one child and its subtree. */
 final class Child {
   private Member process;
   private Version held;
@@ -35,7 +35,7 @@
     return process;
   }
 
-  /** A repeated attachment of the same process. */
+  /** Handles another attachment of the same process. */
   void reattach(Member member, Version newHeld, long now) {
     process = member;
     held = newHeld;
@@ -46,10 +46,10 @@
   }
 
   /**
-   * Takes a report.
+   * Applies a report.
    *
    * @param slot the child's own slot, or {@link Member#NO_SLOT}
-   * @return whether the state of the subtree changed; a late report changes nothing
+   * @return whether the state of the subtree changed; a late report is ignored
    */
   boolean applyReport(Report report, int slot, long now) {
     boolean otherProcess = report.incarnation() != process.incarnation();
@@ -87,7 +87,8 @@
   }
 
   /**
-   * Whether the last report builds on one that did not arrive, so that a complete one is needed.
+   * Whether the last report is based on one that did not arrive, so that a complete report is
+   * needed.
    */
   boolean needsCompleteReport() {
     return needsCompleteReport;
@@ -115,7 +116,9 @@
     sentAt = now;
   }
 
-  /** The child did not take what was sent; send it again from what it reports. */
+  /**
+   * Resets what was sent to what the child reports, so that deltas it did not apply are sent again.
+   */
   void resetSent() {
     sent = held;
   }
@@ -136,7 +139,7 @@
     return groups;
   }
 
-  /** Newest round the child had heard at its last report. */
+  /** The newest round that the child had received at its last report. */
   Round round() {
     return round;
   }
@@ -152,7 +155,7 @@
         .allMatch(group -> group.active().equals(version) && group.revision() == revision);
   }
 
-  /** Whether the waiting processes changed since the last call. */
+  /** Whether the processes waiting to join changed since the last call. */
   boolean takeJoinsChanged() {
     boolean taken = joinsChanged;
     joinsChanged = false;
--- a/umberpath-control/src/main/java/io/umberpath/control/Children.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/Children.java
@@ -17,7 +17,10 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The parent's side of the relay tree: admits children, delivers to them, takes their reports. */
+/**
+ * Parent side of the relay tree: admits children, delivers states to them and processes their
+ * reports.
+ */
 final class Children {
   private static final int REDIRECT_CANDIDATES = 4;
   private static final int RESEND_HEARTBEATS = 2;
@@ -59,12 +62,12 @@
     return children.containsKey(peer);
   }
 
-  /** Something new must go to every child before the current input is done. */
+  /** Schedules a delivery to every child at the end of the current input. */
   void scheduleDelivery() {
     isDeliveryDue = true;
   }
 
-  /** Whether the processes that wait for a seat may have changed since the last call. */
+  /** Whether the processes waiting for a slot may have changed since the last call. */
   boolean takeJoinsChanged() {
     boolean taken = haveJoinsChanged;
     haveJoinsChanged = false;
@@ -79,11 +82,11 @@
   }
 
   /**
-   * Decides about a node that wants to be a child.
+   * Admits or redirects a node that requests to become a child.
    *
    * @param isLeader whether this node is the leader
    * @param parent this node's own parent
-   * @return whether it is a child now
+   * @return whether it is now a child
    */
   boolean attach(Attach request, boolean isLeader, Optional<PeerAddress> parent) {
     PeerAddress peer = request.member().address();
@@ -111,7 +114,7 @@
     return true;
   }
 
-  /** Sends a child away for one that has a better claim to the place. */
+  /** Redirects a child to free its place for a newcomer with a higher priority. */
   private boolean evictWeakerChild(Member newcomer, boolean isLeader) {
     int newcomerPriority = priority(newcomer, isLeader);
     PeerAddress weakest = null;
@@ -135,7 +138,8 @@
   }
 
   /**
-   * 0 for a process without a seat, 2 for a member whose place in the tree is here, 1 otherwise.
+   * Priority of a process as a child: 0 for a process without a slot, 2 for a member whose place in
+   * the tree is below this node, 1 otherwise.
    */
   private int priority(Member process, boolean isLeader) {
     if (process.slot() == Member.NO_SLOT) {
@@ -174,7 +178,9 @@
         && leaderTracker.deliveredRound().equals(request.round());
   }
 
-  /** Processes that are not members order themselves by place among the seeds, then address. */
+  /**
+   * Processes that are not members are ordered by their position among the seeds, then by address.
+   */
   private boolean ranksBefore(PeerAddress first, PeerAddress second) {
     int firstRank = rank(first);
     int secondRank = rank(second);
@@ -215,9 +221,9 @@
   }
 
   /**
-   * Takes a report.
+   * Handles a report.
    *
-   * @return false if the sender is no child, so that it must look for a parent
+   * @return false if the sender is not a child and must find another parent
    */
   boolean onReport(PeerAddress from, Report report) {
     Child child = children.get(from);
@@ -247,7 +253,7 @@
         .orElse(Member.NO_SLOT);
   }
 
-  /** Forgets a child. */
+  /** Removes a child. */
   void remove(PeerAddress peer) {
     if (children.remove(peer) != null) {
       hasChanged = true;
@@ -256,7 +262,7 @@
     }
   }
 
-  /** Forgets children that were not heard for long. */
+  /** Removes children that have not reported within the stall timeout. */
   void expire() {
     List<PeerAddress> expired = new ArrayList<>();
     children.forEach(
@@ -271,7 +277,9 @@
     }
   }
 
-  /** Sends every child to the peer; a process that is not fed states cannot feed others. */
+  /**
+   * Redirects every child to the peer, because a process that receives no states cannot relay any.
+   */
   void redirectAll(PeerAddress successor) {
     for (PeerAddress child : List.copyOf(children.keySet())) {
       context.send(child, new Redirect(List.of(successor)));
@@ -279,7 +287,7 @@
     }
   }
 
-  /** Delivers to every child if something new is due. */
+  /** Delivers to every child if a delivery is scheduled. */
   void flush() {
     if (!isDeliveryDue) {
       return;
@@ -289,7 +297,7 @@
     children.forEach(this::deliver);
   }
 
-  /** Repeats the newest round, so that children know that their parent lives. */
+  /** Resends the newest round, so that children know that their parent is alive. */
   void keepAlive() {
     if (!children.isEmpty() && context.now() >= nextKeepAlive()) {
       expire();
--- a/umberpath-control/src/main/java/io/umberpath/control/ControlInput.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/ControlInput.java
@@ -6,55 +6,60 @@
 import io.umberpath.model.PlatformDocument;
 import java.util.Set;
 
-/** Everything that can happen to a {@link ControlNode}. */
+/** An input of a {@link ControlNode}. */
 public sealed interface ControlInput {
-  /** Time has passed. */
+  /** Timer tick. */
   record Tick() implements ControlInput {}
 
   /**
-   * A message arrived; it may be late, duplicated or from a former incarnation.
+   * A message arrived; it may be delayed, duplicated or sent by an earlier incarnation.
    *
    * @param from the sender's listening address
    * @param message the message
    */
   record MessageReceived(PeerAddress from, ControlMessage message) implements ControlInput {}
 
-  /** A connection broke or could not be made; only a hint. */
+  /** A connection was lost or could not be established; only a hint. */
   record PeerUnreachable(PeerAddress peer) implements ControlInput {}
 
   /**
-   * An operator's change arrived at this node, already checked field by field.
+   * An operator submitted a change at this node; its fields have been validated individually.
    *
-   * @param ticket names the answer; chosen by the owner, unique per process
+   * @param ticket identifies the answer; chosen by the owner, unique per process
    * @param change the change
    */
   record ChangeSubmitted(long ticket, ChangeSet change) implements ControlInput {}
 
-  /** The owner stops waiting for a ticket, which is answered with its truthful verdict at once. */
+  /**
+   * The owner stops waiting for a ticket, which is immediately answered with what is known of its
+   * result.
+   */
   record ChangeAbandoned(long ticket) implements ControlInput {}
 
-  /** The platform answered a {@link ControlOutput.ReadPlatform}. */
+  /** Response of the platform to a {@link ControlOutput.ReadPlatform}. */
   record DocumentRead(PlatformDocument document) implements ControlInput {}
 
-  /** A read of the platform failed or its answer was refused. */
+  /** A read of the platform failed or its response was rejected. */
   record DocumentReadFailed(String cause) implements ControlInput {}
 
-  /** The back end beside this node changed; null-free, see {@link ObservedBackend}. */
+  /**
+   * The state of this node's local backend changed; contains no nulls, see {@link ObservedBackend}.
+   */
   record BackendObserved(ObservedBackend backend) implements ControlInput {}
 
   /**
-   * An operator decides to re-form the fleet from this node's reachable survivors although members
-   * are silent.
+   * An operator requests to re-form the fleet from the survivors reachable from this node although
+   * other members are silent.
    *
-   * @param ticket names the answer
-   * @param acceptedLoss addresses the operator accepts as lost, {@code host:port}
+   * @param ticket identifies the answer
+   * @param acceptedLoss addresses that the operator accepts as lost, {@code host:port}
    */
   record ReformRequested(long ticket, Set<PeerAddress> acceptedLoss) implements ControlInput {}
 
   /**
-   * An operator asks for the leader's per-member view, possibly through a follower.
+   * An operator requests the leader's per-member view, possibly through a follower.
    *
-   * @param ticket names the answer
+   * @param ticket identifies the answer
    */
   record FleetViewRequested(long ticket) implements ControlInput {}
 }
--- a/umberpath-control/src/main/java/io/umberpath/control/ControlMessage.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/ControlMessage.java
@@ -15,8 +15,8 @@
 import java.util.List;
 
 /**
- * A message between the control sides of two nodes. Every message may be lost, late, duplicated or
- * come from a former incarnation; none assumes that an earlier one arrived.
+ * A message between the control nodes of two processes. Any message may be lost, delayed,
+ * duplicated or sent by an earlier incarnation; none relies on an earlier one having arrived.
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "k")
 @JsonSubTypes({
@@ -40,16 +40,17 @@
 })
 public sealed interface ControlMessage {
   /**
-   * Asks to become a child of the receiver.
+   * Requests to become a child of the receiver.
    *
-   * @param member the sender, its slot if it has one
-   * @param held newest state it holds
+   * @param member the sender, with its slot if it has one
+   * @param held version of the newest state it holds
    * @param revision platform revision it holds
    * @param epoch highest epoch it promised
-   * @param round newest heartbeat round it heard
-   * @param equalSuffices whether a parent that is as well informed will do; otherwise it must have
-   *     heard a newer round
-   * @param missedMillis how long it has been without observed state from a parent; -1 for ever
+   * @param round newest heartbeat round it received
+   * @param equalSuffices whether a parent with the same round suffices; otherwise it must have
+   *     received a newer round
+   * @param missedMillis how long it has not received observed state from a parent; -1 if it never
+   *     has
    */
   record Attach(
       @JsonProperty("m") Member member,
@@ -63,16 +64,16 @@
 
   /**
    * The receiver is now a child of the sender and must send a complete report. Also sent to a child
-   * whose last report builds on one that did not arrive.
+   * whose last report is based on one that did not arrive.
    *
-   * @param delivery what the child lacks
+   * @param delivery the states that the child lacks
    */
   record AttachAccepted(@JsonProperty("d") Deliver delivery) implements ControlMessage {}
 
   /**
-   * The sender takes no child now.
+   * The sender does not accept the receiver as a child.
    *
-   * @param candidates others to ask; empty if the sender knows none that could help
+   * @param candidates other nodes to try; empty if the sender knows none
    */
   record Redirect(@JsonProperty("c") List<PeerAddress> candidates) implements ControlMessage {
     /** Copies the list. */
@@ -81,17 +82,17 @@
     }
   }
 
-  /** The sender is not, or no longer, a child of the receiver. */
+  /** The sender is not, or is no longer, a child of the receiver. */
   record Detach() implements ControlMessage {}
 
   /**
-   * A heartbeat round, ordered by epoch and then number.
+   * A heartbeat round, ordered by epoch, then by number.
    *
    * @param epoch epoch of the leader
-   * @param number rises with each heartbeat of that leader
+   * @param number increases with each heartbeat of that leader
    */
   record Round(@JsonProperty("e") long epoch, @JsonProperty("n") long number) {
-    /** Before any round. */
+    /** The value before the first round. */
     public static final Round NONE = new Round(0, 0);
 
     /** Whether this round is strictly newer. */
@@ -101,17 +102,17 @@
   }
 
   /**
-   * From parent to child: heartbeat, commit notice and states. Also sent by a new leader to nodes
-   * that are not its children, to announce itself.
+   * From parent to child: heartbeat, commit notification and states. A new leader also sends it to
+   * nodes that are not its children to announce itself.
    *
    * @param round newest heartbeat round
    * @param leader the leader of that round
-   * @param leaderSlot its slot
+   * @param leaderSlot slot of the leader
    * @param committed newest version known to be committed
-   * @param revision platform revision the sender holds, or its bitwise complement while the sender
-   *     knows of a newer one that it lacks
+   * @param revision platform revision that the sender holds, or its bitwise complement while the
+   *     sender knows of a newer one that it lacks
    * @param deltas states the receiver lacks, each applying to the one before
-   * @param readers slots that may read the platform while their leader is heard
+   * @param readers slots that may read the platform while they receive this leader's heartbeats
    */
   @JsonInclude(JsonInclude.Include.NON_EMPTY)
   record Deliver(
@@ -131,17 +132,20 @@
   }
 
   /**
-   * From child to parent: everything known of the child's subtree; replaces its former report. A
-   * parent that lacks the report a new one builds on answers {@link AttachAccepted}.
+   * From child to parent: everything known about the child's subtree; replaces its previous report.
+   * A parent that lacks the report on which a new one is based responds with {@link
+   * AttachAccepted}.
    *
    * @param incarnation incarnation of the sender
-   * @param number rises with each report of the sender
+   * @param number increases with each report of the sender
    * @param epoch highest epoch promised in the subtree
-   * @param round newest heartbeat round the sender heard
-   * @param groups members by what they hold and run; see {@link ReportGroup} for what is left out
-   * @param joins processes that wait to become members
-   * @param joinsKept whether {@code joins} is left out because it is as in the former report
-   * @param wholeStateWanted whether the sender refused a delta and wants the whole state
+   * @param round newest heartbeat round the sender received
+   * @param groups members grouped by the versions they hold and run; see {@link ReportGroup} for
+   *     what is omitted
+   * @param joins processes waiting to become members
+   * @param joinsKept whether {@code joins} is omitted because it is unchanged since the previous
+   *     report
+   * @param wholeStateWanted whether the sender rejected a delta and needs the full state
    */
   @JsonInclude(JsonInclude.Include.NON_EMPTY)
   record Report(
@@ -162,13 +166,13 @@
   }
 
   /**
-   * Members that hold and run the same.
+   * Members that hold and run the same versions.
    *
-   * @param held newest state they hold
+   * @param held version of the newest state they hold
    * @param active agreed version they run
    * @param revision platform revision they run
    * @param slots the members; empty, in at most one group, for all slots of the sender's report
-   *     with the number before that no other group names
+   *     with the preceding number that no other group contains
    */
   record ReportGroup(
       @JsonProperty("h") Version held,
@@ -177,12 +181,12 @@
       @JsonProperty("s") SlotSet slots) {}
 
   /**
-   * A candidate asks the receiver and its subtree for votes.
+   * A candidate requests votes from the receiver and its subtree.
    *
-   * @param binding whether a vote is a promise; otherwise only a statement of intent
-   * @param epoch the epoch the candidate wants to lead
+   * @param binding whether a vote is a promise; otherwise it is a pre-vote
+   * @param epoch epoch that the candidate wants to lead
    * @param candidate the candidate
-   * @param attempt tells apart successive requests for one epoch
+   * @param attempt distinguishes successive requests for one epoch
    */
   record VoteRequest(
       @JsonProperty("b") boolean binding,
@@ -192,7 +196,7 @@
       implements ControlMessage {}
 
   /**
-   * Votes of a subtree; replaces the sender's former answer to the same request.
+   * Votes of a subtree; replaces the sender's previous answer to the same request.
    *
    * @param binding as in the request
    * @param epoch as in the request
@@ -201,8 +205,8 @@
    * @param promised highest epoch promised in the subtree; above {@code epoch} for a refusal
    * @param revision highest platform revision held in the subtree
    * @param committed newest version known to be committed in the subtree
-   * @param groups members that granted, by the state they hold
-   * @param fresh processes without a seat that granted
+   * @param groups members that granted their vote, by the state they hold
+   * @param fresh processes without a slot that granted their vote
    */
   @JsonInclude(JsonInclude.Include.NON_EMPTY)
   record VoteAnswer(
@@ -227,7 +231,7 @@
    * Members that hold the same state.
    *
    * @param held the state's version
-   * @param holder one that can be asked for it
+   * @param holder a node from which the state can be fetched
    * @param slots the members
    */
   record HeldGroup(
@@ -236,11 +240,11 @@
       @JsonProperty("s") SlotSet slots) {}
 
   /**
-   * A candidate asks a holder for the state it promised with.
+   * A candidate requests the state that a holder reported with its vote.
    *
    * @param epoch the candidate's epoch
-   * @param wanted the version
-   * @param held what the candidate holds
+   * @param wanted the requested version
+   * @param held version that the candidate holds
    */
   record FetchState(
       @JsonProperty("e") long epoch,
@@ -249,10 +253,10 @@
       implements ControlMessage {}
 
   /**
-   * Answers {@link FetchState}.
+   * Response to {@link FetchState}.
    *
-   * @param epoch as asked
-   * @param deltas lead to the holder's state
+   * @param epoch epoch of the request
+   * @param deltas deltas that lead to the holder's state
    */
   record FetchedState(@JsonProperty("e") long epoch, @JsonProperty("d") List<StateDelta> deltas)
       implements ControlMessage {
@@ -263,12 +267,13 @@
   }
 
   /**
-   * An operator's change on its way to the leader.
+   * An operator's change forwarded to the leader.
    *
-   * @param epoch epoch of the leader it is meant for; any other leader ignores it
-   * @param origin the node that answers the operator
-   * @param number the origin's number for the change, the same in repeats
-   * @param lowestOpen lowest number the origin still waits for; lower ones are never run
+   * @param epoch epoch of the leader it is addressed to; any other leader ignores it
+   * @param origin the node that responds to the operator
+   * @param number number that the origin assigned to the change, the same in retries
+   * @param lowestOpen lowest number that the origin still waits for; changes with lower numbers are
+   *     never applied
    * @param change the change
    */
   record ForwardChange(
@@ -280,12 +285,12 @@
       implements ControlMessage {}
 
   /**
-   * The leader's answer to {@link ForwardChange}.
+   * The leader's response to {@link ForwardChange}.
    *
    * @param epoch the leader's epoch
    * @param incarnation incarnation of the origin
    * @param number as in the request
-   * @param result the outcome
+   * @param result the result of the change
    */
   record ChangeOutcome(
       @JsonProperty("e") long epoch,
@@ -295,29 +300,29 @@
       implements ControlMessage {}
 
   /**
-   * A newer revision of the platform's document, whole or as a difference.
+   * A newer revision of the platform document, complete or as a delta.
    *
-   * @param change the difference, or the whole document as a difference from nothing
+   * @param change the delta, or the complete document as a delta from the empty one
    */
   record DocumentUpdate(@JsonProperty("c") DocumentDelta change) implements ControlMessage {}
 
   /**
-   * Asks a neighbour for its document.
+   * Requests the document from a neighbour.
    *
-   * @param revision what the sender holds; 0 asks for the whole document
+   * @param revision revision that the sender holds; 0 requests the complete document
    */
   record DocumentRequest(@JsonProperty("v") long revision) implements ControlMessage {}
 
   /**
-   * The difference between two revisions of the platform's document.
+   * The delta between two revisions of the platform document.
    *
-   * @param base revision it applies to; 0 for a whole document
+   * @param base revision it applies to; 0 for a complete document
    * @param baseHash hash of the base's content
    * @param revision revision it leads to
    * @param hash hash of the content it leads to
-   * @param removedServices services that are gone
+   * @param removedServices services that were removed
    * @param services services that changed
-   * @param removedMachines machines that are gone
+   * @param removedMachines machines that were removed
    * @param machines machines that are new or changed
    */
   @JsonInclude(JsonInclude.Include.NON_EMPTY)
@@ -340,18 +345,18 @@
   }
 
   /**
-   * Changed back ends of one service.
+   * Changed backends of one service.
    *
    * @param name the service
-   * @param removed ids of back ends that are gone
-   * @param changed back ends that are new or changed
+   * @param removed ids of backends that were removed
+   * @param changed backends that are new or changed
    */
   record ServiceChange(
       @JsonProperty("n") String name,
       @JsonProperty("x") List<String> removed,
       @JsonProperty("c") List<PlatformDocument.BackendAddress> changed) {}
 
-  /** Newer statements about back ends. */
+  /** Newer observations of backends. */
   record ObservedUpdate(@JsonProperty("b") List<ObservedBackend> backends)
       implements ControlMessage {
     /** Copies the list. */
@@ -360,10 +365,10 @@
     }
   }
 
-  /** Asks the leader for its per-member view. */
+  /** Requests the leader's per-member view. */
   record FleetViewRequest(@JsonProperty("t") long ticket) implements ControlMessage {}
 
-  /** Answers {@link FleetViewRequest}. */
+  /** Response to {@link FleetViewRequest}. */
   record FleetViewAnswer(
       @JsonProperty("t") long ticket, @JsonProperty("n") List<ControlStatus.NodeView> nodes)
       implements ControlMessage {
--- a/umberpath-control/src/main/java/io/umberpath/control/ControlNodes.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/ControlNodes.java
@@ -6,13 +6,14 @@
 public final class ControlNodes {
   private ControlNodes() {}
 
-  /** A node for a process of its own. */
+  /** Creates the only node of a process. */
   public static ControlNode create(ControlSettings settings) {
     return create(settings, new SharedStates());
   }
 
   /**
-   * A node that shares immutable states with others in the same process, for emulated fleets.
+   * Creates a node that shares immutable states with others in the same process, for emulated
+   * fleets.
    *
    * @param settings the node's settings
    * @param shared one instance for all nodes that share
@@ -21,7 +22,7 @@
     return new FleetNode(new NodeContext(settings, shared, Optional.empty()));
   }
 
-  /** A node with a known-wrong behaviour; only for proving that a checker catches it. */
+  /** Creates a node with a deliberate fault, to prove that a checker detects it. */
   public static ControlNode createWithFault(ControlSettings settings, SeededFault fault) {
     return createWithFault(settings, new SharedStates(), fault);
   }
--- a/umberpath-control/src/main/java/io/umberpath/control/ControlOutput.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/ControlOutput.java
@@ -6,28 +6,31 @@
 import io.umberpath.model.ProxySnapshot;
 import java.util.List;
 
-/** Everything a {@link ControlNode} asks of its owner. */
+/** An action that a {@link ControlNode} requests from its owner. */
 public sealed interface ControlOutput {
-  /** Send a message; best effort, may be lost. Order per peer is kept while a connection lasts. */
+  /**
+   * Send a message, best effort: it may be lost. The order per peer is preserved while a connection
+   * lasts.
+   */
   record Send(PeerAddress to, ControlMessage message) implements ControlOutput {}
 
-  /** Connections to this peer are no longer needed by the control side. */
+  /** The control node no longer needs connections to this peer. */
   record Disconnect(PeerAddress peer) implements ControlOutput {}
 
-  /** Switch the proxy to this snapshot with one reference swap. */
+  /** Switch the proxy to this snapshot atomically, with one reference swap. */
   record Activate(ProxySnapshot snapshot) implements ControlOutput {}
 
-  /** Answer an operator's change. */
+  /** Respond to an operator's change. */
   record ChangeAnswered(long ticket, ChangeResult result) implements ControlOutput {}
 
-  /** Read the platform's document now and feed the result back. */
+  /** Read the platform document now and pass the result back as an input. */
   record ReadPlatform() implements ControlOutput {}
 
-  /** Statements about back ends changed; the owner routes by them. */
+  /** Observations of backends changed; the owner routes by them. */
   record ObservedUpdated(List<ObservedBackend> backends) implements ControlOutput {}
 
   /**
-   * Something an operator should know.
+   * An event of interest to an operator.
    *
    * @param event stable event name, for example {@code leader-elected}
    * @param detail human-readable, free of secrets
@@ -35,9 +38,9 @@
   record Notice(String event, String detail) implements ControlOutput {}
 
   /**
-   * The leader's per-member view; empty when no leader answered.
+   * The leader's per-member view; empty if no leader responded.
    *
-   * @param ticket the request it answers
+   * @param ticket ticket of the request
    * @param nodes one entry per roster member
    */
   record FleetViewAnswered(long ticket, List<ControlStatus.NodeView> nodes)
--- a/umberpath-control/src/main/java/io/umberpath/control/ControlSettings.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/ControlSettings.java
@@ -8,20 +8,23 @@
  * Settings of one control node.
  *
  * @param self this process; its slot is {@link Member#NO_SLOT}
- * @param seeds addresses to try when nothing else is known
- * @param initialMembers how many distinct nodes must be seen before a new fleet forms; all expected
- * @param quorum which sets of members may decide
- * @param batchWindowMillis how long a leader gathers changes before it proposes; 0 proposes at once
+ * @param seeds addresses to contact when no other node is known
+ * @param initialMembers number of distinct nodes that must be seen before a new fleet forms: all
+ *     expected nodes
+ * @param quorum rule that defines a quorum
+ * @param batchWindowMillis how long a leader batches changes before it proposes them; 0 proposes
+ *     immediately
  * @param heartbeatMillis interval of the leader's heartbeats
- * @param parentStallMillis silence after which a child changes its parent
- * @param electionMillis silence after which a node first asks for votes; the actual value is spread
- *     between one and two times this
- * @param fanout children a relay prefers to have
- * @param maxChildren children a relay accepts before it redirects
- * @param maxReaders nodes that may read the platform at one time, fleet-wide
+ * @param parentStallMillis silence after which a child looks for another parent
+ * @param electionMillis silence after which a node starts requesting votes; the actual value is
+ *     randomized between one and two times this value
+ * @param fanout preferred number of children of a relay
+ * @param maxChildren number of children that a relay accepts before it redirects others
+ * @param maxReaders maximum number of nodes in the fleet that read the platform at the same time
  * @param readMillis interval at which a reader reads the platform
- * @param maxQueuedChanges operator changes a leader queues per tier before it refuses
- * @param rememberedChanges answered operator changes the register remembers
+ * @param maxQueuedChanges number of operator changes that a leader queues per tier before it
+ *     refuses more
+ * @param rememberedChanges number of completed operator changes that the register remembers
  */
 public record ControlSettings(
     Member self,
@@ -38,7 +41,7 @@
     long readMillis,
     int maxQueuedChanges,
     int rememberedChanges) {
-  /** Which rule decides what a quorum is. */
+  /** Rule that defines a quorum. */
   public enum QuorumRule {
     /** More than half of the members. */
     MAJORITY,
--- a/umberpath-control/src/main/java/io/umberpath/control/ControlStatus.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/ControlStatus.java
@@ -9,22 +9,22 @@
 import java.util.Optional;
 
 /**
- * What one control node believes.
+ * State of one control node, as known to it.
  *
  * @param self this process, with its slot once it is a member
- * @param role its part now
+ * @param role its current role
  * @param epoch highest epoch it promised
- * @param leader the leader it last heard of
- * @param parent where it gets its deliveries from
- * @param children how many nodes get theirs from it
+ * @param leader the last known leader
+ * @param parent the node from which it receives deliveries
+ * @param children number of nodes that receive deliveries from it
  * @param committed the newest state known to be committed
  * @param heldVersion the newest state it holds, committed or not
  * @param activeVersion agreed version of the snapshot in force
  * @param activeRevision platform revision of the snapshot in force
  * @param document newest platform document it holds
- * @param reader whether it reads the platform now
- * @param compositionViolations why the newest pair does not compose, if so
- * @param nodes per-member view; complete at the leader, empty elsewhere
+ * @param reader whether it currently reads the platform
+ * @param compositionViolations reasons why the newest pair does not compose; empty if it does
+ * @param nodes per-member view; complete at the leader, empty on other nodes
  */
 public record ControlStatus(
     Member self,
@@ -41,23 +41,23 @@
     boolean reader,
     List<Violation> compositionViolations,
     List<NodeView> nodes) {
-  /** Part a node plays in agreement. */
+  /** Role of a node in the agreement protocol. */
   public enum Role {
-    /** Not a member yet, or restarted and not readmitted: no vote, no calls. */
+    /** Not a member yet, or restarted and not readmitted: neither votes nor starts elections. */
     JOINING,
-    /** Accepts and relays. */
+    /** Accepts states and relays them. */
     FOLLOWER,
-    /** Asks for votes. */
+    /** Requests votes. */
     CANDIDATE,
-    /** Orders changes. */
+    /** Orders and commits changes. */
     LEADER
   }
 
   /**
-   * A member as the leader last heard of it.
+   * A member as last reported to the leader.
    *
    * @param member the member
-   * @param reachable whether it was heard within the stall time
+   * @param reachable whether it reported within the stall timeout
    * @param held version it holds
    * @param active version in force in it
    * @param revision platform revision in force in it
--- a/umberpath-control/src/main/java/io/umberpath/control/DeltaLog.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/DeltaLog.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The newest deltas a node accepted, by the version they apply to. Bounded. */
+/** Bounded log of the newest deltas that a node accepted, by the version they apply to. */
 final class DeltaLog {
   private static final int CAPACITY = 64;
 
@@ -22,7 +22,7 @@
         }
       };
 
-  /** Remembers a delta; whole states are not remembered. */
+  /** Adds a delta; full states are not logged. */
   void add(StateDelta delta) {
     if (!delta.isWholeState()) {
       byBase.remove(delta.base());
@@ -30,7 +30,7 @@
     }
   }
 
-  /** The deltas that lead from one version to the other; empty optional if some are missing. */
+  /** The deltas that lead from one version to the other; empty if some are missing. */
   Optional<List<StateDelta>> chain(Version from, Version to) {
     List<StateDelta> found = new ArrayList<>();
     Version current = from;
--- a/umberpath-control/src/main/java/io/umberpath/control/DocumentDeltas.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/DocumentDeltas.java
@@ -18,11 +18,11 @@
 import java.util.Objects;
 import java.util.TreeMap;
 
-/** Builds and applies differences between revisions of the platform's document. */
+/** Computes and applies deltas between revisions of the platform document. */
 final class DocumentDeltas {
   private DocumentDeltas() {}
 
-  /** The difference that leads from one document to the other. */
+  /** Computes the delta that leads from one document to the other. */
   static DocumentDelta between(PlatformDocument base, PlatformDocument target) {
     List<String> removed = new ArrayList<>(base.services().keySet());
     removed.removeAll(target.services().keySet());
@@ -67,7 +67,10 @@
     return new ServiceChange(name, List.copyOf(old.keySet()), changed);
   }
 
-  /** The document a difference leads to, or why it does not apply; nothing is applied in part. */
+  /**
+   * Applies a delta completely; returns the resulting document, or the reason why the delta does
+   * not apply.
+   */
   static Either<Violation, PlatformDocument> apply(DocumentDelta delta, PlatformDocument base) {
     if (delta.base() != base.revision() || (delta.base() != 0 && delta.baseHash() != hash(base))) {
       return Either.left(
@@ -96,7 +99,7 @@
                 "document.hash", Long.toHexString(hash), "hash mismatch at " + delta.revision()));
   }
 
-  /** Hash over the content, independent of the order of back ends and machines. */
+  /** Hash of the content, independent of the order of backends and machines. */
   static long hash(PlatformDocument document) {
     long sum = document.revision();
     for (Map.Entry<String, List<BackendAddress>> entry : document.services().entrySet()) {
--- a/umberpath-control/src/main/java/io/umberpath/control/DocumentDistributor.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/DocumentDistributor.java
@@ -14,10 +14,10 @@
 import java.util.Optional;
 
 /**
- * Holds the newest platform document and spreads it along the tree both ways, as differences where
- * the neighbour holds a recent revision. Revisions are packed positions (see {@link
- * StorePosition}), so that those of a newer era of the platform come after all others. One at or
- * below the held one changes nothing.
+ * Holds the newest platform document and distributes it along the relay tree in both directions, as
+ * deltas if the neighbour holds a recent revision. Revisions are packed positions (see {@link
+ * StorePosition}), so revisions of a newer era of the platform sort after all others. A revision
+ * that is not newer than the held one is ignored.
  */
 final class DocumentDistributor {
   private static final int RECENT_DOCUMENTS = 8;
@@ -44,27 +44,27 @@
     return current.revision();
   }
 
-  /** Learns that a process holds, or held, this revision. */
+  /** Records that a process holds, or held, this revision. */
   void recordKnownRevision(long revision) {
     knownRevision = Math.max(knownRevision, revision);
   }
 
-  /** Whether no newer revision than the held one is known to exist. */
+  /** Whether no revision newer than the held one is known to exist. */
   boolean isNewestKnown() {
     return current.revision() >= knownRevision;
   }
 
-  /** The held revision as children are told it: complemented while a newer one is known. */
+  /** The held revision as stated to children: the bitwise complement while a newer one is known. */
   long statedRevision() {
     return isNewestKnown() ? current.revision() : ~current.revision();
   }
 
-  /** Whether a stated revision is the newest its sender knew. */
+  /** Whether a stated revision was the newest that its sender knew. */
   static boolean isNewest(long stated) {
     return stated >= 0;
   }
 
-  /** The platform answered a read. */
+  /** Handles a document read from the platform. */
   void onRead(PlatformDocument document) {
     if (document.revision() < current.revision()) {
       if (document.revision() != lastOlderRevision) {
@@ -95,7 +95,7 @@
     isDistributionDue = true;
   }
 
-  /** A neighbour sent a newer document, or a difference. */
+  /** Handles a newer document or delta from a neighbour. */
   void onUpdate(PeerAddress from, DocumentDelta delta) {
     if (delta.revision() <= current.revision()) {
       return;
@@ -120,7 +120,7 @@
     }
   }
 
-  /** A neighbour asks for what it lacks. */
+  /** Handles a neighbour's request for a newer document. */
   void onRequest(PeerAddress from, DocumentRequest request) {
     if (request.revision() < current.revision()) {
       sendTo(from, request.revision());
@@ -137,7 +137,7 @@
     context.send(peer, new DocumentUpdate(context.shared().difference(base, current)));
   }
 
-  /** The parent told its revision, see {@link #stated()}. */
+  /** Handles the revision stated by the parent, see {@link #statedRevision()}. */
   void onParentRevision(PeerAddress parent, long stated) {
     long revision = isNewest(stated) ? stated : ~stated;
     recordKnownRevision(revision);
@@ -149,21 +149,24 @@
     }
   }
 
-  /** A voter told the highest revision of its subtree. */
+  /** Handles the highest revision held in a voter's subtree. */
   void onVoterRevision(PeerAddress voter, long revision) {
     if (revision > current.revision()) {
       request(voter, current.revision());
     }
   }
 
-  /** A new child told its revision. */
+  /** Handles the revision held by a new child. */
   void onChildRevision(PeerAddress child, long revision) {
     if (revision < current.revision()) {
       sendTo(child, revision);
     }
   }
 
-  /** Sends a newly held document to every neighbour but the one it came from. */
+  /**
+   * Sends a newly held document to every neighbour except the one it came from; returns whether
+   * there was one.
+   */
   boolean flush(Optional<PeerAddress> parent, Collection<PeerAddress> children) {
     if (!isDistributionDue) {
       return false;
--- a/umberpath-control/src/main/java/io/umberpath/control/Election.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/Election.java
@@ -16,8 +16,8 @@
 import java.util.Set;
 
 /**
- * The candidate's part: notices that no leader is heard, asks for statements of intent (pre-votes),
- * then for promises, fetches the newest state found, and says when this node may lead.
+ * Candidate role: detects that there is no leader, requests pre-votes and then binding votes,
+ * fetches the newest state found, and decides whether this node may lead.
  */
 final class Election {
   private static final int INITIAL_MEMBERS_PER_ZONE = 2;
@@ -26,7 +26,7 @@
   private static final int MAX_BACKOFF_SHIFT = 4;
   private static final int PREFERRED_CANDIDATES = 2;
 
-  /** What this node may do with the votes it has. */
+  /** The result of a successful election. */
   record Victory(long epoch, FleetState state, VoteTally tally, VoteOutcome outcome) {}
 
   private enum Phase {
@@ -77,7 +77,7 @@
     return phase != Phase.IDLE;
   }
 
-  /** A newer round was heard, or this node leads: no election is wanted. */
+  /** Stops any candidacy because a newer round was received or this node leads. */
   void stop() {
     phase = Phase.IDLE;
     membersPerZone = INITIAL_MEMBERS_PER_ZONE;
@@ -86,7 +86,7 @@
     defer();
   }
 
-  /** Another candidate got this node's vote; let it try first. */
+  /** Postpones this node's candidacy, for example because it voted for another candidate. */
   void defer() {
     long interval = context.settings().electionMillis();
     startAt = Math.max(startAt, context.now() + interval + delay(interval));
@@ -102,25 +102,25 @@
     return 2 * quarter + context.jitter(failures, 2 * quarter) + backoff - quarter;
   }
 
-  /** An epoch was seen somewhere; the next candidacy goes above it. */
+  /** Records an epoch used elsewhere; the next candidacy uses a higher one. */
   void observeEpoch(long seenEpoch) {
     highestSeenEpoch = Math.max(highestSeenEpoch, seenEpoch);
   }
 
-  /** An operator wants the fleet re-formed although these members are silent. */
+  /** Starts an election requested by an operator, who accepts the loss of these members. */
   void reform(Set<PeerAddress> loss) {
     acceptedLoss.addAll(loss);
     startPreVote();
   }
 
-  /** Ends a candidacy; an operator's call ends with it. */
+  /** Ends the candidacy, including one requested by an operator. */
   void abandon() {
     phase = Phase.IDLE;
     acceptedLoss.clear();
     defer();
   }
 
-  /** Starts or continues a candidacy if it is time. */
+  /** Starts or continues a candidacy if it is due. */
   void tick(boolean mayForm) {
     if (startAt < 0) {
       defer();
@@ -137,7 +137,7 @@
     }
   }
 
-  /** A leader that saw a higher epoch stands again at once. */
+  /** Starts a new candidacy at once, for a leader that stepped down because of a higher epoch. */
   void restart() {
     startVote();
   }
@@ -227,7 +227,7 @@
     }
   }
 
-  /** Takes an answer that is meant for this candidate. */
+  /** Handles a vote answer addressed to this candidate. */
   Optional<Victory> onVoteAnswer(VoteAnswer answer) {
     boolean binding = phase == Phase.VOTE;
     boolean isCurrent =
@@ -242,7 +242,7 @@
     return evaluate();
   }
 
-  /** Decides whether the votes suffice; goes on to the next phase if they do. */
+  /** Evaluates the votes and continues with the next phase if they suffice. */
   Optional<Victory> evaluate() {
     if (phase == Phase.IDLE) {
       return Optional.empty();
@@ -276,7 +276,7 @@
         .ifPresent(holder -> context.send(holder, new FetchState(epoch, wanted, held)));
   }
 
-  /** Takes a state that was asked for. */
+  /** Handles a fetched state. */
   Optional<Victory> onFetchedState(FetchedState message) {
     if (phase == Phase.IDLE || message.epoch() != epoch) {
       return Optional.empty();
--- a/umberpath-control/src/main/java/io/umberpath/control/FleetNode.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/FleetNode.java
@@ -29,7 +29,7 @@
 import java.util.Optional;
 import java.util.stream.LongStream;
 
-/** Wires the parts of one control node together; each part has one job. */
+/** Connects the components of one control node, each of which has a single responsibility. */
 final class FleetNode implements ControlNode {
   private static final int MAX_ADVANCES = 4;
 
@@ -272,7 +272,7 @@
     leadership.start(victory);
   }
 
-  /** Lets every part act on what changed; what is sent to one peer is sent once. */
+  /** Lets every component react to the input; each peer gets at most one message of a kind. */
   private void runUpdates() {
     boolean joinsChanged = children.takeJoinsChanged();
     if (joinsChanged) {
--- a/umberpath-control/src/main/java/io/umberpath/control/FleetViewRequests.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/FleetViewRequests.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Answers requests for the leader's per-member view, at the leader and elsewhere. */
+/** Handles requests for the leader's per-member view, at the leader and on other nodes. */
 final class FleetViewRequests {
   private final NodeContext context;
   private final Map<Long, Long> deadlineByTicket = new LinkedHashMap<>();
@@ -23,7 +23,7 @@
     this.context = context;
   }
 
-  /** One entry per roster member, computed when first read. */
+  /** One entry per roster member, computed on first access. */
   static List<NodeView> lazyViews(Roster roster, List<ReportGroup> groups) {
     return new LazyViews(roster, groups);
   }
@@ -56,25 +56,25 @@
     }
   }
 
-  /** Asks the leader. */
+  /** Requests the view from the leader. */
   void request(long ticket, PeerAddress leader) {
     deadlineByTicket.put(ticket, context.now() + context.settings().electionMillis());
     context.send(leader, new FleetViewRequest(ticket));
   }
 
-  /** Answers a local request. */
+  /** Responds to a local request. */
   void respond(long ticket, List<NodeView> nodes) {
     context.emit(new ControlOutput.FleetViewAnswered(ticket, nodes));
   }
 
-  /** The leader answered. */
+  /** Handles the leader's response. */
   void onAnswer(FleetViewAnswer answer) {
     if (deadlineByTicket.remove(answer.ticket()) != null) {
       respond(answer.ticket(), answer.nodes());
     }
   }
 
-  /** Answers requests that no leader answered. */
+  /** Completes requests to which no leader responded in time. */
   void tick() {
     for (Map.Entry<Long, Long> entry : List.copyOf(deadlineByTicket.entrySet())) {
       if (context.now() >= entry.getValue()) {
--- a/umberpath-control/src/main/java/io/umberpath/control/Formation.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/Formation.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * When a process that holds nothing may form a new fleet: it found no parent, sees every expected
- * process, and the seeds before it had time to do so.
+ * Decides when a process without any state may form a new fleet: it has found no parent, sees every
+ * expected process, and the seeds before it have had time to form the fleet.
  */
 final class Formation {
   private static final long ELECTIONS_PER_SEED = 2;
@@ -24,7 +24,7 @@
     this.reports = reports;
   }
 
-  /** Looks again at what this process holds and sees. */
+  /** Re-evaluates the state of this process and the processes it sees. */
   void update(boolean hasParent) {
     boolean isBlank = !acceptor.isMember() && acceptor.held().version().equals(Version.NONE);
     isDue = false;
@@ -47,12 +47,15 @@
     return rank * ELECTIONS_PER_SEED * context.settings().electionMillis();
   }
 
-  /** Whether this process may ask the others to form a fleet now. */
+  /** Whether this process may now request votes for a new fleet. */
   boolean isDue() {
     return isDue;
   }
 
-  /** When that may become so; {@link Long#MAX_VALUE} if it is so or nothing points to it. */
+  /**
+   * When {@link #isDue} may become true; {@link Long#MAX_VALUE} if it already is or formation is
+   * not in prospect.
+   */
   long nextAt() {
     return isDue ? Long.MAX_VALUE : dueAt;
   }
--- a/umberpath-control/src/main/java/io/umberpath/control/ForwardedChanges.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/ForwardedChanges.java
@@ -9,19 +9,19 @@
 import java.util.TreeMap;
 
 /**
- * What a leader decided about forwarded changes in its term, so that a late or duplicated forward
- * never runs a change whose origin already has its answer.
+ * Records a leader's decisions about forwarded changes in its term, so that a delayed or duplicated
+ * forward never applies a change whose origin already has a result.
  */
 final class ForwardedChanges {
   private final Map<PeerAddress, Origin> origins = new HashMap<>();
 
-  /** What to do with a forward. */
+  /** How to handle a forward. */
   enum Arrival {
-    /** Seen for the first time: queue it. */
+    /** Received for the first time: queue it. */
     NEW,
-    /** Queued or proposed already, or closed by its origin: do nothing. */
+    /** Already queued or proposed, or closed by its origin: ignore it. */
     DUPLICATE,
-    /** Decided already: repeat the answer. */
+    /** Already decided: send the result again. */
     DECIDED
   }
 
@@ -35,12 +35,12 @@
     }
   }
 
-  /** Forgets everything; a new term begins, and forwards of former terms are ignored. */
+  /** Removes all records for a new term; forwards of previous terms are ignored. */
   void clear() {
     origins.clear();
   }
 
-  /** Looks a forward up and closes the numbers that its origin has closed. */
+  /** Classifies a forward and closes the numbers that its origin has closed. */
   Arrival onArrival(ForwardChange forward) {
     PeerAddress address = forward.origin().address();
     Origin origin = origins.get(address);
@@ -63,24 +63,24 @@
     return known.isPresent() ? Arrival.DECIDED : Arrival.DUPLICATE;
   }
 
-  /** The change was queued. */
+  /** Records that the change was queued. */
   void markQueued(ForwardChange forward) {
     origin(forward).ifPresent(origin -> origin.open.put(forward.number(), Optional.empty()));
   }
 
-  /** The change was not queued after all. */
+  /** Removes a change that could not be queued. */
   void remove(ForwardChange forward) {
     origin(forward).ifPresent(origin -> origin.open.remove(forward.number()));
   }
 
-  /** The change was decided. */
+  /** Records the result of a change. */
   void markDecided(ForwardChange forward, ChangeResult result) {
     origin(forward)
         .filter(origin -> forward.number() >= origin.lowestOpen)
         .ifPresent(origin -> origin.open.put(forward.number(), Optional.of(result)));
   }
 
-  /** The answer given before. */
+  /** The recorded result. */
   Optional<ChangeResult> result(ForwardChange forward) {
     return origin(forward).flatMap(origin -> origin.open.get(forward.number()));
   }
--- a/umberpath-control/src/main/java/io/umberpath/control/Jitter.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/Jitter.java
@@ -2,14 +2,14 @@
 
 import io.umberpath.model.Member;
 
-/** Deterministic jitter: spreads nodes over an interval without a random source. */
+/** Deterministic jitter: distributes nodes over an interval without a random source. */
 final class Jitter {
   private static final long MULTIPLIER = 0x9E3779B97F4A7C15L;
 
   private Jitter() {}
 
   /**
-   * A number that depends on the process and the attempt.
+   * A pseudo-random number that depends on the process and the attempt.
    *
    * @param bound exclusive upper bound; 0 is returned if it is not positive
    */
--- a/umberpath-control/src/main/java/io/umberpath/control/LeaderTracker.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/LeaderTracker.java
@@ -7,8 +7,9 @@
 import java.util.Optional;
 
 /**
- * What a node knows of the newest heartbeat round. A round that came down the tree shows that the
- * node is fed by the leader; one that a leader announced directly only shows that it exists.
+ * Tracks the newest heartbeat round. A round delivered along the relay tree shows that this node is
+ * connected to the leader; a round that a leader announced directly only shows that the leader
+ * exists.
  */
 final class LeaderTracker {
   private final NodeContext context;
@@ -27,10 +28,10 @@
   }
 
   /**
-   * Takes a round.
+   * Records a round.
    *
    * @param isDelivered whether it came from the parent, or is this leader's own
-   * @return whether it is newer than any heard before
+   * @return whether it is newer than all rounds before
    */
   boolean recordRound(Deliver delivery, boolean isDelivered) {
     if (isDelivered && delivery.round().newerThan(deliveredRound)) {
@@ -56,12 +57,12 @@
     deliveredAt = context.now();
   }
 
-  /** The node learnt that the leader it knew leads no longer. */
+  /** Clears the leader because it no longer leads. */
   void forgetLeader() {
     leader = null;
   }
 
-  /** The newest round heard. */
+  /** The newest round received. */
   Round round() {
     return round;
   }
@@ -70,17 +71,17 @@
     return Optional.ofNullable(leader);
   }
 
-  /** Whether a round was heard within the last milliseconds. */
+  /** Whether a round was received within the last given milliseconds. */
   boolean heardWithin(long millis) {
     return leader != null && context.now() - heardAt < millis;
   }
 
-  /** The newest round that came down the tree. */
+  /** The newest round delivered along the relay tree. */
   Round deliveredRound() {
     return deliveredRound;
   }
 
-  /** The leader of {@link #fedRound}. */
+  /** The leader of {@link #deliveredRound}. */
   Optional<PeerAddress> deliveredLeader() {
     return Optional.ofNullable(deliveredLeader);
   }
@@ -89,29 +90,29 @@
     return deliveredLeaderSlot;
   }
 
-  /** The readers that {@link #fedRound} names. */
+  /** The readers assigned by {@link #deliveredRound}. */
   List<Integer> readers() {
     return readers;
   }
 
-  /** When {@link #fedRound} came; 0 before the first. */
+  /** When {@link #deliveredRound} arrived; 0 before the first. */
   long deliveredAt() {
     return deliveredAt;
   }
 
-  /** Whether a round came down the tree within the last milliseconds. */
+  /** Whether a round was delivered along the relay tree within the last given milliseconds. */
   boolean deliveredWithin(long millis) {
     return deliveredLeader != null && context.now() - deliveredAt < millis;
   }
 
-  /** Whether a round came down the tree within the election time. */
+  /** Whether a round was delivered along the relay tree within the election timeout. */
   boolean isDeliveryCurrent() {
     return deliveredWithin(context.settings().electionMillis());
   }
 
   /**
-   * Whether rounds come at their own pace. Rounds that were held up and arrive in a burst, for
-   * example after this process was paused, tell nothing of the present.
+   * Whether rounds arrive at their regular interval. Rounds that were held up and arrive in a
+   * burst, for example after this process was paused, say nothing about the current state.
    */
   boolean isSteady() {
     return deliveredAt - steadySince >= context.settings().heartbeatMillis() / 2;
--- a/umberpath-control/src/main/java/io/umberpath/control/Leadership.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/Leadership.java
@@ -14,8 +14,8 @@
 import org.roaringbitmap.RoaringBitmap;
 
 /**
- * The leader's part of the register: heartbeats, one proposal at a time, commits by quorum, and the
- * end of the term when the quorum or the epoch is lost.
+ * Leader role of the replicated register: sends heartbeats, makes one proposal at a time, commits
+ * it by quorum, and ends the term when the quorum or the epoch is lost.
  */
 final class Leadership {
   private static final int ANNOUNCEMENTS_PER_ZONE = 3;
@@ -68,12 +68,12 @@
     return epoch;
   }
 
-  /** Slots heard lately, this node included; not to be changed. */
+  /** Slots that reported recently, including this node; must not be modified. */
   RoaringBitmap reachable() {
     return reachable;
   }
 
-  /** Begins a term: proposes the state found again, or re-forms the fleet. */
+  /** Begins a term: proposes the newest state found again, or re-forms the fleet. */
   void start(Election.Victory victory) {
     isLeader = true;
     hasCommitted = false;
@@ -121,7 +121,7 @@
     children.scheduleDelivery();
   }
 
-  /** Ends the term; changes that were not proposed have not run. */
+  /** Ends the term; changes that were not proposed have not taken effect. */
   void stepDown(String cause) {
     isLeader = false;
     leaderTracker.forgetLeader();
@@ -129,7 +129,7 @@
     context.notice("leader-stepped-down", "epoch " + epoch + ": " + cause);
   }
 
-  /** Sends a heartbeat if it is due and checks that a quorum is heard. */
+  /** Expires silent children, collects reports and sends a heartbeat if one is due. */
   void tick() {
     if (isLeader && context.now() >= nextRoundAt) {
       children.expire();
@@ -157,7 +157,10 @@
     announce(own);
   }
 
-  /** Tells the first unreachable members of each zone, and machines without a seat, who leads. */
+  /**
+   * Announces this leader to the first unreachable members of each zone and to machines that have
+   * not joined.
+   */
   private void announce(Deliver own) {
     for (RosterView.Zone zone : context.view(acceptor.held().roster()).zones()) {
       int heard = RoaringBitmap.andCardinality(zone.slots(), reachable);
@@ -185,7 +188,7 @@
     return silent.subList(from, silent.size());
   }
 
-  /** Gathers what the subtrees report. */
+  /** Collects the reports of the subtrees. */
   void collectReports() {
     if (!isLeader) {
       return;
@@ -224,7 +227,7 @@
         && context.quorum().isQuorum(context.view(state.previousRoster()), common);
   }
 
-  /** Why the term must end, or an empty text. */
+  /** The reason why the term must end; empty if it need not. */
   String stepDownCause() {
     long seen = Math.max(reports.epoch(), leaderTracker.round().epoch());
     if (seen > epoch) {
@@ -236,7 +239,7 @@
         : "";
   }
 
-  /** Commits the proposal if a quorum holds it, and makes the next one if it is time. */
+  /** Commits the proposal if a quorum holds it, and makes the next one if it is due. */
   void advance() {
     if (!isLeader) {
       return;
@@ -291,7 +294,7 @@
     propose(Proposals.next(committed, epoch, step, batch, remembered), committed);
   }
 
-  /** Whether this term committed anything yet; before, no change may be refused. */
+  /** Whether this term has committed anything; no change may be refused before that. */
   boolean hasCommitted() {
     return hasCommitted;
   }
--- a/umberpath-control/src/main/java/io/umberpath/control/Membership.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/Membership.java
@@ -15,9 +15,9 @@
 import org.roaringbitmap.RoaringBitmap;
 
 /**
- * A leader's roster changes: new processes join, replaced ones leave, and members leave that were
- * unreachable for long and that the platform no longer lists. Each step is small enough that
- * reachable members of both rosters are a quorum of each.
+ * Roster changes by the leader: new processes join, replaced ones leave, and members are removed
+ * that were unreachable for long and that the platform no longer lists. Each step is small enough
+ * that the reachable members common to both rosters form a quorum of each.
  */
 final class Membership {
   /** How long a member must be unreachable before it may be removed. */
@@ -32,7 +32,7 @@
   private List<PeerAddress> unjoinedMachines = List.of();
   private long nextScanAt;
 
-  /** One step from a roster to the next. */
+  /** A change from one roster to the next. */
   record RosterStep(List<Integer> removedSlots, List<Member> addedMembers) {
     static final RosterStep NONE = new RosterStep(List.of(), List.of());
 
@@ -41,14 +41,14 @@
     }
   }
 
-  /** A swap, an addition or a removal that must happen in one step. */
+  /** A replacement, an addition or a removal that must be part of one step. */
   private record RosterEdit(List<Integer> removed, List<Member> added) {}
 
   Membership(NodeContext context) {
     this.context = context;
   }
 
-  /** A new term: nothing is known of who is reachable. */
+  /** Resets the state for a new term, in which the reachability of members is unknown. */
   void reset() {
     unreachableSince.clear();
     removable = Set.of();
@@ -56,7 +56,7 @@
     nextScanAt = context.now() + SCAN_MILLIS;
   }
 
-  /** Notes which members are unreachable; cheap except once in ten seconds. */
+  /** Updates which members are unreachable; cheap except once every ten seconds. */
   void scan(Roster roster, RoaringBitmap reachable, PlatformDocument document) {
     if (context.now() < nextScanAt) {
       return;
@@ -83,8 +83,9 @@
   }
 
   /**
-   * Some of the machines that the platform listed at the last scan and that had no member; others
-   * in each round. A process whose seeds are all gone learns of the fleet in no other way.
+   * Some of the machines that the platform listed at the last scan and that have no member in the
+   * roster; different ones in each round. A process whose seeds are all gone learns of the fleet in
+   * no other way.
    */
   List<PeerAddress> unjoinedMachines(long round) {
     int size = unjoinedMachines.size();
@@ -96,17 +97,17 @@
     return selected;
   }
 
-  /** Whether a roster change may be wanted. */
+  /** Whether a roster change may be needed. */
   boolean isChangeNeeded(List<Member> joins) {
     return !joins.isEmpty() || !removable.isEmpty();
   }
 
   /**
-   * The next step.
+   * Computes the next roster change.
    *
    * @param state the committed state
-   * @param joins processes that wait for a seat
-   * @param reachable slots that were heard lately
+   * @param joins processes waiting for a slot
+   * @param reachable slots that reported recently
    */
   RosterStep nextStep(FleetState state, List<Member> joins, RoaringBitmap reachable) {
     List<RosterEdit> edits = edits(state.roster(), joins);
@@ -172,8 +173,8 @@
   }
 
   /**
-   * The step of a fleet that re-forms: only members that granted stay, and every process without a
-   * seat that granted joins.
+   * The roster change of a fleet that re-forms: only members that granted their vote stay, and
+   * every process without a slot that granted its vote joins.
    */
   static RosterStep reformed(FleetState state, VoteTally tally) {
     List<Integer> removed = new ArrayList<>();
--- a/umberpath-control/src/main/java/io/umberpath/control/NodeContext.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/NodeContext.java
@@ -7,7 +7,9 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Settings, the time of the current input and its outputs; shared by the parts of one node. */
+/**
+ * Settings, the time of the current input and its outputs; shared by the components of one node.
+ */
 final class NodeContext {
   private final ControlSettings settings;
   private final SharedStates shared;
@@ -80,7 +82,7 @@
     outputs.add(new ControlOutput.Notice(event, detail));
   }
 
-  /** Jitter of this process. */
+  /** Deterministic jitter of this process. */
   long jitter(long attempt, long bound) {
     return Jitter.of(process(), attempt, bound);
   }
--- a/umberpath-control/src/main/java/io/umberpath/control/ObservationDistributor.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/ObservationDistributor.java
@@ -11,9 +11,10 @@
 import java.util.Optional;
 
 /**
- * Spreads statements about back ends along the tree both ways. The last writer wins by incarnation
- * and counter. Changes are gathered for a moment, and a message carries a bounded number of them,
- * so that a storm costs bounded bytes per second; only the newest statement per back end waits.
+ * Distributes observations of backends along the relay tree in both directions. The last writer
+ * wins, by incarnation and counter. Changes are batched briefly and a message carries a bounded
+ * number of them, so that a burst costs bounded bytes per second; only the newest observation of
+ * each backend is queued.
  */
 final class ObservationDistributor {
   private static final long FLUSH_MILLIS = 200;
@@ -30,12 +31,12 @@
     this.context = context;
   }
 
-  /** The back end beside this node changed. */
+  /** Handles a change of this node's local backend. */
   void onLocalChange(ObservedBackend backend) {
     store(backend, context.address());
   }
 
-  /** A neighbour sent statements; returns those that were newer. */
+  /** Handles observations from a neighbour; returns those that were newer. */
   List<ObservedBackend> onUpdate(PeerAddress from, List<ObservedBackend> backends) {
     List<ObservedBackend> newer = new ArrayList<>();
     for (ObservedBackend backend : backends) {
@@ -58,7 +59,7 @@
     return true;
   }
 
-  /** Sends what waits, each statement to every neighbour but the one it came from. */
+  /** Sends the queued observations, each to every neighbour except the one it came from. */
   void flush(Optional<PeerAddress> parent, Collection<PeerAddress> children) {
     if (context.now() < flushAt) {
       return;
@@ -88,9 +89,10 @@
   }
 
   /**
-   * Sends a new neighbour what it missed.
+   * Sends a new neighbour the observations that it missed.
    *
-   * @param missedMillis how long it was without a neighbour; negative for everything
+   * @param missedMillis how long it had no neighbour, milliseconds; negative to send all
+   *     observations
    */
   void sendMissed(PeerAddress peer, long missedMillis) {
     long slack = FLUSH_MILLIS + context.settings().parentStallMillis();
--- a/umberpath-control/src/main/java/io/umberpath/control/ParentLink.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/ParentLink.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The child's side of the relay tree: finds a parent, notices when it stalls, and changes it. */
+/** Child side of the relay tree: finds a parent, detects when it stalls, and replaces it. */
 final class ParentLink {
   private static final int MAX_BACKOFF_SHIFT = 4;
   private static final int MAX_REDIRECTS = 16;
@@ -56,7 +56,7 @@
     return peer.equals(parent) || peer.equals(target);
   }
 
-  /** The node leads now and has no parent. */
+  /** Stops using a parent because this node is now the leader. */
   void disable() {
     isEnabled = false;
     leaveParent();
@@ -64,7 +64,7 @@
     redirects.clear();
   }
 
-  /** The node leads no longer. */
+  /** Starts looking for a parent because this node no longer leads. */
   void enable() {
     if (!isEnabled) {
       isEnabled = true;
@@ -72,17 +72,17 @@
     }
   }
 
-  /** The parent sent something. */
+  /** Records that the parent sent a message. */
   void recordParentMessage() {
     parentHeardAt = context.now();
   }
 
-  /** How long this node was without a parent when it got this one; -1 for ever. */
+  /** How long this node had no parent when it got the current one; -1 if it never had one. */
   long missedMillis() {
     return missedMillis;
   }
 
-  /** The best parent may have changed; look for it soon. */
+  /** Schedules a new search because the preferred parent may have changed. */
   void reconsider() {
     attempt = 0;
     long jitter =
@@ -90,7 +90,10 @@
     nextAttemptAt = Math.min(nextAttemptAt, context.now() + jitter);
   }
 
-  /** A leader or candidate made itself known; it takes this node if nobody better does. */
+  /**
+   * Handles the announcement of a leader or candidate, which becomes the next parent to try if this
+   * node lacks a working one.
+   */
   void onAnnouncement(PeerAddress member) {
     boolean hasNoLeader = !acceptor.isMember() && !leaderTracker.isDeliveryCurrent();
     boolean needsParent =
@@ -108,7 +111,7 @@
     nextAttemptAt = context.now() + context.jitter(0, context.settings().heartbeatMillis() / 4);
   }
 
-  /** A connection broke, or the peer said that this node is not its child. */
+  /** Handles a lost connection, or a peer's message that this node is not its child. */
   void onLost(PeerAddress peer) {
     if (peer.equals(target)) {
       target = null;
@@ -128,7 +131,7 @@
     }
   }
 
-  /** The peer takes no child; it may know others. */
+  /** Handles the peer's refusal to accept this node as a child; it may suggest other nodes. */
   void onRedirect(PeerAddress from, List<PeerAddress> candidates) {
     boolean isExpected = isNeeded(from);
     onLost(from);
@@ -148,9 +151,9 @@
   }
 
   /**
-   * The peer took this node as a child.
+   * Handles the peer's acceptance of this node as a child.
    *
-   * @return whether it is the parent now; otherwise the acceptance came too late
+   * @return whether the peer is now the parent; otherwise the acceptance came too late
    */
   boolean onAccepted(PeerAddress from) {
     if (from.equals(parent)) {
@@ -177,7 +180,7 @@
     return RECONSIDER_MILLIS + context.jitter(attempt, RECONSIDER_MILLIS);
   }
 
-  /** Tries to attach if a better parent is needed. */
+  /** Tries to attach if a new or better parent is needed. */
   void tick() {
     if (!isEnabled) {
       return;
@@ -259,7 +262,7 @@
     return Math.max(1, stallMillis() / 2);
   }
 
-  /** When {@link #tick} has something to do next. */
+  /** When {@link #tick} is due. */
   long nextAt() {
     if (!isEnabled) {
       return Long.MAX_VALUE;
--- a/umberpath-control/src/main/java/io/umberpath/control/ParentSelector.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/ParentSelector.java
@@ -7,8 +7,8 @@
 import java.util.Optional;
 
 /**
- * Which parents a node asks, in order. Within a zone a parent has a smaller slot than its child, so
- * that members that live long relay and no cycle forms.
+ * Selects the parents that a node tries, in order. Within a zone a parent has a smaller slot than
+ * its child, so that long-lived members become relays and no cycle forms.
  */
 final class ParentSelector {
   private static final int ZONE_ATTEMPTS = 3;
@@ -24,7 +24,7 @@
     this.leaderTracker = leaderTracker;
   }
 
-  /** Position of this node among the members of its zone; -1 if it is no member. */
+  /** Index of this node among the members of its zone; -1 if it is not a member. */
   int index() {
     return zone().indexOf(acceptor.slot());
   }
@@ -37,7 +37,9 @@
     return context.view(acceptor.committed().roster());
   }
 
-  /** The parent a member should have while everyone is reachable; empty for other processes. */
+  /**
+   * The parent that a member should have while all nodes are reachable; empty for other processes.
+   */
   Optional<PeerAddress> preferred() {
     int index = index();
     if (index < 0) {
@@ -49,7 +51,7 @@
     return Optional.of(zone().members().get((index - 1) / context.settings().fanout()).address());
   }
 
-  /** The parent to ask at an attempt; empty if there is none to ask. */
+  /** The parent to try at an attempt; empty if there is none. */
   Optional<PeerAddress> candidate(int attempt) {
     int index = index();
     if (index < 0) {
@@ -81,7 +83,7 @@
     return select(heads, attempt);
   }
 
-  /** Seeds, and the members of the last roster this process knew, if any. */
+  /** A seed or a zone head of the last roster that this process knew, if any. */
   private Optional<PeerAddress> fallback(int attempt) {
     List<PeerAddress> known = new ArrayList<>(context.settings().seeds());
     for (Member head : view().zoneHeads()) {
--- a/umberpath-control/src/main/java/io/umberpath/control/PlatformPoller.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/PlatformPoller.java
@@ -1,6 +1,9 @@
 package io.umberpath.control;
 
-/** Whether this node reads the platform, and when; reads back off with jitter when they fail. */
+/**
+ * Decides whether and when this node reads the platform; failed reads are retried with exponential
+ * backoff and jitter.
+ */
 final class PlatformPoller {
   private static final int MAX_BACKOFF_SHIFT = 5;
   private static final long RESPONSE_TIMEOUT_MILLIS = 10_000;
@@ -19,7 +22,7 @@
     this.leaderTracker = leaderTracker;
   }
 
-  /** Whether this node may read now. */
+  /** Whether this node may currently read the platform. */
   boolean isReader() {
     if (!acceptor.isMember()) {
       return false;
@@ -37,7 +40,7 @@
         .anyMatch(member -> member.slot() == acceptor.slot());
   }
 
-  /** Asks for a read if one is due. */
+  /** Requests a read if one is due. */
   void tick() {
     if (context.now() < nextReadAt || !isReader()) {
       return;
@@ -52,7 +55,7 @@
     context.emit(new ControlOutput.ReadPlatform());
   }
 
-  /** A read was answered. */
+  /** Handles a successful read. */
   void onResponse() {
     isReading = false;
     failures = 0;
@@ -60,7 +63,7 @@
     nextReadAt = context.now() + interval + context.jitter(reads, interval / 8);
   }
 
-  /** A read failed. */
+  /** Handles a failed read. */
   void onFailure() {
     isReading = false;
     failures = Math.min(failures + 1, MAX_BACKOFF_SHIFT);
@@ -68,7 +71,7 @@
     nextReadAt = context.now() + interval / 2 + context.jitter(reads + failures, interval / 2 + 1);
   }
 
-  /** When {@link #tick} is due; the owner also calls it when rounds are heard or missed. */
+  /** When {@link #tick} is due; the owner also calls it when rounds arrive or are missed. */
   long nextAt() {
     if (isReader()) {
       return nextReadAt;
--- a/umberpath-control/src/main/java/io/umberpath/control/Proposals.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/Proposals.java
@@ -9,26 +9,27 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Builds the deltas a leader proposes. */
+/** Builds the deltas that a leader proposes. */
 final class Proposals {
   private Proposals() {}
 
   /**
-   * The state found by a new leader, unchanged but for its version.
+   * The state found by a new leader, unchanged except for its version.
    *
-   * @param settled whether its roster is known to be committed, so that the former one is done with
+   * @param settled whether its roster is known to be committed, so that the previous one no longer
+   *     votes
    */
   static StateDelta reproposal(FleetState state, long epoch, boolean settled) {
     RosterBasis basis = settled ? RosterBasis.SETTLED : RosterBasis.KEPT;
     return withHash(draft(state, epoch, RosterStep.NONE, basis, null, 0), state);
   }
 
-  /** A fleet that forms or re-forms: the roster before does not vote. */
+  /** The first state of a fleet that forms or re-forms; the previous roster does not vote. */
   static StateDelta reformation(FleetState state, long epoch, RosterStep step) {
     return withHash(draft(state, epoch, step, RosterBasis.SETTLED, null, 0), state);
   }
 
-  /** The next state after a committed one. */
+  /** The next state after a committed state. */
   static StateDelta next(
       FleetState committed, long epoch, RosterStep step, ChangeBatch batch, int remembered) {
     RosterBasis basis = step.isEmpty() ? RosterBasis.SETTLED : RosterBasis.FROM_BASE;
--- a/umberpath-control/src/main/java/io/umberpath/control/Quorum.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/Quorum.java
@@ -2,17 +2,19 @@
 
 import org.roaringbitmap.RoaringBitmap;
 
-/** Decides which sets of members may decide for a roster. Any two quorums of a roster intersect. */
+/**
+ * Defines which sets of members of a roster form a quorum. Any two quorums of a roster intersect.
+ */
 interface Quorum {
   /**
    * Whether the slots contain a quorum of the roster.
    *
    * @param roster the acceptors; an empty roster has no quorum
-   * @param slots slots that agreed; may name slots outside the roster, which do not count
+   * @param slots slots that agreed; slots outside the roster are ignored
    */
   boolean isQuorum(RosterView roster, RoaringBitmap slots);
 
-  /** The rule a setting names. */
+  /** The rule selected by a setting. */
   static Quorum of(ControlSettings.QuorumRule rule) {
     return switch (rule) {
       case MAJORITY -> new MajorityQuorum();
--- a/umberpath-control/src/main/java/io/umberpath/control/ReaderAssignment.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/ReaderAssignment.java
@@ -9,11 +9,11 @@
 import org.roaringbitmap.RoaringBitmap;
 
 /**
- * Names the nodes that may read the platform. Of the fleet's {@code maxReaders}, half (at least
- * one) read while they hear the leader that names them; the others are stand-ins for parts of the
- * fleet without a leader and follow from the roster alone: the lowest slots of the first zones. A
- * named reader that is lost keeps its place until its permission has certainly ended, so that the
- * cap holds in partitions, too.
+ * Assigns the nodes that may read the platform. Of the fleet's {@code maxReaders}, half (at least
+ * one) are assigned by the leader and read while they receive its heartbeats. The others are
+ * standby readers for partitions without a leader and follow from the roster alone: the lowest
+ * slots of the first zones. An assigned reader that is lost keeps its place until its permission
+ * has certainly expired, so that the limit also holds during partitions.
  */
 final class ReaderAssignment {
   private static final int RELAY_STALL_TIMEOUTS = 2;
@@ -29,17 +29,17 @@
     this.context = context;
   }
 
-  /** How many readers a leader names. */
+  /** Number of readers that a leader assigns. */
   static int activeReaders(int maxReaders) {
     return maxReaders <= 0 ? 0 : Math.max(1, maxReaders / 2);
   }
 
-  /** How long a named reader may read after the last round that named it, milliseconds. */
+  /** How long an assigned reader may read after the last round that contained it, milliseconds. */
   static long permissionMillis(ControlSettings settings) {
     return settings.electionMillis();
   }
 
-  /** The stand-ins of a roster, for parts without a leader. */
+  /** The standby readers of a roster, for partitions without a leader. */
   static List<Member> standbyReaders(RosterView view, int maxReaders) {
     List<Member> heads = view.zoneHeads();
     int count = Math.max(0, maxReaders - activeReaders(maxReaders));
@@ -47,9 +47,10 @@
   }
 
   /**
-   * A term begins. Readers that a former leader named may go on until their permission ends.
+   * Begins a term. Readers assigned by a previous leader may continue until their permission
+   * expires.
    *
-   * @param hasNoReaders whether no former leader can have named any
+   * @param hasNoReaders whether no previous leader can have assigned any
    */
   void beginTerm(boolean hasNoReaders) {
     assignedSince.clear();
@@ -58,8 +59,8 @@
   }
 
   /**
-   * When a reader that another leader names has certainly stopped: relays and that leader notice
-   * that they are cut off, then the permission ends.
+   * Time after which a reader assigned by another leader has certainly stopped: relays and that
+   * leader detect that they are cut off, then the permission expires.
    */
   private long expiryMillis() {
     ControlSettings settings = context.settings();
@@ -96,7 +97,7 @@
     return List.copyOf(assignedSince.keySet());
   }
 
-  /** Names the next reachable member after the last one named, in slot order. */
+  /** Assigns the next reachable member after the last one assigned, in slot order. */
   private void assignNext(Roster roster, RoaringBitmap reachable) {
     Member first = null;
     Member next = null;
--- a/umberpath-control/src/main/java/io/umberpath/control/ReformRequests.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/ReformRequests.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Answers operators' calls to re-form the fleet. */
+/** Handles operators' requests to re-form the fleet. */
 final class ReformRequests {
   private final NodeContext context;
   private final List<Long> tickets = new ArrayList<>();
@@ -20,13 +20,14 @@
     tickets.add(ticket);
   }
 
-  /** A fleet with a leader is not re-formed. */
+  /** Refuses a request because a fleet with a leader is not re-formed. */
   void refuseWithLeader(long ticket) {
-    Violation violation = new Violation("fleet", "led", "a leader is heard; nothing to re-form");
+    Violation violation =
+        new Violation("fleet", "led", "a leader is active, so the fleet is not re-formed");
     respond(ticket, new ChangeResult.Refused(RefusalCode.CONFLICT, List.of(violation)));
   }
 
-  /** Answers the calls once this node leads with a committed state, or gave up. */
+  /** Responds to the requests once this node leads with a committed state, or has given up. */
   void check(Leadership leadership, Election election, Version committed) {
     if (tickets.isEmpty()) {
       return;
--- a/umberpath-control/src/main/java/io/umberpath/control/ReportDifference.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/ReportDifference.java
@@ -7,18 +7,19 @@
 import org.roaringbitmap.RoaringBitmap;
 
 /**
- * Shortens a report against the sender's former one. The slots of its largest group are left out
- * (empty) if they are exactly the slots of the former report that no other group names. While a
- * subtree keeps its members, a report's size thus does not depend on their number.
+ * Shortens a report relative to the sender's previous one. The slots of its largest group are
+ * omitted (empty) if they are exactly the slots of the previous report that no other group
+ * contains. While a subtree keeps its members, the size of a report therefore does not depend on
+ * their number.
  */
 final class ReportDifference {
   private ReportDifference() {}
 
   /**
-   * The groups to send.
+   * Computes the groups to send.
    *
-   * @param former complete groups of the former report
-   * @param groups complete groups of this one
+   * @param former complete groups of the previous report
+   * @param groups complete groups of this report
    */
   static List<ReportGroup> between(List<ReportGroup> former, List<ReportGroup> groups) {
     int largest = largest(groups);
@@ -32,10 +33,10 @@
   }
 
   /**
-   * The complete groups of a report.
+   * Restores the complete groups of a report.
    *
-   * @param former complete groups of the report with the number before; empty if it is not known
-   * @return empty if the report needs a former one that is not known
+   * @param former complete groups of the report with the preceding number; empty if it is unknown
+   * @return empty if the report is based on a previous one that is unknown
    */
   static Optional<List<ReportGroup>> complete(
       Optional<List<ReportGroup>> former, List<ReportGroup> groups) {
--- a/umberpath-control/src/main/java/io/umberpath/control/RosterView.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/RosterView.java
@@ -9,17 +9,17 @@
 import java.util.TreeMap;
 import org.roaringbitmap.RoaringBitmap;
 
-/** A roster arranged by zone, with its slots as bitmaps. Immutable; computed once per roster. */
+/** A roster grouped by zone, with its slots as bitmaps. Immutable; computed once per roster. */
 final class RosterView {
   /**
    * Members of one zone.
    *
    * @param name the zone
    * @param members in slot order
-   * @param slots their slots; not to be changed
+   * @param slots their slots; must not be modified
    */
   record Zone(String name, List<Member> members, RoaringBitmap slots) {
-    /** Position of a slot among the members, or -1. */
+    /** Index of a slot among the members, or -1. */
     int indexOf(int slot) {
       return slots.contains(slot) ? slots.rank(slot) - 1 : -1;
     }
@@ -50,7 +50,7 @@
     zoneHeads.sort(Comparator.comparingInt(Member::slot));
   }
 
-  /** All slots; not to be changed. */
+  /** All slots; must not be modified. */
   RoaringBitmap slots() {
     return slots;
   }
@@ -64,13 +64,13 @@
     return zones;
   }
 
-  /** The zone of that name; empty if no member is in it. */
+  /** The zone of that name; empty if it has no members. */
   Zone zone(String name) {
     Zone zone = byName.get(name);
     return zone == null ? new Zone(name, List.of(), new RoaringBitmap()) : zone;
   }
 
-  /** The lowest-slot member of each zone, lowest slot first; not to be changed. */
+  /** The member with the lowest slot of each zone, in slot order; must not be modified. */
   List<Member> zoneHeads() {
     return zoneHeads;
   }
--- a/umberpath-control/src/main/java/io/umberpath/control/SeededFault.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/SeededFault.java
@@ -1,13 +1,13 @@
 package io.umberpath.control;
 
-/** Known-wrong behaviours, for proving that a checker of invariants catches them. */
+/** Deliberate faults, to prove that a checker of invariants detects them. */
 public enum SeededFault {
-  /** The leader commits with less than a quorum. */
+  /** The leader commits without a quorum. */
   COMMIT_BEFORE_QUORUM,
-  /** A restarted process votes under the slot of its former incarnation. */
+  /** A restarted process votes with the slot of its previous incarnation. */
   SKIP_INCARNATION_RULE,
   /** A node activates a state as soon as it holds it. */
   ACTIVATE_UNCOMMITTED,
-  /** A node activates an older version than it has active. */
+  /** A node activates an older version than its active one. */
   ACCEPT_OLDER_VERSION
 }
--- a/umberpath-control/src/main/java/io/umberpath/control/SharedStates.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/SharedStates.java
@@ -15,7 +15,7 @@
 import java.util.function.Function;
 
 /**
- * Remembers results of pure functions by the identity of their arguments, so that nodes emulated in
+ * Caches results of pure functions by the identity of their arguments, so that nodes emulated in
  * one process share states, rosters and snapshots instead of computing equal ones thousands of
  * times. Thread-safe and bounded.
  */
@@ -30,15 +30,15 @@
   private final Cache<ControlMessage.DocumentDelta, Patched> patched;
   private final Cache<PlatformDocument, Difference> differences;
 
-  /** For one node in a process of its own. */
+  /** Creates a cache for the only node of a process. */
   public SharedStates() {
     this(SINGLE_NODE_CAPACITY);
   }
 
   /**
-   * For emulated nodes that share.
+   * Creates a cache for emulated nodes.
    *
-   * @param capacity results of each kind to remember, at least 1
+   * @param capacity number of results of each kind to cache, at least 1
    */
   public SharedStates(int capacity) {
     applied = cache(capacity);
@@ -77,7 +77,7 @@
 
   private record Patched(PlatformDocument base, Either<Violation, PlatformDocument> result) {}
 
-  /** Applies a delta whole and checks the references of the result. */
+  /** Applies a delta completely and checks the references of the result. */
   Either<Violation, FleetState> apply(StateDelta delta, FleetState base) {
     FleetState effective = delta.isWholeState() ? FleetState.EMPTY : base;
     Applied known = applied.getIfPresent(delta);
@@ -95,12 +95,12 @@
     return violations.isEmpty() ? Either.right(state) : Either.left(violations.get(0));
   }
 
-  /** Remembers what a leader already computed. */
+  /** Caches a result that a leader already computed. */
   void remember(StateDelta delta, FleetState base, FleetState result) {
     applied.put(delta, new Applied(base, Either.right(result)));
   }
 
-  /** The whole state as a delta. */
+  /** The full state as a delta. */
   StateDelta fullState(FleetState state) {
     return computeIfAbsent(
         whole,
@@ -112,7 +112,7 @@
         });
   }
 
-  /** The composed pair, or why it does not compose. */
+  /** The composed pair, or the reasons why it does not compose. */
   Either<List<Violation>, ProxySnapshot> compose(FleetState state, PlatformDocument document) {
     Composed known = composed.getIfPresent(state);
     if (known != null && known.document == document) {
@@ -123,7 +123,7 @@
     return result;
   }
 
-  /** The roster arranged by zone. */
+  /** The roster grouped by zone. */
   RosterView view(Roster roster) {
     return computeIfAbsent(views, roster, RosterView::new);
   }
@@ -133,7 +133,7 @@
     return computeIfAbsent(hashes, document, DocumentDeltas::hash);
   }
 
-  /** The difference that leads from one document to the other. */
+  /** The delta that leads from one document to the other. */
   ControlMessage.DocumentDelta difference(PlatformDocument base, PlatformDocument target) {
     Difference known = differences.getIfPresent(target);
     if (known != null && known.base == base) {
@@ -145,7 +145,7 @@
     return delta;
   }
 
-  /** Applies a document difference and verifies its hash. */
+  /** Applies a document delta and verifies its hash. */
   Either<Violation, PlatformDocument> patch(
       ControlMessage.DocumentDelta delta, PlatformDocument base) {
     PlatformDocument effective = delta.base() == 0 ? PlatformDocument.NONE : base;
--- a/umberpath-control/src/main/java/io/umberpath/control/SlotSet.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/SlotSet.java
@@ -8,7 +8,7 @@
 
 /** An immutable set of roster slots; encodes as a run-compressed bitmap. */
 public final class SlotSet {
-  /** No slots. */
+  /** The empty set. */
   public static final SlotSet EMPTY = new SlotSet(new RoaringBitmap());
 
   private final RoaringBitmap bitmap;
@@ -22,7 +22,7 @@
     return new SlotSet(RoaringBitmap.bitmapOf(slots));
   }
 
-  /** A set with the content of the bitmap, which is copied. */
+  /** Creates a set from a copy of the bitmap. */
   public static SlotSet copyOf(RoaringBitmap bitmap) {
     return bitmap.isEmpty() ? EMPTY : new SlotSet(bitmap.clone());
   }
@@ -30,7 +30,7 @@
   /**
    * Decodes a set.
    *
-   * @throws IllegalArgumentException if the bytes are not a bitmap
+   * @throws IllegalArgumentException if the bytes do not encode a bitmap
    */
   @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
   public static SlotSet decode(byte[] bytes) {
@@ -38,7 +38,8 @@
     try {
       decoded.deserialize(ByteBuffer.wrap(bytes));
     } catch (java.io.IOException | RuntimeException e) {
-      throw new IllegalArgumentException("slot set of " + bytes.length + " bytes is no bitmap", e);
+      throw new IllegalArgumentException(
+          "slot set of " + bytes.length + " bytes is not a bitmap", e);
     }
     return new SlotSet(decoded);
   }
@@ -63,7 +64,7 @@
     return bitmap.getCardinality();
   }
 
-  /** Calls the consumer for each slot in rising order. */
+  /** Calls the consumer for each slot in ascending order. */
   public void forEach(IntConsumer consumer) {
     bitmap.forEach(consumer);
   }
--- a/umberpath-control/src/main/java/io/umberpath/control/SubmittedChanges.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/SubmittedChanges.java
@@ -11,8 +11,8 @@
 import java.util.TreeMap;
 
 /**
- * The changes operators submitted at this node. A change is refused here only if it was never
- * forwarded or proposed; otherwise only a leader's answer or "unknown" ends it.
+ * The changes that operators submitted at this node. A change is refused here only if it was never
+ * forwarded or proposed; otherwise only a leader's result or "unknown" completes it.
  */
 final class SubmittedChanges {
   private static final int NO_LEADER_ELECTION_TIMEOUTS = 2;
@@ -26,7 +26,7 @@
   private final TreeMap<Long, Pending> byNumber = new TreeMap<>();
   private long lastNumber;
 
-  /** A submitted change that has no outcome yet. */
+  /** A submitted change without a result. */
   private static final class Pending {
     private final long ticket;
     private final long number;
@@ -53,7 +53,7 @@
     this.decider = decider;
   }
 
-  /** An operator submitted a change. */
+  /** Adds a change submitted by an operator. */
   void submit(long ticket, ChangeSet change) {
     if (byNumber.size() >= context.settings().maxQueuedChanges()) {
       respond(ticket, ChangeDecider.overloadRefusal());
@@ -63,7 +63,7 @@
     byNumber.put(lastNumber, new Pending(ticket, lastNumber, change, context.now()));
   }
 
-  /** The owner stops waiting. */
+  /** Completes a change whose owner stops waiting. */
   void abandon(long ticket) {
     for (Pending pending : List.copyOf(byNumber.values())) {
       if (pending.ticket == ticket) {
@@ -82,7 +82,9 @@
     return new ChangeResult.Unknown("no outcome was known when the wait ended");
   }
 
-  /** A leader answered a forwarded change; a refusal of a former leader decides nothing now. */
+  /**
+   * Handles a leader's result for a forwarded change; a refusal by a previous leader is ignored.
+   */
   void onOutcome(ChangeOutcome outcome) {
     Pending pending = byNumber.get(outcome.number());
     if (pending != null
@@ -103,7 +105,10 @@
     context.emit(new ControlOutput.ChangeAnswered(ticket, result));
   }
 
-  /** Hands pending changes to the leader, again if needed, and refuses those that found none. */
+  /**
+   * Sends pending changes to the leader, again if necessary, and refuses changes for which no
+   * leader was found in time.
+   */
   void flush(boolean isLeader, long epoch) {
     if (byNumber.isEmpty()) {
       return;
--- a/umberpath-control/src/main/java/io/umberpath/control/SubtreeReporter.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/SubtreeReporter.java
@@ -12,19 +12,22 @@
 import org.roaringbitmap.RoaringBitmap;
 
 /**
- * Gathers what a node's subtree holds and runs and reports it to the parent. A report leaves out
- * the slots that follow from the former one; a parent that lacks that asks anew. A relay waits
- * until its whole subtree holds a proposal, runs a commit or has answered a round, so that one
- * message answers for all; it waits a bounded time only.
+ * Collects the versions that a node's subtree holds and runs, and reports them to the parent. A
+ * report omits the slots that follow from the previous one; a parent that lacks that one requests a
+ * complete report. A relay waits for a bounded time until its whole subtree holds a proposal, runs
+ * a commit or has acknowledged a round, so that one message covers all members.
  */
 final class SubtreeReporter {
-  /** How long the first report of a proposal waits for members that do not hold it yet. */
+  /**
+   * Maximum time that the first report of a proposal waits for members that do not hold it yet,
+   * milliseconds.
+   */
   private static final long FIRST_REPORT_DELAY_MILLIS = 20;
 
-  /** Later reports of the same proposal wait this part of a heartbeat. */
+  /** Later reports of the same proposal wait for a heartbeat interval divided by this. */
   private static final int LATER_REPORT_DELAY_DIVISOR = 10;
 
-  /** Reports of what members run, and of rounds, wait this part of a heartbeat. */
+  /** Reports of active versions and of rounds wait for a heartbeat interval divided by this. */
   private static final int ACTIVATION_REPORT_DELAY_DIVISOR = 4;
 
   private static final int REPORTS_PER_FULL_JOINS = 4;
@@ -63,7 +66,7 @@
     this.activation = activation;
   }
 
-  /** What the subtree holds and runs, this node included. */
+  /** The versions that the subtree holds and runs, including this node. */
   List<ReportGroup> groups() {
     TreeMap<Key, RoaringBitmap> slotsByKey = new TreeMap<>(ORDER);
     if (acceptor.isMember()) {
@@ -83,7 +86,10 @@
     return groups;
   }
 
-  /** The waiting processes changed; the parent learns of it with others within half a heartbeat. */
+  /**
+   * Schedules a report because the processes waiting to join changed; the parent receives it within
+   * half a heartbeat, combined with other changes.
+   */
   void onJoinsChanged() {
     joins = null;
     joinsDueAt = Math.min(joinsDueAt, Math.max(context.now(), lastSentAt + joinsDelayMillis()));
@@ -93,7 +99,7 @@
     return context.settings().heartbeatMillis() / 2;
   }
 
-  /** Processes of the subtree that wait for a seat, newest incarnation per address. */
+  /** Processes of the subtree that wait for a slot, newest incarnation per address. */
   List<Member> joins() {
     if (joins == null) {
       joins = collectJoins();
@@ -133,12 +139,12 @@
     return epoch;
   }
 
-  /** Something the parent should know changed, or a round asks for a sign of life. */
+  /** Schedules a report because relevant state changed or a round requires a sign of life. */
   void schedule() {
     dueSince = Math.min(dueSince, context.now());
   }
 
-  /** When the report must go, at the latest. */
+  /** The latest time at which the report must be sent. */
   private long deadline() {
     if (dueSince == Long.MAX_VALUE) {
       return joinsDueAt;
@@ -167,7 +173,9 @@
     return children.all().stream().allMatch(child -> child.allMembersHold(held));
   }
 
-  /** Whether the whole subtree runs what this node runs and has answered the round. */
+  /**
+   * Whether the whole subtree runs the same versions as this node and has acknowledged the round.
+   */
   private boolean isSubtreeCurrent() {
     for (Child child : children.all()) {
       boolean runs = child.allMembersRun(activation.version(), activation.revision());
@@ -189,7 +197,7 @@
     }
   }
 
-  /** Sends a complete report now, for a parent that lacks the former one. */
+  /** Sends a complete report immediately, for a parent that lacks the previous one. */
   void sendComplete(PeerAddress parent) {
     lastJoins = null;
     lastGroups = List.of();
@@ -233,7 +241,7 @@
     return deadline();
   }
 
-  /** There is nobody to report to. */
+  /** Cancels the scheduled report. */
   void cancel() {
     dueSince = Long.MAX_VALUE;
     joinsDueAt = Long.MAX_VALUE;
--- a/umberpath-control/src/main/java/io/umberpath/control/VoteOutcome.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/VoteOutcome.java
@@ -11,25 +11,32 @@
 import java.util.List;
 import java.util.Set;
 
-/** What a set of votes allows a candidate to do. */
+/** The action that a set of votes allows a candidate to take. */
 enum VoteOutcome {
-  /** Nothing yet. */
+  /** The votes do not suffice yet. */
   INSUFFICIENT,
-  /** A quorum of the state's roster, and of its previous roster while that may decide, granted. */
+  /**
+   * A quorum of the state's roster granted, and also a quorum of its previous roster while that one
+   * may still decide.
+   */
   QUORUM,
   /**
-   * Every member is accounted for: it granted, is certainly gone, or is given up by an operator.
+   * Every member is accounted for: it granted its vote, has certainly ended, or was accepted as
+   * lost by an operator.
    */
   ALL_ACCOUNTED_FOR,
-  /** Nobody holds any state and every expected process granted or is given up. */
+  /**
+   * No process holds any state, and every expected process granted its vote or was accepted as
+   * lost.
+   */
   NEW_FLEET;
 
   /**
-   * Judges votes.
+   * Evaluates the votes.
    *
    * @param state the newest state found
-   * @param document the platform's document that the candidate holds
-   * @param acceptedLoss addresses that an operator gives up
+   * @param document the platform document that the candidate holds
+   * @param acceptedLoss addresses that an operator accepts as lost
    */
   static VoteOutcome evaluate(
       NodeContext context,
@@ -51,8 +58,9 @@
   }
 
   /**
-   * As many processes as expected, and among them every machine of the newest document that a voter
-   * holds, or every seed if nobody holds one: a survivor of a former fleet is one of them.
+   * Whether a new fleet can form: there are as many processes as expected, including every machine
+   * of the newest document that a voter holds, or every seed if no voter holds one. Any survivor of
+   * a previous fleet is among them.
    */
   private static boolean canFormFleet(
       NodeContext context,
@@ -89,13 +97,19 @@
     return true;
   }
 
-  /** The member itself granted before it took its seat, or a later process at its address did. */
+  /**
+   * Whether the member itself granted its vote before it received its slot, or a later process at
+   * its address did.
+   */
   private static boolean hasGrantedAsJoiner(Member member, VoteTally tally) {
     Member process = tally.fresh().get(member.address());
     return process != null && process.incarnation() >= member.incarnation();
   }
 
-  /** The state seats a later process at the address; the member ended before it was proposed. */
+  /**
+   * Whether the state's roster contains a later process at the address; the member had ended before
+   * that state was proposed.
+   */
   private static boolean isSuperseded(Member member, FleetState state) {
     return state
         .roster()
--- a/umberpath-control/src/main/java/io/umberpath/control/VoteRelay.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/VoteRelay.java
@@ -12,8 +12,8 @@
 import java.util.Set;
 
 /**
- * Answers requests for votes for this node and its subtree. The newest request of each candidate is
- * passed to the children once; their answers are merged and handed to everyone who asked.
+ * Handles vote requests for this node and its subtree. The newest request of each candidate is
+ * forwarded to the children once; their answers are merged and sent to all requesters.
  */
 final class VoteRelay {
   private static final long COALESCE_MILLIS = 20;
@@ -27,10 +27,10 @@
   private final DocumentDistributor documents;
   private final Map<Key, Poll> polls = new LinkedHashMap<>();
 
-  /** One request at a time is remembered of each candidate and kind. */
+  /** Only one request of each candidate and kind is tracked at a time. */
   private record Key(boolean binding, PeerAddress candidate) {}
 
-  /** One request and what is known of its votes. */
+  /** One request and the votes collected for it. */
   private static final class Poll {
     private final VoteRequest request;
     private final VoteTally tally = new VoteTally();
@@ -57,10 +57,10 @@
   }
 
   /**
-   * Takes a request.
+   * Handles a request.
    *
-   * @param isLeader whether this node leads now
-   * @return whether this node granted
+   * @param isLeader whether this node is the leader
+   * @return whether this node granted its vote
    */
   boolean onRequest(PeerAddress from, VoteRequest request, boolean isLeader) {
     Key key = new Key(request.binding(), request.candidate().address());
@@ -122,7 +122,7 @@
     tally.addFresh(context.process().withSlot(Member.NO_SLOT));
   }
 
-  /** Takes a child's answer; answers to other requests are ignored. */
+  /** Handles a child's answer; answers to other requests are ignored. */
   void onAnswer(PeerAddress from, VoteAnswer answer) {
     Poll poll = polls.get(new Key(answer.binding(), answer.candidate()));
     if (poll != null
--- a/umberpath-control/src/main/java/io/umberpath/control/VoteTally.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/VoteTally.java
@@ -12,7 +12,7 @@
 import java.util.TreeMap;
 import org.roaringbitmap.RoaringBitmap;
 
-/** Votes for one request, merged from many answers; a slot that is named twice counts once. */
+/** Votes for one request, merged from many answers; a slot that occurs twice counts once. */
 final class VoteTally {
   private static final int MAX_HOLDERS = 4;
 
@@ -28,7 +28,7 @@
     private final RoaringBitmap slots = new RoaringBitmap();
   }
 
-  /** Merges an answer; returns whether it said anything new. */
+  /** Merges an answer; returns whether it contained anything new. */
   boolean add(VoteAnswer answer) {
     int slotsBefore = granted.getCardinality();
     int freshBefore = fresh.size();
@@ -80,7 +80,7 @@
     revision = Math.max(revision, held);
   }
 
-  /** Newest version that anyone who granted knows to be committed. */
+  /** Newest version that any granting process knows to be committed. */
   Version committed() {
     return committed;
   }
@@ -91,27 +91,30 @@
     }
   }
 
-  /** Whether the roster of a state alone decides: it is settled or known to be committed. */
+  /**
+   * Whether the roster of a state decides without the previous one: it is settled or known to be
+   * committed.
+   */
   boolean isRosterSettled(FleetState state) {
     return !state.changesRoster() || state.version().equals(committed);
   }
 
-  /** Slots that granted; not to be changed. */
+  /** Slots that granted their vote; must not be modified. */
   RoaringBitmap granted() {
     return granted;
   }
 
-  /** Processes without a seat that granted, by address. */
+  /** Processes without a slot that granted their vote, by address. */
   TreeMap<PeerAddress, Member> fresh() {
     return fresh;
   }
 
-  /** Newest version held by anyone who granted. */
+  /** Newest version held by any granting process. */
   Version highest() {
     return byHeld.isEmpty() ? Version.NONE : byHeld.lastKey();
   }
 
-  /** One that holds the newest version, another one at each attempt. */
+  /** A holder of the newest version, a different one for each attempt. */
   Optional<PeerAddress> holderOfHighest(int attempt) {
     if (byHeld.isEmpty()) {
       return Optional.empty();
--- a/umberpath-control/src/test/java/io/umberpath/control/ChangeRaceTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/ChangeRaceTest.java
@@ -54,7 +54,7 @@
             RefusalCode.INVALID,
             "routes[r].pool"),
         Arguments.of(
-            "pool of a service the platform lacks",
+            "pool of a service unknown to the platform",
             change(
                 "c",
                 "t2",
--- a/umberpath-control/src/test/java/io/umberpath/control/ChaosRun.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/ChaosRun.java
@@ -8,7 +8,10 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 
-/** One seeded run: a fleet under random faults and changes, then peace, then every check. */
+/**
+ * One seeded run: a fleet under random faults and changes, then a fault-free recovery phase, then
+ * all checks.
+ */
 final class ChaosRun {
   private static final long FAULT_MILLIS = 20_000;
   private static final long RECOVERY_LIMIT_MILLIS = 40_000;
@@ -34,7 +37,7 @@
     fleet.maxReaders = 1 + random.nextInt(4);
   }
 
-  /** Runs; returns everything that is wrong, empty if nothing is. */
+  /** Runs the scenario; returns all failures, empty if there are none. */
   List<String> run() {
     fleet.startAll();
     List<String> failures = new ArrayList<>();
@@ -100,7 +103,10 @@
     }
   }
 
-  /** Kills so few that a quorum of the processes that hold the state stays. */
+  /**
+   * Injects a random fault, killing so few processes that a quorum of those that hold the state
+   * remains.
+   */
   private void injectFault() {
     int index = random.nextInt(size);
     switch (random.nextInt(8)) {
@@ -133,7 +139,7 @@
     }
   }
 
-  /** A process that dies takes the answers it owes with it. */
+  /** A process that dies never completes its pending tickets, so they are not checked. */
   private void discardTicketsOf(TestFleet.Process process) {
     process.pending().forEach(poolByTicket::remove);
   }
--- a/umberpath-control/src/test/java/io/umberpath/control/DisasterRecoveryTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/DisasterRecoveryTest.java
@@ -113,13 +113,15 @@
     assertThat(
             fleet.runUntil(
                 20_000, () -> fleet.alive().stream().allMatch(each -> each.revision == 2)))
-        .as("every part hears the platform")
+        .as("every partition follows the platform")
         .isNotNegative();
     long ticket = fleet.submit(fleet.process(1), TestFleet.pool("r-part", "part"));
     assertThat(fleet.runUntil(10_000, () -> fleet.answers.containsKey(ticket))).isNotNegative();
     assertThat(fleet.answers.get(ticket)).isInstanceOf(ChangeResult.Accepted.class);
     fleet.isCut = (from, to) -> false;
-    assertThat(fleet.runUntil(10_000, fleet::converged)).as("one state again").isNotNegative();
+    assertThat(fleet.runUntil(10_000, fleet::converged))
+        .as("converged after the partition")
+        .isNotNegative();
     assertThat(fleet.violations).isEmpty();
   }
 
@@ -220,8 +222,9 @@
   }
 
   /**
-   * Restored from a backup, the platform gave its revisions out again; nothing newer was taken
-   * until they had passed the held one, as documents were ordered by the revision alone.
+   * Guards against ignoring a restored platform: after a restore from a backup the platform issues
+   * the same revisions again, and as long as documents were ordered by revision alone nothing was
+   * accepted until the revisions exceeded the held one.
    */
   @Test
   void platformRestoredInANewerEraIsFollowed() {
--- a/umberpath-control/src/test/java/io/umberpath/control/ReportDifferenceTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/ReportDifferenceTest.java
@@ -25,12 +25,13 @@
         Arguments.of("unchanged", settled, settled, true),
         Arguments.of("all newer", settled, List.of(group(2, 3, 5, 8)), true),
         Arguments.of("one lags", settled, List.of(group(1, 5), group(2, 3, 8)), true),
-        Arguments.of("laggard came", List.of(group(1, 5), group(2, 3, 8)), settled, true),
+        Arguments.of(
+            "lagging member caught up", List.of(group(1, 5), group(2, 3, 8)), settled, true),
         Arguments.of("one more", settled, List.of(group(1, 3, 5, 8, 9)), false),
         Arguments.of("one more, lagging", settled, List.of(group(1, 9), group(2, 3, 5, 8)), true),
         Arguments.of("one less", settled, List.of(group(1, 3, 5)), false),
         Arguments.of("first", List.of(), settled, false),
-        Arguments.of("nobody left", settled, List.of(), false));
+        Arguments.of("no members left", settled, List.of(), false));
   }
 
   @ParameterizedTest(name = "{0}")
--- a/umberpath-control/src/test/java/io/umberpath/control/SeededFaultTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/SeededFaultTest.java
@@ -7,7 +7,9 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.EnumSource.Mode;
 
-/** The incarnation rule has its own scenario in {@link DisasterRecoveryTest}. */
+/**
+ * The fault that skips the incarnation rule has its own scenario in {@link DisasterRecoveryTest}.
+ */
 class SeededFaultTest {
   private static final int SEEDS = 60;
 
--- a/umberpath-control/src/test/java/io/umberpath/control/TestFleet.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/TestFleet.java
@@ -28,7 +28,7 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * A small fleet on a virtual clock and a seeded network that loses, delays and repeats messages.
+ * A small fleet on a virtual clock and a seeded network that loses, delays and duplicates messages.
  */
 final class TestFleet {
   static final long HEARTBEAT = 200;
@@ -75,7 +75,7 @@
     this.initialMembers = size;
   }
 
-  /** One running process; its successor at the address is another one. */
+  /** One running process; a restart at the same address creates a new one. */
   final class Process {
     final Member member;
     final ControlNode node;
@@ -100,7 +100,7 @@
       return node.status();
     }
 
-    /** Tickets of this process that have no answer. */
+    /** Tickets of this process without a result. */
     List<Long> pending() {
       return tickets.stream().filter(ticket -> !answers.containsKey(ticket)).toList();
     }
@@ -300,7 +300,7 @@
     }
   }
 
-  /** Runs for a while. */
+  /** Advances the virtual clock by the given time. */
   void run(long millis) {
     long end = now + millis;
     while (!events.isEmpty() && events.peek().at() <= end) {
@@ -311,7 +311,9 @@
     now = end;
   }
 
-  /** Runs until the condition holds; returns the time it took, or -1 if it never did. */
+  /**
+   * Runs until the condition holds; returns the elapsed time, or -1 if the limit is reached first.
+   */
   long runUntil(long limit, BooleanSupplier condition) {
     long start = now;
     while (now - start < limit) {
@@ -333,7 +335,7 @@
         .max((a, b) -> Long.compare(a.status().epoch(), b.status().epoch()));
   }
 
-  /** Whether every live process is a member of one committed state and runs it. */
+  /** Whether every live process is a member of one committed state and runs that state. */
   boolean converged() {
     Optional<Process> leader = leader();
     if (leader.isEmpty()) {
@@ -376,7 +378,10 @@
     return new PlatformDocument(revision, services, List.of());
   }
 
-  /** Every accepted change is in the newest committed state; empty if so. */
+  /**
+   * Changes that contradict their result: accepted but missing from the newest committed state, or
+   * refused but present in it.
+   */
   List<String> lostChanges(Map<Long, String> poolByTicket) {
     List<String> lost = new ArrayList<>();
     var resources = leader().orElseThrow().status().committed().resources();
--- a/umberpath-control/src/test/java/io/umberpath/control/VoteOutcomeTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/VoteOutcomeTest.java
@@ -33,7 +33,9 @@
     return new Member(slot, address(machine), incarnation, "z", "r");
   }
 
-  /** Five machines; the process of machine 3 restarted and was swapped from slot 3 to slot 5. */
+  /**
+   * Five machines; the process of machine 3 restarted and was replaced by slot 5 instead of slot 3.
+   */
   private static FleetState unsettledSwap() {
     List<Member> before = new ArrayList<>();
     for (int machine = 0; machine < 5; machine++) {
@@ -74,16 +76,16 @@
   }
 
   /**
-   * Processes without a seat are written as machine/incarnation.
+   * Processes without a slot are written as machine/incarnation.
    *
-   * @param description what the row shows
+   * @param description what the row demonstrates
    */
   @ParameterizedTest(name = "{0}")
   @CsvSource({
     "a quorum of both rosters, 0 1 4, 2/2, QUORUM",
-    "the swapped process grants before it took its seat, 0 1, 2/2 3/2 4/2, ALL_ACCOUNTED_FOR",
-    "the swapped process grants with its seat, 0 1 5, 2/2 4/2, ALL_ACCOUNTED_FOR",
-    "the swapped process is silent, 0 1, 2/2 4/2, INSUFFICIENT",
+    "the replaced process grants before it got its slot, 0 1, 2/2 3/2 4/2, ALL_ACCOUNTED_FOR",
+    "the replaced process grants with its slot, 0 1 5, 2/2 4/2, ALL_ACCOUNTED_FOR",
+    "the replaced process is silent, 0 1, 2/2 4/2, INSUFFICIENT",
     "an earlier process of its machine answers, 0 1, 2/2 3/1 4/2, INSUFFICIENT",
     "a member is silent, 0 1, 3/2 4/2, INSUFFICIENT"
   })
@@ -122,17 +124,17 @@
         : new PlatformDocument(3, new TreeMap<>(), listed);
   }
 
-  /** Five processes are expected, machine 0 is the only seed. */
+  /** Five processes are expected; machine 0 is the only seed. */
   @ParameterizedTest(name = "{0}")
   @CsvSource({
     "every listed machine, 0 1 2 3 4, 0 1 2 3 4, '', 3, NEW_FLEET",
     "a listed machine is silent, 0 1 2 3 4, 0 1 2 3 4 5, '', 3, INSUFFICIENT",
-    "the silent machine is given up, 0 1 2 3 4, 0 1 2 3 4 5, 5, 3, NEW_FLEET",
+    "the silent machine is accepted as lost, 0 1 2 3 4, 0 1 2 3 4 5, 5, 3, NEW_FLEET",
     "a voter holds a newer document, 0 1 2 3 4, 0 1 2 3 4, '', 4, INSUFFICIENT",
     "no document and every seed, 0 1 2 3 4, '', '', 0, NEW_FLEET",
     "no document and no seed, 1 2 3 4 5, '', '', 0, INSUFFICIENT",
-    "no document and the seed is given up, 1 2 3 4 5, '', 0, 0, NEW_FLEET",
-    "a machine that answers and is given up counts once, 0 1 2 3, '', 3, 0, INSUFFICIENT",
+    "no document and the seed is accepted as lost, 1 2 3 4 5, '', 0, 0, NEW_FLEET",
+    "a machine that answers and is accepted as lost counts once, 0 1 2 3, '', 3, 0, INSUFFICIENT",
     "too few, 0 1 2 3, 0 1 2 3, '', 3, INSUFFICIENT"
   })
   void newFleetNeedsEveryMachineOfAPossibleFormerFleet(
