--- a/umberpath-control/src/main/java/io/umberpath/control/ChangeQueue.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/ChangeQueue.java
@@ -13,11 +13,11 @@
 /**
  * A leader's queued changes, one bounded queue per tier.
  *
- * <p>A batch holds at most {@value #BATCH} changes. Of these, up to {@value #RESERVED_FOR_BASIC}
- * places are reserved for queued BASIC changes and up to {@value #RESERVED_FOR_STANDARD} for queued
- * STANDARD changes; all other places go to the highest tier with queued changes. The n-th queued
- * BASIC change is therefore proposed no later than in batch n / {@value #RESERVED_FOR_BASIC},
- * rounded up, regardless of the number of PREMIUM changes.
+ * <p>A batch holds at most {@value #MAX_BATCH} changes. Of these, up to {@value
+ * #RESERVED_FOR_BASIC} places are reserved for queued BASIC changes and up to {@value
+ * #RESERVED_FOR_STANDARD} for queued STANDARD changes; all other places go to the highest tier with
+ * queued changes. The n-th queued BASIC change is therefore proposed no later than in batch n /
+ * {@value #RESERVED_FOR_BASIC}, rounded up, regardless of the number of PREMIUM changes.
  */
 final class ChangeQueue {
   static final int MAX_BATCH = 64;
--- a/umberpath-control/src/main/java/io/umberpath/control/FleetNode.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/FleetNode.java
@@ -194,9 +194,9 @@
 
   private void recordRound(Deliver delivery, boolean fromParent) {
     Optional<PeerAddress> before = leaderTracker.leader();
-    Round fedBefore = leaderTracker.deliveredRound();
+    Round deliveredBefore = leaderTracker.deliveredRound();
     boolean newer = leaderTracker.recordRound(delivery, fromParent);
-    if (leaderTracker.deliveredRound() != fedBefore) {
+    if (leaderTracker.deliveredRound() != deliveredBefore) {
       children.scheduleDelivery();
     }
     if (!newer) {
--- a/umberpath-control/src/main/java/io/umberpath/control/SharedStates.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/SharedStates.java
@@ -23,7 +23,7 @@
   private static final int SINGLE_NODE_CAPACITY = 4;
 
   private final Cache<StateDelta, Applied> applied;
-  private final Cache<FleetState, StateDelta> whole;
+  private final Cache<FleetState, StateDelta> fullStates;
   private final Cache<FleetState, Composed> composed;
   private final Cache<Roster, RosterView> views;
   private final Cache<PlatformDocument, Long> hashes;
@@ -42,7 +42,7 @@
    */
   public SharedStates(int capacity) {
     applied = cache(capacity);
-    whole = cache(capacity);
+    fullStates = cache(capacity);
     composed = cache(capacity);
     views = cache(capacity);
     hashes = cache(capacity);
@@ -103,7 +103,7 @@
   /** The full state as a delta. */
   StateDelta fullState(FleetState state) {
     return computeIfAbsent(
-        whole,
+        fullStates,
         state,
         key -> {
           StateDelta delta = StateDeltas.wholeState(key);
--- a/umberpath-control/src/main/java/io/umberpath/control/VoteOutcome.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/VoteOutcome.java
@@ -114,7 +114,7 @@
     return state
         .roster()
         .at(member.address())
-        .filter(seated -> seated.incarnation() > member.incarnation())
+        .filter(current -> current.incarnation() > member.incarnation())
         .isPresent();
   }
 }
