--- a/umberpath-control/src/main/java/io/umberpath/control/ChangeBatch.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/ChangeBatch.java
@@ -131,7 +131,7 @@
     if (expected.isPresent() && !answered.isEmpty()) {
       return refusal(RefusalCode.CONFLICT, List.of(versionViolation(expected.get())));
     }
-    List<Violation> foreign = new ArrayList<>();
+    List<Violation> foreignTenant = new ArrayList<>();
     List<Violation> invalid = new ArrayList<>();
     for (int index = 0; index < change.deletes().size(); index++) {
       ResourceKey key = change.deletes().get(index);
@@ -139,19 +139,19 @@
       if (!resources.containsKey(key)) {
         invalid.add(new Violation(field, key.toString(), "no resource of this name"));
       }
-      addForeignTenant(field, key, change.tenant(), foreign);
+      addForeignTenant(field, key, change.tenant(), foreignTenant);
     }
     for (int index = 0; index < change.upserts().size(); index++) {
       Resource upsert = change.upserts().get(index);
-      addForeignTenant("upserts[" + index + "].name", upsert.key(), change.tenant(), foreign);
+      addForeignTenant("upserts[" + index + "].name", upsert.key(), change.tenant(), foreignTenant);
       if (upsert instanceof Route route) {
-        addForeignSecret("upserts[" + index + "].secret", route, foreign);
+        addForeignSecret("upserts[" + index + "].secret", route, foreignTenant);
       } else if (upsert instanceof Pool pool) {
         addUnknownService("upserts[" + index + "].service", pool, invalid);
       }
     }
-    if (!foreign.isEmpty()) {
-      return refusal(RefusalCode.CONFLICT, foreign);
+    if (!foreignTenant.isEmpty()) {
+      return refusal(RefusalCode.CONFLICT, foreignTenant);
     }
     return invalid.isEmpty() ? Optional.empty() : refusal(RefusalCode.INVALID, invalid);
   }
--- a/umberpath-control/src/main/java/io/umberpath/control/Children.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/Children.java
@@ -196,7 +196,7 @@
     if (!isFull) {
       return leaderTracker
           .leader()
-          .filter(any -> leaderTracker.heardWithin(stallMillis()))
+          .filter(any -> leaderTracker.isHeardWithin(stallMillis()))
           .map(List::of)
           .orElse(List.of());
     }
--- a/umberpath-control/src/main/java/io/umberpath/control/FleetNode.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/FleetNode.java
@@ -243,7 +243,7 @@
   }
 
   private void reform(ControlInput.ReformRequested request) {
-    if (leadership.isLeader() || leaderTracker.heardWithin(context.settings().electionMillis())) {
+    if (leadership.isLeader() || leaderTracker.isHeardWithin(context.settings().electionMillis())) {
       reformRequests.refuseWithLeader(request.ticket());
       return;
     }
--- a/umberpath-control/src/main/java/io/umberpath/control/LeaderTracker.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/LeaderTracker.java
@@ -72,7 +72,7 @@
   }
 
   /** Whether a round was received within the last given milliseconds. */
-  boolean heardWithin(long millis) {
+  boolean isHeardWithin(long millis) {
     return leader != null && context.now() - heardAt < millis;
   }
 
@@ -101,13 +101,13 @@
   }
 
   /** Whether a round was delivered along the relay tree within the last given milliseconds. */
-  boolean deliveredWithin(long millis) {
+  boolean isDeliveredWithin(long millis) {
     return deliveredLeader != null && context.now() - deliveredAt < millis;
   }
 
   /** Whether a round was delivered along the relay tree within the election timeout. */
   boolean isDeliveryCurrent() {
-    return deliveredWithin(context.settings().electionMillis());
+    return isDeliveredWithin(context.settings().electionMillis());
   }
 
   /**
--- a/umberpath-control/src/main/java/io/umberpath/control/ParentLink.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/ParentLink.java
@@ -236,7 +236,7 @@
   }
 
   private boolean isRoundStale() {
-    return !leaderTracker.deliveredWithin(stallMillis());
+    return !leaderTracker.isDeliveredWithin(stallMillis());
   }
 
   private void failedAttempt() {
--- a/umberpath-control/src/main/java/io/umberpath/control/PlatformPoller.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/PlatformPoller.java
@@ -28,7 +28,7 @@
       return false;
     }
     ControlSettings settings = context.settings();
-    if (leaderTracker.deliveredWithin(ReaderAssignment.permissionMillis(settings))) {
+    if (leaderTracker.isDeliveredWithin(ReaderAssignment.permissionMillis(settings))) {
       return leaderTracker.isSteady() && leaderTracker.readers().contains(acceptor.slot());
     }
     return isStandbyReader();
--- a/umberpath-control/src/main/java/io/umberpath/control/SubmittedChanges.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/SubmittedChanges.java
@@ -116,7 +116,7 @@
     for (Pending pending : new ArrayList<>(byNumber.values())) {
       if (isLeader) {
         enqueueLocally(pending, epoch);
-      } else if (leaderTracker.heardWithin(context.settings().electionMillis())) {
+      } else if (leaderTracker.isHeardWithin(context.settings().electionMillis())) {
         forward(pending);
       } else {
         refuseIfExpired(pending);
@@ -179,7 +179,7 @@
       return Long.MAX_VALUE;
     }
     long next = Long.MAX_VALUE;
-    boolean heard = leaderTracker.heardWithin(context.settings().electionMillis());
+    boolean heard = leaderTracker.isHeardWithin(context.settings().electionMillis());
     for (Pending pending : byNumber.values()) {
       if (heard) {
         next = Math.min(next, pending.sentAt + resendMillis());
--- a/umberpath-control/src/main/java/io/umberpath/control/VoteRelay.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/VoteRelay.java
@@ -104,7 +104,7 @@
       return acceptor.promise(request.epoch(), request.candidate());
     }
     boolean leaderHeard =
-        isLeader || leaderTracker.heardWithin(context.settings().electionMillis());
+        isLeader || leaderTracker.isHeardWithin(context.settings().electionMillis());
     return !leaderHeard && request.epoch() > acceptor.promised();
   }
 
--- a/umberpath-control/src/main/java/io/umberpath/control/store/BackendListing.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/BackendListing.java
@@ -102,11 +102,11 @@
    * @return whether any of them was unknown
    */
   public boolean learn(long nowMillis, List<Departed> others) {
-    boolean isNews = false;
+    boolean hasNew = false;
     for (Departed each : others) {
-      isNews |= departed.add(nowMillis, each);
+      hasNew |= departed.add(nowMillis, each);
     }
-    return isNews;
+    return hasNew;
   }
 
   /**
--- a/umberpath-control/src/test/java/io/umberpath/control/ChangeRaceTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/ChangeRaceTest.java
@@ -120,11 +120,11 @@
   void retryThroughAnotherNodeGetsTheOriginalResult() {
     TestFleet fleet = new TestFleet(21, 6, 2);
     fleet.startAll();
-    assertThat(fleet.runUntil(20_000, fleet::converged)).isNotNegative();
-    long first = fleet.submit(fleet.process(4), TestFleet.pool("same", "p1"));
+    assertThat(fleet.runUntil(20_000, fleet::hasConverged)).isNotNegative();
+    long first = fleet.submit(fleet.process(4), TestFleet.poolChange("same", "p1"));
     fleet.run(2_000);
-    long retry = fleet.submit(fleet.process(5), TestFleet.pool("same", "p1"));
-    long reuse = fleet.submit(fleet.process(3), TestFleet.pool("same", "p2"));
+    long retry = fleet.submit(fleet.process(5), TestFleet.poolChange("same", "p1"));
+    long reuse = fleet.submit(fleet.process(3), TestFleet.poolChange("same", "p2"));
     fleet.run(2_000);
     assertThat(fleet.answers.get(first)).isInstanceOf(ChangeResult.Accepted.class);
     assertThat(fleet.answers.get(retry)).isEqualTo(fleet.answers.get(first));
@@ -135,9 +135,9 @@
   @Test
   void oneOfTwoChangesWithTheSameExpectedVersionIsAccepted() {
     TestFleet fleet = new TestFleet(22, 6, 2);
-    fleet.batchWindow = 50;
+    fleet.batchWindowMillis = 50;
     fleet.startAll();
-    assertThat(fleet.runUntil(20_000, fleet::converged)).isNotNegative();
+    assertThat(fleet.runUntil(20_000, fleet::hasConverged)).isNotNegative();
     Optional<Version> expected =
         Optional.of(fleet.leader().orElseThrow().status().committed().version());
     List<Long> tickets = new ArrayList<>();
@@ -180,7 +180,7 @@
     io.umberpath.model.Member origin =
         new io.umberpath.model.Member(
             3, new io.umberpath.model.PeerAddress("10.0.0.3", 1), 9, "z", "r");
-    ChangeSet change = TestFleet.pool("r1", "p1");
+    ChangeSet change = TestFleet.poolChange("r1", "p1");
     ControlMessage.ForwardChange first = new ControlMessage.ForwardChange(5, origin, 1, 1, change);
     ControlMessage.ForwardChange second = new ControlMessage.ForwardChange(5, origin, 2, 2, change);
     assertThat(forwardedChanges.onArrival(first)).isEqualTo(ForwardedChanges.Arrival.NEW);
--- a/umberpath-control/src/test/java/io/umberpath/control/ChaosRun.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/ChaosRun.java
@@ -28,12 +28,12 @@
     int zones = 1 + random.nextInt(4);
     fleet = new TestFleet(seed, size, zones);
     fleet.fault = fault;
-    fleet.platform = TestFleet.document(1);
+    fleet.platformDocument = TestFleet.document(1);
     fleet.quorum =
         random.nextInt(3) == 0
             ? ControlSettings.QuorumRule.ZONE_MAJORITY
             : ControlSettings.QuorumRule.MAJORITY;
-    fleet.batchWindow = random.nextInt(2) * 20;
+    fleet.batchWindowMillis = random.nextInt(2) * 20;
     fleet.maxReaders = 1 + random.nextInt(4);
   }
 
@@ -41,22 +41,22 @@
   List<String> run() {
     fleet.startAll();
     List<String> failures = new ArrayList<>();
-    if (fleet.runUntil(30_000, fleet::converged) < 0) {
+    if (fleet.runUntil(30_000, fleet::hasConverged) < 0) {
       failures.add("did not form");
       return failures;
     }
-    fleet.loss = random.nextInt(3) * 0.05;
-    fleet.duplication = random.nextInt(2) * 0.1;
-    fleet.maxDelay = 1 + random.nextInt(4) * 40;
-    long end = fleet.now + FAULT_MILLIS;
-    while (fleet.now < end) {
+    fleet.lossProbability = random.nextInt(3) * 0.05;
+    fleet.duplicationProbability = random.nextInt(2) * 0.1;
+    fleet.maxDelayMillis = 1 + random.nextInt(4) * 40;
+    long end = fleet.nowMillis + FAULT_MILLIS;
+    while (fleet.nowMillis < end) {
       injectFault();
       submit();
       fleet.run(50 + random.nextInt(800));
     }
     heal();
     if (fleet.runUntil(RECOVERY_LIMIT_MILLIS, this::hasRecovered) < 0) {
-      failures.add(fleet.now + " did not converge after the faults: " + describe());
+      failures.add(fleet.nowMillis + " did not converge after the faults: " + describe());
     } else {
       failures.addAll(fleet.lostChanges(poolByTicket));
     }
@@ -69,14 +69,15 @@
 
   private boolean hasRecovered() {
     boolean isSameRevision =
-        fleet.alive().stream().allMatch(process -> process.revision == fleet.platform.revision());
-    return fleet.converged() && isSameRevision && fleet.answers.size() == poolByTicket.size();
+        fleet.liveProcesses().stream()
+            .allMatch(process -> process.revision == fleet.platformDocument.revision());
+    return fleet.hasConverged() && isSameRevision && fleet.answers.size() == poolByTicket.size();
   }
 
   private String describe() {
     StringBuilder text = new StringBuilder();
     text.append(fleet.answers.size()).append('/').append(poolByTicket.size()).append(" answers");
-    for (TestFleet.Process process : fleet.alive()) {
+    for (TestFleet.Process process : fleet.liveProcesses()) {
       ControlStatus status = process.status();
       Version committed = status.committed().version();
       text.append("\n  ").append(status.self()).append(' ').append(status.role());
@@ -95,10 +96,11 @@
     if (random.nextBoolean()) {
       String name = "p" + submitted++;
       TestFleet.Process origin = fleet.process(random.nextInt(size));
-      if (origin.alive && !origin.paused) {
-        long ticket = fleet.submit(origin, TestFleet.pool("r" + name, name));
+      if (origin.isAlive && !origin.isPaused) {
+        long ticket = fleet.submit(origin, TestFleet.poolChange("r" + name, name));
         poolByTicket.put(ticket, name);
-        fleet.at(fleet.now + 15_000, () -> origin.input(new ControlInput.ChangeAbandoned(ticket)));
+        fleet.runAt(
+            fleet.nowMillis + 15_000, () -> origin.input(new ControlInput.ChangeAbandoned(ticket)));
       }
     }
   }
@@ -115,13 +117,13 @@
       case 3 -> partition();
       case 4 -> heal();
       case 5 -> pauseFor(index);
-      case 6 -> fleet.platform = TestFleet.document(fleet.platform.revision() + 1);
+      case 6 -> fleet.platformDocument = TestFleet.document(fleet.platformDocument.revision() + 1);
       default -> {}
     }
   }
 
   private boolean isStable() {
-    return fleet.leader().isPresent() && fleet.converged();
+    return fleet.leader().isPresent() && fleet.hasConverged();
   }
 
   private void replaceLeader(TestFleet.Process leader) {
@@ -133,7 +135,7 @@
   }
 
   private void replaceOne(int index) {
-    if (isStable() && !fleet.process(index).paused) {
+    if (isStable() && !fleet.process(index).isPaused) {
       discardTicketsOf(fleet.process(index));
       fleet.restart(index);
     }
@@ -159,11 +161,11 @@
   }
 
   private void pauseFor(int index) {
-    if (!fleet.process(index).paused) {
+    if (!fleet.process(index).isPaused) {
       fleet.pause(index);
       TestFleet.Process process = fleet.process(index);
-      fleet.at(
-          fleet.now + random.nextInt(8_000),
+      fleet.runAt(
+          fleet.nowMillis + random.nextInt(8_000),
           () -> {
             if (fleet.process(index) == process) {
               fleet.resume(index);
--- a/umberpath-control/src/test/java/io/umberpath/control/CodecTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/CodecTest.java
@@ -68,7 +68,7 @@
             List.of()),
         new ControlMessage.FetchState(3, VERSION, Version.NONE),
         new ControlMessage.FetchedState(3, List.of()),
-        new ControlMessage.ForwardChange(2, MEMBER, 1, 1, TestFleet.pool("r1", "p1")),
+        new ControlMessage.ForwardChange(2, MEMBER, 1, 1, TestFleet.poolChange("r1", "p1")),
         new ControlMessage.ChangeOutcome(2, 9, 1, new ChangeResult.Accepted(VERSION)),
         new ControlMessage.DocumentUpdate(
             DocumentDeltas.between(PlatformDocument.NONE, TestFleet.document(4))),
--- a/umberpath-control/src/test/java/io/umberpath/control/DisasterRecoveryTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/DisasterRecoveryTest.java
@@ -23,19 +23,20 @@
 
   private static TestFleet formedFleet(long seed) {
     TestFleet fleet = new TestFleet(seed, SIZE, 4);
-    fleet.platform = TestFleet.document(1);
+    fleet.platformDocument = TestFleet.document(1);
     fleet.startAll();
-    assertThat(fleet.runUntil(30_000, fleet::converged)).as("formed").isNotNegative();
+    assertThat(fleet.runUntil(30_000, fleet::hasConverged)).as("formed").isNotNegative();
     return fleet;
   }
 
   private static Map<Long, String> submitAccepted(TestFleet fleet, String pool) {
     TreeMap<Long, String> tickets = new TreeMap<>();
-    long ticket = fleet.submit(fleet.alive().get(0), TestFleet.pool("r-" + pool, pool));
+    long ticket =
+        fleet.submit(fleet.liveProcesses().get(0), TestFleet.poolChange("r-" + pool, pool));
     tickets.put(ticket, pool);
     assertThat(fleet.runUntil(10_000, () -> fleet.answers.containsKey(ticket))).isNotNegative();
     assertThat(fleet.answers.get(ticket)).isInstanceOf(ChangeResult.Accepted.class);
-    assertThat(fleet.runUntil(10_000, fleet::converged)).isNotNegative();
+    assertThat(fleet.runUntil(10_000, fleet::hasConverged)).isNotNegative();
     return tickets;
   }
 
@@ -52,7 +53,7 @@
     for (int index = 0; index < killed; index++) {
       fleet.start(index);
     }
-    assertThat(fleet.runUntil(30_000, fleet::converged)).as("converged again").isNotNegative();
+    assertThat(fleet.runUntil(30_000, fleet::hasConverged)).as("converged again").isNotNegative();
     assertThat(fleet.lostChanges(tickets)).isEmpty();
     assertThat(fleet.violations).isEmpty();
     assertThat(fleet.notices).noneMatch(notice -> notice.contains("fleet-formed-from-nothing"));
@@ -65,7 +66,7 @@
     for (int index = 0; index < SIZE; index++) {
       fleet.restart(index);
     }
-    assertThat(fleet.runUntil(30_000, fleet::converged)).isNotNegative();
+    assertThat(fleet.runUntil(30_000, fleet::hasConverged)).isNotNegative();
     assertThat(fleet.notices).anyMatch(notice -> notice.contains("fleet-formed-from-nothing"));
   }
 
@@ -80,11 +81,11 @@
     }
     fleet.run(30_000);
     assertThat(fleet.leader()).isEmpty();
-    long refused = fleet.submit(fleet.process(9), TestFleet.pool("r-late", "late"));
+    long refused = fleet.submit(fleet.process(9), TestFleet.poolChange("r-late", "late"));
     fleet.run(10_000);
     assertThat(fleet.answers.get(refused)).isInstanceOf(ChangeResult.Refused.class);
     fleet.process(10).input(new ControlInput.ReformRequested(77, lost));
-    assertThat(fleet.runUntil(20_000, fleet::converged)).isNotNegative();
+    assertThat(fleet.runUntil(20_000, fleet::hasConverged)).isNotNegative();
     fleet.run(100);
     assertThat(fleet.answers.get(77L)).isInstanceOf(ChangeResult.Accepted.class);
     assertThat(fleet.lostChanges(tickets)).isEmpty();
@@ -109,17 +110,17 @@
                 ? partition.contains(from) && !partition.contains(to)
                 : partition.contains(from) != partition.contains(to);
     fleet.run(5_000);
-    fleet.platform = TestFleet.document(2);
+    fleet.platformDocument = TestFleet.document(2);
     assertThat(
             fleet.runUntil(
-                20_000, () -> fleet.alive().stream().allMatch(each -> each.revision == 2)))
+                20_000, () -> fleet.liveProcesses().stream().allMatch(each -> each.revision == 2)))
         .as("every partition follows the platform")
         .isNotNegative();
-    long ticket = fleet.submit(fleet.process(1), TestFleet.pool("r-part", "part"));
+    long ticket = fleet.submit(fleet.process(1), TestFleet.poolChange("r-part", "part"));
     assertThat(fleet.runUntil(10_000, () -> fleet.answers.containsKey(ticket))).isNotNegative();
     assertThat(fleet.answers.get(ticket)).isInstanceOf(ChangeResult.Accepted.class);
     fleet.isCut = (from, to) -> false;
-    assertThat(fleet.runUntil(10_000, fleet::converged))
+    assertThat(fleet.runUntil(10_000, fleet::hasConverged))
         .as("converged after the partition")
         .isNotNegative();
     assertThat(fleet.violations).isEmpty();
@@ -131,14 +132,14 @@
     TestFleet fleet = new TestFleet(16, 5, 1);
     fleet.fault =
         skipIncarnationRule ? Optional.of(SeededFault.SKIP_INCARNATION_RULE) : Optional.empty();
-    fleet.platform = TestFleet.document(1);
+    fleet.platformDocument = TestFleet.document(1);
     fleet.startAll();
-    assertThat(fleet.runUntil(30_000, fleet::converged)).isNotNegative();
+    assertThat(fleet.runUntil(30_000, fleet::hasConverged)).isNotNegative();
     Set<PeerAddress> isolated = Set.of(fleet.address(3), fleet.address(4));
     fleet.isCut = (from, to) -> isolated.contains(from) != isolated.contains(to);
     fleet.run(10_000);
     TreeMap<Long, String> tickets = new TreeMap<>();
-    tickets.put(fleet.submit(fleet.process(2), TestFleet.pool("r1", "p1")), "p1");
+    tickets.put(fleet.submit(fleet.process(2), TestFleet.poolChange("r1", "p1")), "p1");
     fleet.run(10_000);
     assertThat(fleet.answers.values()).allMatch(ChangeResult.Accepted.class::isInstance);
     PeerAddress holder = fleet.address(2);
@@ -147,7 +148,7 @@
     fleet.restart(1);
     fleet.run(20_000);
     fleet.isCut = (from, to) -> false;
-    boolean converged = fleet.runUntil(20_000, fleet::converged) >= 0;
+    boolean converged = fleet.runUntil(20_000, fleet::hasConverged) >= 0;
     boolean isIntact =
         converged && fleet.violations.isEmpty() && fleet.lostChanges(tickets).isEmpty();
     assertThat(isIntact).isEqualTo(!skipIncarnationRule);
@@ -157,10 +158,10 @@
   void leaderResumedAfterAMinuteChangesNothing() {
     TestFleet fleet = formedFleet(12);
     TestFleet.Process old = fleet.leader().orElseThrow();
-    old.paused = true;
+    old.isPaused = true;
     assertThat(fleet.runUntil(20_000, () -> fleet.leader().filter(each -> each != old).isPresent()))
         .isNotNegative();
-    long ticket = fleet.submit(fleet.leader().orElseThrow(), TestFleet.pool("r1", "p1"));
+    long ticket = fleet.submit(fleet.leader().orElseThrow(), TestFleet.poolChange("r1", "p1"));
     fleet.run(60_000);
     assertThat(fleet.answers.get(ticket)).isInstanceOf(ChangeResult.Accepted.class);
     for (int index = 0; index < SIZE; index++) {
@@ -168,7 +169,7 @@
         fleet.resume(index);
       }
     }
-    assertThat(fleet.runUntil(10_000, fleet::converged)).isNotNegative();
+    assertThat(fleet.runUntil(10_000, fleet::hasConverged)).isNotNegative();
     assertThat(fleet.violations).isEmpty();
   }
 
@@ -177,12 +178,12 @@
     TestFleet fleet = new TestFleet(13, 40, 1);
     fleet.maxChildren = 4;
     fleet.startAll();
-    assertThat(fleet.runUntil(60_000, fleet::converged)).isNotNegative();
-    assertThat(fleet.alive()).allMatch(each -> each.status().children() <= 4);
-    fleet.leader().orElseThrow().alive = false;
+    assertThat(fleet.runUntil(60_000, fleet::hasConverged)).isNotNegative();
+    assertThat(fleet.liveProcesses()).allMatch(each -> each.status().children() <= 4);
+    fleet.leader().orElseThrow().isAlive = false;
     fleet.run(3_000);
     assertThat(fleet.runUntil(30_000, () -> fleet.leader().isPresent())).isNotNegative();
-    assertThat(fleet.alive()).allMatch(each -> each.status().children() <= 4);
+    assertThat(fleet.liveProcesses()).allMatch(each -> each.status().children() <= 4);
   }
 
   @ParameterizedTest
@@ -195,7 +196,7 @@
           new PlatformDocument.Machine(
               fleet.address(index), "z", "r", PlatformDocument.MachineState.LIVE));
     }
-    fleet.platform = new PlatformDocument(2, TestFleet.document(2).services(), machines);
+    fleet.platformDocument = new PlatformDocument(2, TestFleet.document(2).services(), machines);
     fleet.run(5_000);
     fleet.kill(0);
     fleet.run(40_000);
@@ -212,12 +213,12 @@
   @Test
   void olderPlatformRevisionIsReportedAndIgnored() {
     TestFleet fleet = formedFleet(14);
-    fleet.platform = TestFleet.document(5);
+    fleet.platformDocument = TestFleet.document(5);
     fleet.run(5_000);
-    fleet.platform = TestFleet.document(3);
+    fleet.platformDocument = TestFleet.document(3);
     fleet.run(5_000);
     assertThat(fleet.notices).anyMatch(notice -> notice.contains("platform-revision-went-back"));
-    assertThat(fleet.alive()).allMatch(each -> each.revision == 5);
+    assertThat(fleet.liveProcesses()).allMatch(each -> each.revision == 5);
     assertThat(fleet.violations).isEmpty();
   }
 
@@ -229,15 +230,15 @@
   @Test
   void platformRestoredInANewerEraIsFollowed() {
     TestFleet fleet = formedFleet(14);
-    fleet.platform = TestFleet.document(5);
+    fleet.platformDocument = TestFleet.document(5);
     fleet.run(5_000);
     long restored = new StorePosition(1, 3).packed();
-    fleet.platform = TestFleet.document(restored);
+    fleet.platformDocument = TestFleet.document(restored);
     fleet.run(5_000);
-    assertThat(fleet.alive()).allMatch(each -> each.revision == restored);
-    fleet.platform = TestFleet.document(new StorePosition(0, 9).packed());
+    assertThat(fleet.liveProcesses()).allMatch(each -> each.revision == restored);
+    fleet.platformDocument = TestFleet.document(new StorePosition(0, 9).packed());
     fleet.run(5_000);
-    assertThat(fleet.alive()).allMatch(each -> each.revision == restored);
+    assertThat(fleet.liveProcesses()).allMatch(each -> each.revision == restored);
     assertThat(fleet.violations).isEmpty();
   }
 
@@ -245,13 +246,13 @@
   void pairThatDoesNotComposeKeepsTheLastValidOne() {
     TestFleet fleet = formedFleet(15);
     submitAccepted(fleet, "p1");
-    fleet.platform = new PlatformDocument(9, new TreeMap<>(), List.of());
+    fleet.platformDocument = new PlatformDocument(9, new TreeMap<>(), List.of());
     fleet.run(5_000);
-    assertThat(fleet.alive()).allMatch(each -> each.revision == 1);
+    assertThat(fleet.liveProcesses()).allMatch(each -> each.revision == 1);
     assertThat(fleet.process(0).status().compositionViolations())
         .anyMatch(violation -> violation.field().equals("pools[p1].service"));
-    fleet.platform = TestFleet.document(10);
+    fleet.platformDocument = TestFleet.document(10);
     fleet.run(5_000);
-    assertThat(fleet.alive()).allMatch(each -> each.revision == 10);
+    assertThat(fleet.liveProcesses()).allMatch(each -> each.revision == 10);
   }
 }
--- a/umberpath-control/src/test/java/io/umberpath/control/DistributionTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/DistributionTest.java
@@ -21,17 +21,17 @@
   void newestObservationReachesEveryNodeAcrossRestarts(double loss, double duplication) {
     TestFleet fleet = new TestFleet(31, 12, 4);
     fleet.startAll();
-    assertThat(fleet.runUntil(20_000, fleet::converged)).isNotNegative();
+    assertThat(fleet.runUntil(20_000, fleet::hasConverged)).isNotNegative();
     for (int counter = 1; counter <= 50; counter++) {
       observe(fleet, 3, new ObservedBackend("b1", 7, counter, Phase.READY, counter));
     }
     observe(fleet, 3, new ObservedBackend("b1", 6, 99, Phase.DOWN, 0));
     assertThat(fleet.runUntil(5_000, () -> hasReachedAll(fleet, 50))).isNotNegative();
-    fleet.loss = loss;
-    fleet.duplication = duplication;
+    fleet.lossProbability = loss;
+    fleet.duplicationProbability = duplication;
     fleet.restart(8);
     fleet.restart(0);
-    assertThat(fleet.runUntil(60_000, fleet::converged)).isNotNegative();
+    assertThat(fleet.runUntil(60_000, fleet::hasConverged)).isNotNegative();
     assertThat(fleet.runUntil(60_000, () -> hasReachedAll(fleet, 50))).isNotNegative();
   }
 
@@ -40,7 +40,7 @@
   }
 
   private static boolean hasReachedAll(TestFleet fleet, long counter) {
-    return fleet.alive().stream()
+    return fleet.liveProcesses().stream()
         .filter(each -> !each.address().equals(fleet.address(3)))
         .allMatch(
             each ->
--- a/umberpath-control/src/test/java/io/umberpath/control/FormationTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/FormationTest.java
@@ -16,17 +16,19 @@
   @CsvSource({"1,1", "3,1", "5,2", "12,4", "30,4"})
   void newFleetFormsCommitsAndActivates(int size, int zones) {
     TestFleet fleet = new TestFleet(7, size, zones);
-    fleet.platform = TestFleet.document(4);
+    fleet.platformDocument = TestFleet.document(4);
     fleet.startAll();
-    assertThat(fleet.runUntil(20_000, fleet::converged)).as("formed").isNotNegative();
+    assertThat(fleet.runUntil(20_000, fleet::hasConverged)).as("formed").isNotNegative();
     assertThat(fleet.runUntil(20_000, () -> fleet.process(0).revision == 4)).isNotNegative();
-    long ticket = fleet.submit(fleet.process(size - 1), TestFleet.pool("r1", "p1"));
+    long ticket = fleet.submit(fleet.process(size - 1), TestFleet.poolChange("r1", "p1"));
     assertThat(fleet.runUntil(5_000, () -> fleet.answers.containsKey(ticket))).isNotNegative();
     assertThat(fleet.answers.get(ticket)).isInstanceOf(ChangeResult.Accepted.class);
     assertThat(
             fleet.runUntil(
                 5_000,
-                () -> fleet.alive().stream().allMatch(p -> p.snapshot.pools().containsKey("p1"))))
+                () ->
+                    fleet.liveProcesses().stream()
+                        .allMatch(p -> p.snapshot.pools().containsKey("p1"))))
         .isNotNegative();
     assertThat(fleet.violations).isEmpty();
     assertThat(fleet.maxConcurrentReaders).isBetween(1, 2);
@@ -44,7 +46,7 @@
     assertThat(fleet.leader()).isEmpty();
     assertThat(fleet.violations).isEmpty();
     fleet.isCut = (from, to) -> false;
-    assertThat(fleet.runUntil(30_000, fleet::converged)).isNotNegative();
+    assertThat(fleet.runUntil(30_000, fleet::hasConverged)).isNotNegative();
     assertThat(fleet.violations).isEmpty();
   }
 
@@ -55,12 +57,12 @@
     for (int index = 0; index < 5; index++) {
       fleet.start(index);
     }
-    assertThat(fleet.runUntil(20_000, fleet::converged)).isNotNegative();
+    assertThat(fleet.runUntil(20_000, fleet::hasConverged)).isNotNegative();
     fleet.start(5);
-    assertThat(fleet.runUntil(20_000, fleet::converged)).isNotNegative();
+    assertThat(fleet.runUntil(20_000, fleet::hasConverged)).isNotNegative();
     int slot = fleet.process(5).status().self().slot();
     fleet.restart(5);
-    assertThat(fleet.runUntil(20_000, fleet::converged)).isNotNegative();
+    assertThat(fleet.runUntil(20_000, fleet::hasConverged)).isNotNegative();
     assertThat(fleet.process(5).status().self().slot()).isGreaterThan(slot);
     assertThat(fleet.violations).isEmpty();
   }
--- a/umberpath-control/src/test/java/io/umberpath/control/ReportDifferenceTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/ReportDifferenceTest.java
@@ -37,11 +37,11 @@
   @ParameterizedTest(name = "{0}")
   @MethodSource("reports")
   void completionRestoresTheOriginalGroups(
-      String name, List<ReportGroup> former, List<ReportGroup> groups, boolean leavesOut) {
+      String name, List<ReportGroup> former, List<ReportGroup> groups, boolean omitsSlots) {
     List<ReportGroup> sent = ReportDifference.between(former, groups);
-    assertThat(!sent.equals(groups)).as(name).isEqualTo(leavesOut);
+    assertThat(!sent.equals(groups)).as(name).isEqualTo(omitsSlots);
     assertThat(ReportDifference.complete(Optional.of(former), sent)).contains(groups);
-    assertThat(ReportDifference.complete(Optional.empty(), sent).isEmpty()).isEqualTo(leavesOut);
+    assertThat(ReportDifference.complete(Optional.empty(), sent).isEmpty()).isEqualTo(omitsSlots);
   }
 
   @Test
--- a/umberpath-control/src/test/java/io/umberpath/control/SeededFaultTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/SeededFaultTest.java
@@ -16,13 +16,13 @@
   @ParameterizedTest
   @EnumSource(value = SeededFault.class, mode = Mode.EXCLUDE, names = "SKIP_INCARNATION_RULE")
   void checksDetectEverySeededFault(SeededFault fault) {
-    int caught = 0;
-    for (int seed = 1; seed <= SEEDS && caught == 0; seed++) {
-      boolean wrong =
+    int detected = 0;
+    for (int seed = 1; seed <= SEEDS && detected == 0; seed++) {
+      boolean isDetected =
           new ChaosRun(seed, Optional.of(fault))
               .run().stream().anyMatch(each -> !each.contains("converge"));
-      caught += wrong ? 1 : 0;
+      detected += isDetected ? 1 : 0;
     }
-    assertThat(caught).as("caught " + fault).isPositive();
+    assertThat(detected).as("caught " + fault).isPositive();
   }
 }
--- a/umberpath-control/src/test/java/io/umberpath/control/TestFleet.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/TestFleet.java
@@ -31,31 +31,31 @@
  * A small fleet on a virtual clock and a seeded network that loses, delays and duplicates messages.
  */
 final class TestFleet {
-  static final long HEARTBEAT = 200;
-  static final long STALL = 800;
-  static final long ELECTION = 1_000;
+  static final long HEARTBEAT_MILLIS = 200;
+  static final long STALL_MILLIS = 800;
+  static final long ELECTION_MILLIS = 1_000;
 
   final Map<PeerAddress, Process> processes = new LinkedHashMap<>();
   final Map<Long, ChangeResult> answers = new HashMap<>();
   final List<String> notices = new ArrayList<>();
   final List<String> violations = new ArrayList<>();
-  long now = 1_000;
-  double loss;
-  double duplication;
-  long maxDelay = 5;
+  long nowMillis = 1_000;
+  double lossProbability;
+  double duplicationProbability;
+  long maxDelayMillis = 5;
   int maxConcurrentReaders;
   Optional<SeededFault> fault = Optional.empty();
   ControlSettings.QuorumRule quorum = ControlSettings.QuorumRule.MAJORITY;
   int initialMembers;
   int rememberedChanges = 1_000;
-  int maxQueued = 100;
+  int maxQueuedChanges = 100;
   int maxChildren = 8;
   int maxReaders = 2;
-  long batchWindow = 10;
+  long batchWindowMillis = 10;
   BiPredicate<PeerAddress, PeerAddress> isCut = (from, to) -> false;
-  PlatformDocument platform = PlatformDocument.NONE;
+  PlatformDocument platformDocument = PlatformDocument.NONE;
   BiPredicate<PeerAddress, PlatformDocument> platformReachable = (reader, document) -> true;
-  long sent;
+  long sentMessages;
   final Set<Version> committed = new HashSet<>();
   BiConsumer<Long, String> trace = (time, text) -> {};
   private final SplittableRandom random;
@@ -82,8 +82,8 @@
     Version active = Version.NONE;
     long revision;
     ProxySnapshot snapshot = ProxySnapshot.EMPTY;
-    boolean alive = true;
-    boolean paused;
+    boolean isAlive = true;
+    boolean isPaused;
     final List<Long> tickets = new ArrayList<>();
     final Map<String, ObservedBackend> observed = new HashMap<>();
 
@@ -106,10 +106,10 @@
     }
 
     void input(ControlInput input) {
-      if (alive) {
-        List<ControlOutput> outputs = node.handle(now, input);
+      if (isAlive) {
+        List<ControlOutput> outputs = node.handle(nowMillis, input);
         committed.add(node.status().committed().version());
-        outputs.forEach(output -> output(this, output));
+        outputs.forEach(output -> onOutput(this, output));
         schedule();
       }
     }
@@ -117,28 +117,30 @@
     private void schedule() {
       long wakeAt = node.nextWakeMillis();
       if (wakeAt != Long.MAX_VALUE) {
-        at(Math.max(wakeAt, now), () -> wake());
+        runAt(Math.max(wakeAt, nowMillis), () -> wake());
       }
     }
 
     private void wake() {
-      if (paused) {
+      if (isPaused) {
         return;
       }
-      if (alive && node.nextWakeMillis() <= now) {
+      if (isAlive && node.nextWakeMillis() <= nowMillis) {
         input(new ControlInput.Tick());
       }
     }
   }
 
-  private record Event(long at, long order, Runnable action) implements Comparable<Event> {
+  private record Event(long timeMillis, long order, Runnable action) implements Comparable<Event> {
     @Override
     public int compareTo(Event other) {
-      return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
+      return timeMillis != other.timeMillis
+          ? Long.compare(timeMillis, other.timeMillis)
+          : Long.compare(order, other.order);
     }
   }
 
-  void at(long time, Runnable action) {
+  void runAt(long time, Runnable action) {
     events.add(new Event(time, sequence++, action));
   }
 
@@ -165,23 +167,23 @@
             seeds,
             initialMembers,
             quorum,
-            batchWindow,
-            HEARTBEAT,
-            STALL,
-            ELECTION,
+            batchWindowMillis,
+            HEARTBEAT_MILLIS,
+            STALL_MILLIS,
+            ELECTION_MILLIS,
             3,
             maxChildren,
             maxReaders,
             500,
-            maxQueued,
+            maxQueuedChanges,
             rememberedChanges);
     ControlNode node =
         fault
-            .map(wrong -> ControlNodes.createWithFault(settings, shared, wrong))
+            .map(seeded -> ControlNodes.createWithFault(settings, shared, seeded))
             .orElseGet(() -> ControlNodes.create(settings, shared));
     Process process = new Process(member, node);
     processes.put(address(index), process);
-    at(now + random.nextInt(50), () -> process.input(new ControlInput.Tick()));
+    runAt(nowMillis + random.nextInt(50), () -> process.input(new ControlInput.Tick()));
     return process;
   }
 
@@ -191,11 +193,11 @@
 
   void kill(int index) {
     Process process = process(index);
-    process.alive = false;
+    process.isAlive = false;
     for (Process other : List.copyOf(processes.values())) {
-      if (other.alive && random.nextBoolean()) {
-        at(
-            now + random.nextInt(100),
+      if (other.isAlive && random.nextBoolean()) {
+        runAt(
+            nowMillis + random.nextInt(100),
             () -> other.input(new ControlInput.PeerUnreachable(process.address())));
       }
     }
@@ -207,28 +209,28 @@
   }
 
   void pause(int index) {
-    process(index).paused = true;
+    process(index).isPaused = true;
   }
 
   void resume(int index) {
     Process process = process(index);
-    process.paused = false;
+    process.isPaused = false;
     process.wake();
     process.schedule();
   }
 
-  private void output(Process from, ControlOutput output) {
+  private void onOutput(Process from, ControlOutput output) {
     if (output instanceof ControlOutput.Send send) {
       send(from, send);
     } else if (output instanceof ControlOutput.Activate activate) {
-      activated(from, activate.snapshot());
+      onActivation(from, activate.snapshot());
     } else if (output instanceof ControlOutput.ChangeAnswered answered) {
-      trace.accept(now, from.address() + " " + answered);
+      trace.accept(nowMillis, from.address() + " " + answered);
       if (answers.put(answered.ticket(), answered.result()) != null) {
         violations.add("ticket " + answered.ticket() + " answered twice");
       }
     } else if (output instanceof ControlOutput.Notice notice) {
-      notices.add(now + " " + from.address() + " " + notice.event() + ": " + notice.detail());
+      notices.add(nowMillis + " " + from.address() + " " + notice.event() + ": " + notice.detail());
     } else if (output instanceof ControlOutput.ObservedUpdated updated) {
       updated.backends().forEach(each -> from.observed.put(each.backendId(), each));
     } else if (output instanceof ControlOutput.ReadPlatform) {
@@ -239,14 +241,14 @@
   private void read(Process reader) {
     long readers =
         processes.values().stream()
-            .filter(each -> each.alive && !each.paused && isReader(each))
+            .filter(each -> each.isAlive && !each.isPaused && isReader(each))
             .count();
-    trace.accept(now, reader.address() + " reads as one of " + readers);
+    trace.accept(nowMillis, reader.address() + " reads as one of " + readers);
     maxConcurrentReaders = Math.max(maxConcurrentReaders, (int) readers);
-    PlatformDocument document = platform;
+    PlatformDocument document = platformDocument;
     boolean reachable = platformReachable.test(reader.address(), document);
-    at(
-        now + 5,
+    runAt(
+        nowMillis + 5,
         () ->
             reader.input(
                 reachable
@@ -259,35 +261,36 @@
   }
 
   private void send(Process from, ControlOutput.Send send) {
-    sent++;
-    trace.accept(now, from.address() + " -> " + send.to() + " " + send.message());
-    int copies = random.nextDouble() < duplication ? 2 : 1;
+    sentMessages++;
+    trace.accept(nowMillis, from.address() + " -> " + send.to() + " " + send.message());
+    int copies = random.nextDouble() < duplicationProbability ? 2 : 1;
     for (int copy = 0; copy < copies; copy++) {
-      if (random.nextDouble() >= loss) {
-        long delay = 1 + random.nextLong(maxDelay);
-        at(now + delay, () -> arrive(from.address(), send));
+      if (random.nextDouble() >= lossProbability) {
+        long delay = 1 + random.nextLong(maxDelayMillis);
+        runAt(nowMillis + delay, () -> deliver(from.address(), send));
       }
     }
   }
 
-  private void arrive(PeerAddress from, ControlOutput.Send send) {
+  private void deliver(PeerAddress from, ControlOutput.Send send) {
     Process to = processes.get(send.to());
-    if (to == null || !to.alive || isCut.test(from, send.to())) {
+    if (to == null || !to.isAlive || isCut.test(from, send.to())) {
       return;
     }
-    if (to.paused) {
-      at(now + 10, () -> arrive(from, send));
+    if (to.isPaused) {
+      runAt(nowMillis + 10, () -> deliver(from, send));
       return;
     }
     to.input(new ControlInput.MessageReceived(from, send.message()));
   }
 
-  private void activated(Process process, ProxySnapshot snapshot) {
+  private void onActivation(Process process, ProxySnapshot snapshot) {
     if (process.active.isAfter(snapshot.version()) || process.revision > snapshot.revision()) {
-      violations.add(now + " " + process.address() + " went back to " + snapshot.version());
+      violations.add(nowMillis + " " + process.address() + " went back to " + snapshot.version());
     }
     if (!committed.contains(snapshot.version())) {
-      violations.add(now + " " + process.address() + " runs uncommitted " + snapshot.version());
+      violations.add(
+          nowMillis + " " + process.address() + " runs uncommitted " + snapshot.version());
     }
     process.active = snapshot.version();
     process.revision = snapshot.revision();
@@ -301,50 +304,50 @@
   }
 
   /** Advances the virtual clock by the given time. */
-  void run(long millis) {
-    long end = now + millis;
-    while (!events.isEmpty() && events.peek().at() <= end) {
+  void run(long durationMillis) {
+    long end = nowMillis + durationMillis;
+    while (!events.isEmpty() && events.peek().timeMillis() <= end) {
       Event event = events.poll();
-      now = Math.max(now, event.at());
+      nowMillis = Math.max(nowMillis, event.timeMillis());
       event.action().run();
     }
-    now = end;
+    nowMillis = end;
   }
 
   /**
    * Runs until the condition holds; returns the elapsed time, or -1 if the limit is reached first.
    */
-  long runUntil(long limit, BooleanSupplier condition) {
-    long start = now;
-    while (now - start < limit) {
+  long runUntil(long limitMillis, BooleanSupplier condition) {
+    long start = nowMillis;
+    while (nowMillis - start < limitMillis) {
       if (condition.getAsBoolean()) {
-        return now - start;
+        return nowMillis - start;
       }
       run(10);
     }
-    return condition.getAsBoolean() ? now - start : -1;
+    return condition.getAsBoolean() ? nowMillis - start : -1;
   }
 
-  List<Process> alive() {
-    return processes.values().stream().filter(process -> process.alive).toList();
+  List<Process> liveProcesses() {
+    return processes.values().stream().filter(process -> process.isAlive).toList();
   }
 
   Optional<Process> leader() {
-    return alive().stream()
+    return liveProcesses().stream()
         .filter(process -> process.status().role() == ControlStatus.Role.LEADER)
         .max((a, b) -> Long.compare(a.status().epoch(), b.status().epoch()));
   }
 
   /** Whether every live process is a member of one committed state and runs that state. */
-  boolean converged() {
+  boolean hasConverged() {
     Optional<Process> leader = leader();
     if (leader.isEmpty()) {
       return false;
     }
     Version version = leader.get().status().committed().version();
     int members = leader.get().status().committed().roster().size();
-    return members >= alive().size()
-        && alive().stream()
+    return members >= liveProcesses().size()
+        && liveProcesses().stream()
             .allMatch(
                 process -> process.active.equals(version) && process.status().self().slot() >= 0);
   }
@@ -356,11 +359,11 @@
     return ticket;
   }
 
-  static ChangeSet pool(String id, String name) {
-    return pool(id, name, 1);
+  static ChangeSet poolChange(String id, String name) {
+    return poolChange(id, name, 1);
   }
 
-  static ChangeSet pool(String id, String name, int slots) {
+  static ChangeSet poolChange(String id, String name, int slots) {
     return change(
         id, List.of(new Pool(name, "t1", Tier.STANDARD, "booking", slots, 10)), List.of());
   }
--- a/umberpath-control/src/test/java/io/umberpath/control/membership/MembershipAtScaleTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/membership/MembershipAtScaleTest.java
@@ -58,7 +58,7 @@
 
   private final Random random = new Random(SEED);
   private final Map<String, Node> nodes = new HashMap<>();
-  private double loss;
+  private double lossProbability;
 
   private void build(int size, int zones) {
     for (int index = 0; index < size; index++) {
@@ -153,13 +153,13 @@
   private boolean arrives(Node from, Node to) {
     from.sent++;
     boolean otherZone = !from.zone.equals(to.zone);
-    return !to.isDead && !(otherZone && random.nextDouble() < loss);
+    return !to.isDead && !(otherZone && random.nextDouble() < lossProbability);
   }
 
   @ParameterizedTest
   @CsvSource({"10, 3", "74, 3", "95, 7", "100, 7", "300, 7", "300, 3", "1000, 8"})
   void noHealthyNodeIsSilentAndMessagesStayBounded(int size, int zones) {
-    loss = 0.05;
+    lossProbability = 0.05;
     build(size, zones);
 
     for (long now = 0; now < RUN_MILLIS; now += SilenceTimes.ROUND_MILLIS) {
