--- a/umberpath-control/src/main/java/io/umberpath/control/ChangeDecider.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/ChangeDecider.java
@@ -14,17 +14,17 @@
 import java.util.Optional;
 
 /**
- * A leader's decisions about operator changes. Nothing is refused before the term has committed its
- * first state: until then a change that a former leader proposed may still turn up.
+ * Decides operator changes at the leader. No change is refused before the term has committed its
+ * first state, because a change proposed by a previous leader may still be committed until then.
  */
 final class ChangeDecider {
   private final NodeContext context;
   private final Acceptor acceptor;
   private final ChangeQueue queue;
-  private final OriginLedger ledger = new OriginLedger();
+  private final ForwardedChanges forwardedChanges = new ForwardedChanges();
   private final List<Entry> proposed = new ArrayList<>();
-  private boolean leads;
-  private boolean settled;
+  private boolean isLeader;
+  private boolean hasCommitted;
   private long epoch;
 
   ChangeDecider(NodeContext context, Acceptor acceptor) {
@@ -35,45 +35,45 @@
 
   void beginTerm(long newEpoch) {
     endTerm();
-    leads = true;
+    isLeader = true;
     epoch = newEpoch;
   }
 
   void endTerm() {
-    leads = false;
-    settled = false;
+    isLeader = false;
+    hasCommitted = false;
     queue.clear();
     proposed.clear();
-    ledger.clear();
+    forwardedChanges.clear();
   }
 
-  /** A node passed an operator's change on. */
-  void forwarded(ForwardChange forward) {
-    if (!leads || forward.epoch() != epoch) {
+  /** Handles an operator change forwarded by another node. */
+  void onForward(ForwardChange forward) {
+    if (!isLeader || forward.epoch() != epoch) {
       return;
     }
-    switch (ledger.arrived(forward)) {
-      case NEW -> queue(forward);
-      case DECIDED -> ledger.result(forward).ifPresent(result -> reply(forward, result));
+    switch (forwardedChanges.onArrival(forward)) {
+      case NEW -> enqueue(forward);
+      case DECIDED -> forwardedChanges.result(forward).ifPresent(result -> reply(forward, result));
       default -> {}
     }
   }
 
-  private void queue(ForwardChange forward) {
+  private void enqueue(ForwardChange forward) {
     Entry entry =
         new Entry(
             forward.change(),
             () -> {},
             result -> {
-              ledger.decided(forward, result);
+              forwardedChanges.markDecided(forward, result);
               reply(forward, result);
             });
-    ledger.queued(forward);
+    forwardedChanges.markQueued(forward);
     if (!offer(entry)) {
-      if (settled) {
-        entry.onResult().accept(overloaded());
+      if (hasCommitted) {
+        entry.onResult().accept(overloadRefusal());
       } else {
-        ledger.forget(forward);
+        forwardedChanges.remove(forward);
       }
     }
   }
@@ -85,13 +85,14 @@
   }
 
   /**
-   * Queues a change, or answers it at once if it was answered before.
+   * Queues a change, or responds immediately if its result is already known.
    *
    * @return false if the queue of its tier is full
    */
   boolean offer(Entry entry) {
-    if (settled) {
-      Optional<ChangeResult> known = ChangeBatch.repeated(acceptor.committed(), entry.change());
+    if (hasCommitted) {
+      Optional<ChangeResult> known =
+          ChangeBatch.findPreviousResult(acceptor.committed(), entry.change());
       if (known.isPresent()) {
         entry.onResult().accept(known.get());
         return true;
@@ -100,27 +101,32 @@
     return queue.offer(entry, context.now());
   }
 
-  /** Whether a change may be refused in this term. */
+  /** Whether changes may be refused at this point of the term. */
   boolean mayRefuse() {
-    return settled;
+    return hasCommitted;
   }
 
-  static ChangeResult overloaded() {
+  static ChangeResult overloadRefusal() {
     return new ChangeResult.Refused(RefusalCode.OVERLOADED, List.of());
   }
 
-  /** Takes a change back; returns whether it certainly was not proposed in this term. */
-  boolean withdraw(Entry entry) {
+  /**
+   * Removes a change from the queue; returns whether it certainly was not proposed in this term.
+   */
+  boolean cancel(Entry entry) {
     return queue.remove(entry);
   }
 
-  /** When the oldest queued change came; {@link Long#MAX_VALUE} if none waits. */
-  long waitingSince() {
+  /** When the oldest queued change arrived; {@link Long#MAX_VALUE} if the queue is empty. */
+  long queuedSince() {
     return queue.firstQueuedAt();
   }
 
-  /** Takes the next batch of changes; those that cannot run are answered at once. */
-  ChangeBatch batch(FleetState committed, Version target, PlatformDocument document) {
+  /**
+   * Takes the next batch of changes from the queue; changes that are refused get their result
+   * immediately.
+   */
+  ChangeBatch nextBatch(FleetState committed, Version target, PlatformDocument document) {
     ChangeBatch batch = new ChangeBatch(committed, target, document);
     for (Entry entry : queue.takeBatch(context.now())) {
       ChangeSet change = entry.change();
@@ -135,12 +141,12 @@
     return batch;
   }
 
-  /** The proposal was committed: everything in it was accepted. */
-  void committed(FleetState state) {
-    settled = true;
+  /** Reports the changes of the committed proposal as accepted. */
+  void onCommitted(FleetState state) {
+    hasCommitted = true;
     for (Entry entry : proposed) {
       ChangeResult result =
-          ChangeBatch.repeated(state, entry.change())
+          ChangeBatch.findPreviousResult(state, entry.change())
               .orElseGet(() -> new ChangeResult.Accepted(state.version()));
       entry.onResult().accept(result);
     }
--- a/umberpath-control/src/main/java/io/umberpath/control/Child.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/Child.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** What a parent knows of one child and its subtree. */
+/** A parent's view of one child and its subtree. */
 final class Child {
   private Member process;
   private Version held;
@@ -20,7 +20,7 @@
   private Round round = Round.NONE;
   private List<ReportGroup> groups = List.of();
   private long groupsNumber = -1;
-  private boolean reportWanted;
+  private boolean needsCompleteReport;
   private List<Member> joins = List.of();
   private boolean joinsChanged;
 
@@ -35,8 +35,8 @@
     return process;
   }
 
-  /** A repeated attachment of the same process. */
-  void attachAgain(Member member, Version newHeld, long now) {
+  /** Handles another attachment of the same process. */
+  void reattach(Member member, Version newHeld, long now) {
     process = member;
     held = newHeld;
     sent = newHeld;
@@ -46,38 +46,38 @@
   }
 
   /**
-   * Takes a report.
+   * Applies a report.
    *
    * @param slot the child's own slot, or {@link Member#NO_SLOT}
-   * @return whether the state of the subtree changed; a late report changes nothing
+   * @return whether the state of the subtree changed; a late report is ignored
    */
-  boolean take(Report report, int slot, long now) {
+  boolean applyReport(Report report, int slot, long now) {
     boolean otherProcess = report.incarnation() != process.incarnation();
     if (otherProcess || report.number() <= reportNumber) {
       return false;
     }
     heardAt = now;
     reportNumber = report.number();
-    boolean changed = takeGroups(report) | epoch != report.epoch();
+    boolean changed = applyGroups(report) | epoch != report.epoch();
     epoch = report.epoch();
     round = report.round();
     if (!report.joinsKept()) {
       joinsChanged |= !joins.equals(report.joins());
       joins = report.joins();
     }
-    held = report.wholeStateWanted() ? Version.NONE : ownHeld(slot);
+    held = report.wholeStateWanted() ? Version.NONE : heldBySlot(slot);
     if (report.wholeStateWanted()) {
       sent = Version.NONE;
     }
     return changed;
   }
 
-  private boolean takeGroups(Report report) {
+  private boolean applyGroups(Report report) {
     boolean formerKnown = groupsNumber == report.number() - 1;
     Optional<List<ReportGroup>> former = formerKnown ? Optional.of(groups) : Optional.empty();
     Optional<List<ReportGroup>> complete = ReportDifference.complete(former, report.groups());
-    reportWanted = complete.isEmpty();
-    if (reportWanted) {
+    needsCompleteReport = complete.isEmpty();
+    if (needsCompleteReport) {
       return false;
     }
     boolean changed = !groups.equals(complete.get());
@@ -87,13 +87,14 @@
   }
 
   /**
-   * Whether the last report builds on one that did not arrive, so that a complete one is needed.
+   * Whether the last report is based on one that did not arrive, so that a complete report is
+   * needed.
    */
-  boolean isReportWanted() {
-    return reportWanted;
+  boolean needsCompleteReport() {
+    return needsCompleteReport;
   }
 
-  private Version ownHeld(int slot) {
+  private Version heldBySlot(int slot) {
     for (ReportGroup group : groups) {
       if (slot != Member.NO_SLOT && group.slots().contains(slot)) {
         return group.held();
@@ -115,8 +116,10 @@
     sentAt = now;
   }
 
-  /** The child did not take what was sent; send it again from what it reports. */
-  void rewind() {
+  /**
+   * Resets what was sent to what the child reports, so that deltas it did not apply are sent again.
+   */
+  void resetSent() {
     sent = held;
   }
 
@@ -136,23 +139,23 @@
     return groups;
   }
 
-  /** Newest round the child had heard at its last report. */
+  /** The newest round that the child had received at its last report. */
   Round round() {
     return round;
   }
 
   /** Whether every member of the subtree holds the version. */
-  boolean allHold(Version version) {
+  boolean allMembersHold(Version version) {
     return groups.stream().allMatch(group -> group.held().equals(version));
   }
 
   /** Whether every member of the subtree runs the pair. */
-  boolean allRun(Version version, long revision) {
+  boolean allMembersRun(Version version, long revision) {
     return groups.stream()
         .allMatch(group -> group.active().equals(version) && group.revision() == revision);
   }
 
-  /** Whether the waiting processes changed since the last call. */
+  /** Whether the processes waiting to join changed since the last call. */
   boolean takeJoinsChanged() {
     boolean taken = joinsChanged;
     joinsChanged = false;
--- a/umberpath-control/src/main/java/io/umberpath/control/DocumentSpread.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/DocumentDistributor.java
@@ -14,25 +14,25 @@
 import java.util.Optional;
 
 /**
- * Holds the newest platform document and spreads it along the tree both ways, as differences where
- * the neighbour holds a recent revision. Revisions are packed positions (see {@link
- * StorePosition}), so that those of a newer era of the platform come after all others. One at or
- * below the held one changes nothing.
+ * Holds the newest platform document and distributes it along the relay tree in both directions, as
+ * deltas if the neighbour holds a recent revision. Revisions are packed positions (see {@link
+ * StorePosition}), so revisions of a newer era of the platform sort after all others. A revision
+ * that is not newer than the held one is ignored.
  */
-final class DocumentSpread {
+final class DocumentDistributor {
   private static final int RECENT_DOCUMENTS = 8;
 
   private final NodeContext context;
-  private final Deque<PlatformDocument> recent = new ArrayDeque<>();
+  private final Deque<PlatformDocument> recentDocuments = new ArrayDeque<>();
   private PlatformDocument current = PlatformDocument.NONE;
-  private long wentBackTo = Long.MAX_VALUE;
+  private long lastOlderRevision = Long.MAX_VALUE;
   private long knownRevision;
   private long nextRequestAt;
   private long nextPushAt;
   private PeerAddress source;
-  private boolean spreadDue;
+  private boolean isDistributionDue;
 
-  DocumentSpread(NodeContext context) {
+  DocumentDistributor(NodeContext context) {
     this.context = context;
   }
 
@@ -44,31 +44,31 @@
     return current.revision();
   }
 
-  /** Learns that a process holds, or held, this revision. */
-  void known(long revision) {
+  /** Records that a process holds, or held, this revision. */
+  void recordKnownRevision(long revision) {
     knownRevision = Math.max(knownRevision, revision);
   }
 
-  /** Whether no newer revision than the held one is known to exist. */
+  /** Whether no revision newer than the held one is known to exist. */
   boolean isNewestKnown() {
     return current.revision() >= knownRevision;
   }
 
-  /** The held revision as children are told it: complemented while a newer one is known. */
-  long stated() {
+  /** The held revision as stated to children: the bitwise complement while a newer one is known. */
+  long statedRevision() {
     return isNewestKnown() ? current.revision() : ~current.revision();
   }
 
-  /** Whether a stated revision is the newest its sender knew. */
+  /** Whether a stated revision was the newest that its sender knew. */
   static boolean isNewest(long stated) {
     return stated >= 0;
   }
 
-  /** The platform answered a read. */
-  void read(PlatformDocument document) {
+  /** Handles a document read from the platform. */
+  void onRead(PlatformDocument document) {
     if (document.revision() < current.revision()) {
-      if (document.revision() != wentBackTo) {
-        wentBackTo = document.revision();
+      if (document.revision() != lastOlderRevision) {
+        lastOlderRevision = document.revision();
         context.notice(
             "platform-revision-went-back",
             "platform answered "
@@ -78,7 +78,7 @@
       }
       return;
     }
-    wentBackTo = Long.MAX_VALUE;
+    lastOlderRevision = Long.MAX_VALUE;
     hold(document, null);
   }
 
@@ -87,16 +87,16 @@
       return;
     }
     current = document;
-    recent.addLast(document);
-    if (recent.size() > RECENT_DOCUMENTS) {
-      recent.removeFirst();
+    recentDocuments.addLast(document);
+    if (recentDocuments.size() > RECENT_DOCUMENTS) {
+      recentDocuments.removeFirst();
     }
     source = from;
-    spreadDue = true;
+    isDistributionDue = true;
   }
 
-  /** A neighbour sent a newer document, or a difference. */
-  void update(PeerAddress from, DocumentDelta delta) {
+  /** Handles a newer document or delta from a neighbour. */
+  void onUpdate(PeerAddress from, DocumentDelta delta) {
     if (delta.revision() <= current.revision()) {
       return;
     }
@@ -120,8 +120,8 @@
     }
   }
 
-  /** A neighbour asks for what it lacks. */
-  void requested(PeerAddress from, DocumentRequest request) {
+  /** Handles a neighbour's request for a newer document. */
+  void onRequest(PeerAddress from, DocumentRequest request) {
     if (request.revision() < current.revision()) {
       sendTo(from, request.revision());
     }
@@ -129,7 +129,7 @@
 
   private void sendTo(PeerAddress peer, long revision) {
     PlatformDocument base = PlatformDocument.NONE;
-    for (PlatformDocument document : recent) {
+    for (PlatformDocument document : recentDocuments) {
       if (document.revision() == revision) {
         base = document;
       }
@@ -137,10 +137,10 @@
     context.send(peer, new DocumentUpdate(context.shared().difference(base, current)));
   }
 
-  /** The parent told its revision, see {@link #stated()}. */
-  void parentHolds(PeerAddress parent, long stated) {
+  /** Handles the revision stated by the parent, see {@link #statedRevision()}. */
+  void onParentRevision(PeerAddress parent, long stated) {
     long revision = isNewest(stated) ? stated : ~stated;
-    known(revision);
+    recordKnownRevision(revision);
     if (revision > current.revision()) {
       request(parent, current.revision());
     } else if (revision < current.revision() && context.now() >= nextPushAt) {
@@ -149,43 +149,46 @@
     }
   }
 
-  /** A voter told the highest revision of its subtree. */
-  void voterHolds(PeerAddress voter, long revision) {
+  /** Handles the highest revision held in a voter's subtree. */
+  void onVoterRevision(PeerAddress voter, long revision) {
     if (revision > current.revision()) {
       request(voter, current.revision());
     }
   }
 
-  /** A new child told its revision. */
-  void childHolds(PeerAddress child, long revision) {
+  /** Handles the revision held by a new child. */
+  void onChildRevision(PeerAddress child, long revision) {
     if (revision < current.revision()) {
       sendTo(child, revision);
     }
   }
 
-  /** Sends a newly held document to every neighbour but the one it came from. */
+  /**
+   * Sends a newly held document to every neighbour except the one it came from; returns whether
+   * there was one.
+   */
   boolean flush(Optional<PeerAddress> parent, Collection<PeerAddress> children) {
-    if (!spreadDue) {
+    if (!isDistributionDue) {
       return false;
     }
-    spreadDue = false;
-    long before = previousRevision();
-    parent.filter(peer -> !peer.equals(source)).ifPresent(peer -> sendTo(peer, before));
+    isDistributionDue = false;
+    long previousRevision = previousRevision();
+    parent.filter(peer -> !peer.equals(source)).ifPresent(peer -> sendTo(peer, previousRevision));
     for (PeerAddress child : children) {
       if (!child.equals(source)) {
-        sendTo(child, before);
+        sendTo(child, previousRevision);
       }
     }
     return true;
   }
 
   private long previousRevision() {
-    long before = 0;
-    for (PlatformDocument document : recent) {
+    long previous = 0;
+    for (PlatformDocument document : recentDocuments) {
       if (document.revision() < current.revision()) {
-        before = document.revision();
+        previous = document.revision();
       }
     }
-    return before;
+    return previous;
   }
 }
--- a/umberpath-control/src/main/java/io/umberpath/control/Formation.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/Formation.java
@@ -5,38 +5,38 @@
 import java.util.List;
 
 /**
- * When a process that holds nothing may form a new fleet: it found no parent, sees every expected
- * process, and the seeds before it had time to do so.
+ * Decides when a process without any state may form a new fleet: it has found no parent, sees every
+ * expected process, and the seeds before it have had time to form the fleet.
  */
 final class Formation {
   private static final long ELECTIONS_PER_SEED = 2;
 
   private final NodeContext context;
   private final Acceptor acceptor;
-  private final Reports reports;
-  private boolean due;
+  private final SubtreeReporter reports;
+  private boolean isDue;
   private long parentlessSince = Long.MAX_VALUE;
   private long dueAt = Long.MAX_VALUE;
 
-  Formation(NodeContext context, Acceptor acceptor, Reports reports) {
+  Formation(NodeContext context, Acceptor acceptor, SubtreeReporter reports) {
     this.context = context;
     this.acceptor = acceptor;
     this.reports = reports;
   }
 
-  /** Looks again at what this process holds and sees. */
+  /** Re-evaluates the state of this process and the processes it sees. */
   void update(boolean hasParent) {
-    boolean blank = !acceptor.isMember() && acceptor.held().version().equals(Version.NONE);
-    due = false;
+    boolean isBlank = !acceptor.isMember() && acceptor.held().version().equals(Version.NONE);
+    isDue = false;
     dueAt = Long.MAX_VALUE;
-    if (!blank || hasParent) {
+    if (!isBlank || hasParent) {
       parentlessSince = Long.MAX_VALUE;
       return;
     }
     parentlessSince = Math.min(parentlessSince, context.now());
     if (reports.joins().size() >= context.settings().initialMembers()) {
       dueAt = parentlessSince + delay();
-      due = context.now() >= dueAt;
+      isDue = context.now() >= dueAt;
     }
   }
 
@@ -47,13 +47,16 @@
     return rank * ELECTIONS_PER_SEED * context.settings().electionMillis();
   }
 
-  /** Whether this process may ask the others to form a fleet now. */
+  /** Whether this process may now request votes for a new fleet. */
   boolean isDue() {
-    return due;
+    return isDue;
   }
 
-  /** When that may become so; {@link Long#MAX_VALUE} if it is so or nothing points to it. */
+  /**
+   * When {@link #isDue} may become true; {@link Long#MAX_VALUE} if it already is or formation is
+   * not in prospect.
+   */
   long nextAt() {
-    return due ? Long.MAX_VALUE : dueAt;
+    return isDue ? Long.MAX_VALUE : dueAt;
   }
 }
--- a/umberpath-control/src/main/java/io/umberpath/control/NodeContext.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/NodeContext.java
@@ -7,7 +7,9 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Settings, the time of the current input and its outputs; shared by the parts of one node. */
+/**
+ * Settings, the time of the current input and its outputs; shared by the components of one node.
+ */
 final class NodeContext {
   private final ControlSettings settings;
   private final SharedStates shared;
@@ -45,7 +47,7 @@
     return quorum;
   }
 
-  boolean has(SeededFault candidate) {
+  boolean hasFault(SeededFault candidate) {
     return fault.isPresent() && fault.get() == candidate;
   }
 
@@ -80,8 +82,8 @@
     outputs.add(new ControlOutput.Notice(event, detail));
   }
 
-  /** Jitter of this process. */
-  long spread(long attempt, long bound) {
-    return Spread.of(process(), attempt, bound);
+  /** Deterministic jitter of this process. */
+  long jitter(long attempt, long bound) {
+    return Jitter.of(process(), attempt, bound);
   }
 }
--- a/umberpath-control/src/main/java/io/umberpath/control/ReportDifference.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/ReportDifference.java
@@ -7,20 +7,21 @@
 import org.roaringbitmap.RoaringBitmap;
 
 /**
- * Shortens a report against the sender's former one. The slots of its largest group are left out
- * (empty) if they are exactly the slots of the former report that no other group names. While a
- * subtree keeps its members, a report's size thus does not depend on their number.
+ * Shortens a report relative to the sender's previous one. The slots of its largest group are
+ * omitted (empty) if they are exactly the slots of the previous report that no other group
+ * contains. While a subtree keeps its members, the size of a report therefore does not depend on
+ * their number.
  */
 final class ReportDifference {
   private ReportDifference() {}
 
   /**
-   * The groups to send.
+   * Computes the groups to send.
    *
-   * @param former complete groups of the former report
-   * @param groups complete groups of this one
+   * @param former complete groups of the previous report
+   * @param groups complete groups of this report
    */
-  static List<ReportGroup> of(List<ReportGroup> former, List<ReportGroup> groups) {
+  static List<ReportGroup> between(List<ReportGroup> former, List<ReportGroup> groups) {
     int largest = largest(groups);
     if (largest < 0) {
       return groups;
@@ -28,28 +29,29 @@
     List<ReportGroup> shortened = new ArrayList<>(groups);
     ReportGroup group = groups.get(largest);
     shortened.set(largest, withSlots(group, SlotSet.EMPTY));
-    return rest(former, shortened).equals(group.slots()) ? shortened : groups;
+    return remainder(former, shortened).equals(group.slots()) ? shortened : groups;
   }
 
   /**
-   * The complete groups of a report.
+   * Restores the complete groups of a report.
    *
-   * @param former complete groups of the report with the number before; empty if it is not known
-   * @return empty if the report needs a former one that is not known
+   * @param former complete groups of the report with the preceding number; empty if it is unknown
+   * @return empty if the report is based on a previous one that is unknown
    */
   static Optional<List<ReportGroup>> complete(
       Optional<List<ReportGroup>> former, List<ReportGroup> groups) {
     if (groups.stream().allMatch(group -> group.slots().size() > 0)) {
       return Optional.of(groups);
     }
-    return former.map(known -> filled(known, groups));
+    return former.map(known -> fillRemainder(known, groups));
   }
 
-  private static List<ReportGroup> filled(List<ReportGroup> former, List<ReportGroup> groups) {
-    SlotSet rest = rest(former, groups);
+  private static List<ReportGroup> fillRemainder(
+      List<ReportGroup> former, List<ReportGroup> groups) {
+    SlotSet remainder = remainder(former, groups);
     List<ReportGroup> complete = new ArrayList<>();
     for (ReportGroup group : groups) {
-      complete.add(group.slots().size() > 0 ? group : withSlots(group, rest));
+      complete.add(group.slots().size() > 0 ? group : withSlots(group, remainder));
     }
     return List.copyOf(complete);
   }
@@ -64,7 +66,7 @@
     return largest;
   }
 
-  private static SlotSet rest(List<ReportGroup> former, List<ReportGroup> groups) {
+  private static SlotSet remainder(List<ReportGroup> former, List<ReportGroup> groups) {
     RoaringBitmap slots = union(former);
     slots.andNot(union(groups));
     return SlotSet.copyOf(slots);
--- a/umberpath-control/src/main/java/io/umberpath/control/SharedStates.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/SharedStates.java
@@ -15,34 +15,34 @@
 import java.util.function.Function;
 
 /**
- * Remembers results of pure functions by the identity of their arguments, so that nodes emulated in
+ * Caches results of pure functions by the identity of their arguments, so that nodes emulated in
  * one process share states, rosters and snapshots instead of computing equal ones thousands of
  * times. Thread-safe and bounded.
  */
 public final class SharedStates {
-  private static final int OWN_CAPACITY = 4;
+  private static final int SINGLE_NODE_CAPACITY = 4;
 
   private final Cache<StateDelta, Applied> applied;
-  private final Cache<FleetState, StateDelta> whole;
+  private final Cache<FleetState, StateDelta> fullStates;
   private final Cache<FleetState, Composed> composed;
   private final Cache<Roster, RosterView> views;
   private final Cache<PlatformDocument, Long> hashes;
   private final Cache<ControlMessage.DocumentDelta, Patched> patched;
   private final Cache<PlatformDocument, Difference> differences;
 
-  /** For one node in a process of its own. */
+  /** Creates a cache for the only node of a process. */
   public SharedStates() {
-    this(OWN_CAPACITY);
+    this(SINGLE_NODE_CAPACITY);
   }
 
   /**
-   * For emulated nodes that share.
+   * Creates a cache for emulated nodes.
    *
-   * @param capacity results of each kind to remember, at least 1
+   * @param capacity number of results of each kind to cache, at least 1
    */
   public SharedStates(int capacity) {
     applied = cache(capacity);
-    whole = cache(capacity);
+    fullStates = cache(capacity);
     composed = cache(capacity);
     views = cache(capacity);
     hashes = cache(capacity);
@@ -58,7 +58,7 @@
         .<K, V>build();
   }
 
-  private static <K, V> V remembered(Cache<K, V> cache, K key, Function<K, V> function) {
+  private static <K, V> V computeIfAbsent(Cache<K, V> cache, K key, Function<K, V> function) {
     V known = cache.getIfPresent(key);
     if (known != null) {
       return known;
@@ -77,7 +77,7 @@
 
   private record Patched(PlatformDocument base, Either<Violation, PlatformDocument> result) {}
 
-  /** Applies a delta whole and checks the references of the result. */
+  /** Applies a delta completely and checks the references of the result. */
   Either<Violation, FleetState> apply(StateDelta delta, FleetState base) {
     FleetState effective = delta.isWholeState() ? FleetState.EMPTY : base;
     Applied known = applied.getIfPresent(delta);
@@ -85,25 +85,25 @@
       return known.result;
     }
     Either<Violation, FleetState> result =
-        StateDeltas.apply(delta, effective).flatMap(SharedStates::referencesHold);
+        StateDeltas.apply(delta, effective).flatMap(SharedStates::checkReferences);
     applied.put(delta, new Applied(effective, result));
     return result;
   }
 
-  private static Either<Violation, FleetState> referencesHold(FleetState state) {
+  private static Either<Violation, FleetState> checkReferences(FleetState state) {
     List<Violation> violations = ReferenceCheck.violations(state);
     return violations.isEmpty() ? Either.right(state) : Either.left(violations.get(0));
   }
 
-  /** Remembers what a leader already computed. */
+  /** Caches a result that a leader already computed. */
   void remember(StateDelta delta, FleetState base, FleetState result) {
     applied.put(delta, new Applied(base, Either.right(result)));
   }
 
-  /** The whole state as a delta. */
-  StateDelta whole(FleetState state) {
-    return remembered(
-        whole,
+  /** The full state as a delta. */
+  StateDelta fullState(FleetState state) {
+    return computeIfAbsent(
+        fullStates,
         state,
         key -> {
           StateDelta delta = StateDeltas.wholeState(key);
@@ -112,7 +112,7 @@
         });
   }
 
-  /** The composed pair, or why it does not compose. */
+  /** The composed pair, or the reasons why it does not compose. */
   Either<List<Violation>, ProxySnapshot> compose(FleetState state, PlatformDocument document) {
     Composed known = composed.getIfPresent(state);
     if (known != null && known.document == document) {
@@ -123,17 +123,17 @@
     return result;
   }
 
-  /** The roster arranged by zone. */
+  /** The roster grouped by zone. */
   RosterView view(Roster roster) {
-    return remembered(views, roster, RosterView::new);
+    return computeIfAbsent(views, roster, RosterView::new);
   }
 
   /** Content hash of a document. */
   long hash(PlatformDocument document) {
-    return remembered(hashes, document, DocumentDeltas::hash);
+    return computeIfAbsent(hashes, document, DocumentDeltas::hash);
   }
 
-  /** The difference that leads from one document to the other. */
+  /** The delta that leads from one document to the other. */
   ControlMessage.DocumentDelta difference(PlatformDocument base, PlatformDocument target) {
     Difference known = differences.getIfPresent(target);
     if (known != null && known.base == base) {
@@ -145,7 +145,7 @@
     return delta;
   }
 
-  /** Applies a document difference and verifies its hash. */
+  /** Applies a document delta and verifies its hash. */
   Either<Violation, PlatformDocument> patch(
       ControlMessage.DocumentDelta delta, PlatformDocument base) {
     PlatformDocument effective = delta.base() == 0 ? PlatformDocument.NONE : base;
--- a/umberpath-control/src/main/java/io/umberpath/control/VoteVerdict.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/VoteOutcome.java
@@ -11,50 +11,58 @@
 import java.util.List;
 import java.util.Set;
 
-/** What a set of votes allows a candidate to do. */
-enum VoteVerdict {
-  /** Nothing yet. */
+/** The action that a set of votes allows a candidate to take. */
+enum VoteOutcome {
+  /** The votes do not suffice yet. */
   INSUFFICIENT,
-  /** A quorum of the state's roster, and of its previous roster while that may decide, granted. */
+  /**
+   * A quorum of the state's roster granted, and also a quorum of its previous roster while that one
+   * may still decide.
+   */
   QUORUM,
   /**
-   * Every member is accounted for: it granted, is certainly gone, or is given up by an operator.
+   * Every member is accounted for: it granted its vote, has certainly ended, or was accepted as
+   * lost by an operator.
+   */
+  ALL_ACCOUNTED_FOR,
+  /**
+   * No process holds any state, and every expected process granted its vote or was accepted as
+   * lost.
    */
-  FULL_ACCOUNT,
-  /** Nobody holds any state and every expected process granted or is given up. */
   NEW_FLEET;
 
   /**
-   * Judges votes.
+   * Evaluates the votes.
    *
    * @param state the newest state found
-   * @param document the platform's document that the candidate holds
-   * @param acceptedLoss addresses that an operator gives up
+   * @param document the platform document that the candidate holds
+   * @param acceptedLoss addresses that an operator accepts as lost
    */
-  static VoteVerdict of(
+  static VoteOutcome evaluate(
       NodeContext context,
       FleetState state,
       PlatformDocument document,
       VoteTally tally,
       Set<PeerAddress> acceptedLoss) {
     if (state.version().equals(Version.NONE)) {
-      return mayForm(context, document, tally, acceptedLoss) ? NEW_FLEET : INSUFFICIENT;
+      return canFormFleet(context, document, tally, acceptedLoss) ? NEW_FLEET : INSUFFICIENT;
     }
-    Roster previous = tally.settles(state) ? state.roster() : state.previousRoster();
+    Roster previous = tally.isRosterSettled(state) ? state.roster() : state.previousRoster();
     if (isQuorum(context, state.roster(), tally) && isQuorum(context, previous, tally)) {
       return QUORUM;
     }
-    boolean accounted =
-        isAccounted(state.roster(), state, tally, acceptedLoss)
-            && isAccounted(previous, state, tally, acceptedLoss);
-    return accounted ? FULL_ACCOUNT : INSUFFICIENT;
+    boolean allAccountedFor =
+        areAllAccountedFor(state.roster(), state, tally, acceptedLoss)
+            && areAllAccountedFor(previous, state, tally, acceptedLoss);
+    return allAccountedFor ? ALL_ACCOUNTED_FOR : INSUFFICIENT;
   }
 
   /**
-   * As many processes as expected, and among them every machine of the newest document that a voter
-   * holds, or every seed if nobody holds one: a survivor of a former fleet is one of them.
+   * Whether a new fleet can form: there are as many processes as expected, including every machine
+   * of the newest document that a voter holds, or every seed if no voter holds one. Any survivor of
+   * a previous fleet is among them.
    */
-  private static boolean mayForm(
+  private static boolean canFormFleet(
       NodeContext context,
       PlatformDocument document,
       VoteTally tally,
@@ -76,31 +84,37 @@
     return context.quorum().isQuorum(context.view(roster), tally.granted());
   }
 
-  private static boolean isAccounted(
+  private static boolean areAllAccountedFor(
       Roster roster, FleetState state, VoteTally tally, Set<PeerAddress> acceptedLoss) {
     for (Member member : roster.members()) {
       if (!tally.granted().contains(member.slot())
           && !acceptedLoss.contains(member.address())
-          && !answeredWithoutSeat(member, tally)
-          && !isSucceeded(member, state)) {
+          && !hasGrantedAsJoiner(member, tally)
+          && !isSuperseded(member, state)) {
         return false;
       }
     }
     return true;
   }
 
-  /** The member itself granted before it took its seat, or a later process at its address did. */
-  private static boolean answeredWithoutSeat(Member member, VoteTally tally) {
+  /**
+   * Whether the member itself granted its vote before it received its slot, or a later process at
+   * its address did.
+   */
+  private static boolean hasGrantedAsJoiner(Member member, VoteTally tally) {
     Member process = tally.fresh().get(member.address());
     return process != null && process.incarnation() >= member.incarnation();
   }
 
-  /** The state seats a later process at the address; the member ended before it was proposed. */
-  private static boolean isSucceeded(Member member, FleetState state) {
+  /**
+   * Whether the state's roster contains a later process at the address; the member had ended before
+   * that state was proposed.
+   */
+  private static boolean isSuperseded(Member member, FleetState state) {
     return state
         .roster()
         .at(member.address())
-        .filter(seated -> seated.incarnation() > member.incarnation())
+        .filter(current -> current.incarnation() > member.incarnation())
         .isPresent();
   }
 }
--- a/umberpath-control/src/main/java/io/umberpath/control/membership/ReportSchedule.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/membership/ReportSchedule.java
@@ -9,163 +9,170 @@
 import java.util.TreeSet;
 
 /**
- * Whom a node reports to in each round. Within a zone a node sends the latest reports that it holds
- * of the zone along a {@link GossipRing}; in a large one its own to all others, in turn. Between
- * zones a few delegates of each zone send a digest of all of its nodes to one node there, which
- * relays it. So the longest time between two reports of a node is fixed, and the messages of a node
- * do not grow with the number of nodes elsewhere. Owner synchronizes.
+ * Selects the receivers of a node's reports in each round. Within a zone a node sends the latest
+ * reports of the zone that it holds along a {@link GossipRing}; in a large zone it sends its own
+ * report to all other nodes in turn. Between zones a few delegates of each zone send a digest of
+ * all nodes of their zone to one node of the other zone, which relays it. The longest time between
+ * two reports of a node is therefore fixed, and the number of messages that a node sends does not
+ * grow with the number of nodes elsewhere. The owner synchronizes access.
  */
 public final class ReportSchedule {
-  /** Nodes of a large zone that a node reports to in one round at most. */
-  public static final int MAX_NEAR_RECEIVERS = 40;
+  /** Maximum number of nodes of a large zone that a node reports to in one round. */
+  public static final int MAX_DIRECT_RECEIVERS = 40;
 
-  /** Delegates of a zone for each other zone; with two, one may be lost without a gap. */
+  /** Delegates of a zone for each other zone; with two, the loss of one causes no gap. */
   public static final int DELEGATES = 2;
 
-  /** Rounds from one digest of a delegate to its next. */
+  /** Number of rounds between two digests of a delegate. */
   public static final int ROUNDS_PER_DIGEST = 4;
 
   /**
-   * One round.
+   * The receivers of one round.
    *
-   * @param reportTo nodes of the own zone that get this node's own report
-   * @param gossipTo nodes of the own zone that get the latest reports of the zone
-   * @param digestTo nodes of other zones that get a digest of the own zone
+   * @param reportTo nodes of this node's zone that get its own report
+   * @param gossipTo nodes of this node's zone that get the latest reports of the zone
+   * @param digestTo nodes of other zones that get a digest of this node's zone
    */
   public record Round(List<String> reportTo, List<String> gossipTo, List<String> digestTo) {}
 
   private final String self;
   private final int phase;
-  private Duties duties;
-  private int nextNear;
+  private Assignment assignment;
+  private int nextDirectIndex;
   private int round;
-  private int relayTurn;
+  private int relayCount;
 
-  /** Creates the schedule of the node at an address. */
+  /** Creates the schedule for the node at an address. */
   public ReportSchedule(String self) {
     this.self = self;
     this.phase = Math.floorMod(self.hashCode(), ROUNDS_PER_DIGEST);
   }
 
   /**
-   * The next round.
+   * Computes the next round.
    *
-   * @param near the other nodes of the own zone
-   * @param far the nodes of each other zone
-   * @param ineligible nodes that are out of reach, or of a zone that is not known: they do not
-   *     count as delegates, nor get digests while others are left
-   * @param quiet nodes of the own zone that may be out of reach, silent ones among them: no report
-   *     travels through them, but one of them in turn is sent to, in case it is there
+   * @param near the other nodes of this node's zone
+   * @param far the nodes of each other zone, by zone
+   * @param ineligible nodes that are unreachable or whose zone is unknown: they are not chosen as
+   *     delegates and get no digests while others are available
+   * @param suspects nodes of this node's zone that may be unreachable, including silent ones: no
+   *     report is forwarded through them, but one of them in turn receives the reports in case it
+   *     is alive
    */
   public Round next(
       Collection<String> near,
       Map<String, List<String>> far,
       Set<String> ineligible,
-      Set<String> quiet) {
-    if (duties == null || !duties.holdFor(near, far, ineligible)) {
-      duties = duties(near, far, ineligible);
+      Set<String> suspects) {
+    if (assignment == null || !assignment.isValidFor(near, far, ineligible)) {
+      assignment = assign(near, far, ineligible);
     }
-    boolean gossips = duties.ordered().size() <= GossipRing.MAX_NODES;
-    List<String> reportTo = gossips ? List.of() : nearReceivers(duties.ordered());
-    List<String> gossipTo = gossips ? gossipReceivers(duties.ordered(), quiet) : List.of();
+    boolean usesGossip = assignment.ordered().size() <= GossipRing.MAX_GOSSIP_NODES;
+    List<String> reportTo = usesGossip ? List.of() : directReceivers(assignment.ordered());
+    List<String> gossipTo =
+        usesGossip ? gossipReceivers(assignment.ordered(), suspects) : List.of();
     List<String> digestTo = new ArrayList<>();
     if (Math.floorMod(round, ROUNDS_PER_DIGEST) == phase) {
-      int turn = round / ROUNDS_PER_DIGEST;
-      for (String zone : duties.zones()) {
-        digestTo.add(receiver(zone, far.get(zone), ineligible, turn));
+      int rotation = round / ROUNDS_PER_DIGEST;
+      for (String zone : assignment.zones()) {
+        digestTo.add(receiver(zone, far.get(zone), ineligible, rotation));
       }
     }
     round++;
     return new Round(reportTo, gossipTo, digestTo);
   }
 
-  private List<String> gossipReceivers(List<String> ordered, Set<String> quiet) {
+  private List<String> gossipReceivers(List<String> ordered, Set<String> suspects) {
     List<String> ring = new ArrayList<>(ordered.size());
-    List<String> doubtful = new ArrayList<>();
+    List<String> excluded = new ArrayList<>();
     for (String host : ordered) {
-      (quiet.contains(host) ? doubtful : ring).add(host);
+      (suspects.contains(host) ? excluded : ring).add(host);
     }
     List<String> receivers = GossipRing.receivers(ring, ring.indexOf(self), round);
-    if (!doubtful.isEmpty()) {
-      receivers.add(doubtful.get(Math.floorMod(round, doubtful.size())));
+    if (!excluded.isEmpty()) {
+      receivers.add(excluded.get(Math.floorMod(round, excluded.size())));
     }
     return receivers;
   }
 
-  private List<String> nearReceivers(List<String> ordered) {
+  private List<String> directReceivers(List<String> ordered) {
     List<String> receivers = new ArrayList<>();
-    int count = Math.min(MAX_NEAR_RECEIVERS + 1, ordered.size());
+    int count = Math.min(MAX_DIRECT_RECEIVERS + 1, ordered.size());
     for (int index = 0; index < count; index++) {
-      receivers.add(ordered.get(Math.floorMod(nextNear + index, ordered.size())));
+      receivers.add(ordered.get(Math.floorMod(nextDirectIndex + index, ordered.size())));
     }
     if (!receivers.remove(self)) {
       receivers.remove(receivers.size() - 1);
     }
-    nextNear = Math.floorMod(nextNear + MAX_NEAR_RECEIVERS, ordered.size());
+    nextDirectIndex = Math.floorMod(nextDirectIndex + MAX_DIRECT_RECEIVERS, ordered.size());
     return receivers;
   }
 
   /**
-   * What this node has to do while the nodes stay the same ones: ranking them costs some hundred
-   * hashes, which are not made again each round.
+   * The tasks of this node for an unchanged set of nodes. Cached because ranking the nodes takes
+   * some hundred hashes, which would otherwise be repeated each round.
    *
-   * @param near the nodes that it was worked out from; compared by identity, as callers pass the
-   *     same collections on until something changes
-   * @param ordered the nodes of the own zone in order, this one among them
+   * @param near the nodes that it was computed from; compared by identity, because callers pass the
+   *     same collections until something changes
+   * @param ordered the nodes of this node's zone in order, including this node
    * @param zones zones for which this node is a delegate
    */
-  private record Duties(
+  private record Assignment(
       Collection<String> near,
       Map<String, List<String>> far,
       Set<String> ineligible,
       List<String> ordered,
       List<String> zones) {
-    boolean holdFor(
+    boolean isValidFor(
         Collection<String> near, Map<String, List<String>> far, Set<String> ineligible) {
       return this.near == near && this.far == far && this.ineligible == ineligible;
     }
   }
 
-  private Duties duties(
+  private Assignment assign(
       Collection<String> near, Map<String, List<String>> far, Set<String> ineligible) {
-    Set<String> electable = new HashSet<>(near);
-    electable.removeAll(ineligible);
-    electable.add(self);
+    Set<String> eligible = new HashSet<>(near);
+    eligible.removeAll(ineligible);
+    eligible.add(self);
     List<String> zones = new ArrayList<>();
     for (String zone : far.keySet()) {
-      if (Rendezvous.first(DELEGATES, electable, zone).contains(self)) {
+      if (Rendezvous.first(DELEGATES, eligible, zone).contains(self)) {
         zones.add(zone);
       }
     }
     Set<String> ordered = new TreeSet<>(near);
     ordered.add(self);
-    return new Duties(near, far, ineligible, List.copyOf(ordered), zones);
+    return new Assignment(near, far, ineligible, List.copyOf(ordered), zones);
   }
 
-  /** One reachable node of each other zone, for news that it is to relay there at once. */
+  /** One reachable node of each other zone, which must relay an urgent message there. */
   public List<String> relays(Map<String, List<String>> far, Set<String> silent) {
-    int turn = relayTurn++;
+    int rotation = relayCount++;
     List<String> relays = new ArrayList<>();
-    far.forEach((zone, hosts) -> relays.add(receiver(zone, hosts, silent, turn)));
+    far.forEach((zone, hosts) -> relays.add(receiver(zone, hosts, silent, rotation)));
     return relays;
   }
 
-  /** Another one each time, so that one that is lost, or does not relay, costs a single digest. */
-  private String receiver(String zone, List<String> hosts, Set<String> silent, int turn) {
+  /**
+   * Selects a different node each time, so that one that is lost or does not relay costs only a
+   * single digest.
+   */
+  private String receiver(String zone, List<String> hosts, Set<String> silent, int rotation) {
     List<String> reachable =
         hosts.stream().filter(host -> !silent.contains(host)).sorted().toList();
-    List<String> choice = reachable.isEmpty() ? hosts : reachable;
+    List<String> candidates = reachable.isEmpty() ? hosts : reachable;
     int offset = (self + '/' + zone).hashCode();
-    return choice.get(Math.floorMod(offset + turn, choice.size()));
+    return candidates.get(Math.floorMod(offset + rotation, candidates.size()));
   }
 
   /**
-   * Rounds from one report of a node to its next to the same node of a zone that does not gossip.
+   * Number of rounds between two reports of a node to the same node, in a zone that does not use
+   * gossip.
    *
-   * @param zoneNodes nodes of the zone, that node included
+   * @param zoneNodes number of nodes of the zone, including the reporting node
    */
   static int roundsBetweenReports(int zoneNodes) {
     int others = Math.max(1, zoneNodes - 1);
-    return (others + MAX_NEAR_RECEIVERS - 1) / MAX_NEAR_RECEIVERS;
+    return (others + MAX_DIRECT_RECEIVERS - 1) / MAX_DIRECT_RECEIVERS;
   }
 }
--- a/umberpath-control/src/main/java/io/umberpath/control/store/BackendListing.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/BackendListing.java
@@ -2,7 +2,7 @@
 
 import io.umberpath.control.store.DepartedStarts.Departed;
 import io.umberpath.control.store.DepartedStarts.Departure;
-import io.umberpath.control.store.DepartedStarts.Known;
+import io.umberpath.control.store.DepartedStarts.KnownDeparture;
 import io.umberpath.model.PeerAddress;
 import io.umberpath.model.routing.BackendEntry;
 import io.umberpath.model.routing.BackendStart;
@@ -19,158 +19,169 @@
 import java.util.function.Predicate;
 
 /**
- * Which back ends a node believes in. Within an era of the store these are its entries. When it
- * comes back from an older copy, starts that have departed stay so whatever the copy says of them,
- * and what the copy does not have yet is kept until it must have been written again. Pure; owner
- * synchronizes.
+ * The backends that a node considers alive. Within one era of the store these are its entries.
+ * After the store has been restored from an older copy, backends that have departed stay departed
+ * whatever the copy says, and entries that the copy lacks are retained until their owners must have
+ * written them again. Does no I/O and reads no clock; the owner synchronizes access.
  */
 public final class BackendListing {
   /**
-   * How long entries and evacuations are kept that a copy does not have, milliseconds: who lives
-   * and reaches the store has written them again two seconds after its return.
+   * How long entries and evacuations that a restored copy lacks are retained, milliseconds. A live
+   * backend that reaches the store rewrites its entry within two seconds of the store's return.
    */
   public static final long KEPT_MILLIS = 2_000;
 
   /**
-   * How long an entry stands that nobody renews, milliseconds: three heartbeats of 1.5 s, and half
-   * a second until the store has noticed. One that stands for longer is renewed by its back end.
+   * How long an entry can exist without being renewed, milliseconds: three heartbeats of 1.5 s plus
+   * half a second until the store notices. An entry that outlives this time is being renewed by its
+   * backend.
    */
   public static final long UNRENEWED_MILLIS = 5_000;
 
   /**
-   * Departures told to a node that starts, besides those that the store's entries contradict: what
-   * departs in the seconds of which a copy may know nothing.
+   * Number of recent departures sent to a starting node, in addition to those that the store's
+   * entries contradict. It covers the departures of the last seconds, which a restored copy may not
+   * contain.
    */
-  private static final int MAX_TOLD = 64;
+  private static final int MAX_SHARED_DEPARTURES = 64;
 
   private static final long NEVER = Long.MAX_VALUE;
 
   /**
    * An entry of the store.
    *
-   * @param revision the store's revision when it was written
+   * @param revision store revision at which it was written
    */
   public record Listed(BackendEntry entry, long revision) {}
 
   /**
-   * What the store shows.
+   * The contents of the store at one position.
    *
-   * @param at position at which it shows that
+   * @param at position of these contents
    * @param listed its entries
-   * @param evacuatedZones zones whose back ends are to get no new work
+   * @param evacuatedZones zones whose backends must not receive new requests
    */
   public record Shown(StorePosition at, List<Listed> listed, Set<String> evacuatedZones) {}
 
-  /** What a node believes of it. */
+  /** The backends that a node uses, derived from the store's contents. */
   public record Believed(List<BackendEntry> entries, Set<String> evacuatedZones) {}
 
   private final DepartedStarts departed = new DepartedStarts();
 
-  /** By entries that the store shows as ready: the same, of starts that are known to leave. */
-  private Map<BackendEntry, BackendEntry> leaving = new HashMap<>();
+  /**
+   * For each entry that the store shows as ready although its backend is draining: the same entry
+   * marked as draining.
+   */
+  private Map<BackendEntry, BackendEntry> drainingByEntry = new HashMap<>();
 
-  /** Departures that entries of the store contradict. */
-  private final Set<Departed> contradicted = new LinkedHashSet<>();
+  /** Departures of backends that the store still lists. */
+  private final Set<Departed> contradictedDepartures = new LinkedHashSet<>();
 
-  private StorePosition at = StorePosition.NOTHING;
+  private StorePosition position = StorePosition.NOTHING;
 
-  /** Revision up to which entries may be from the copy, not written in the present era. */
-  private long copiedRevision = -1;
+  /** Entries up to this revision may come from the restored copy rather than the current era. */
+  private long restoredRevision = -1;
 
-  private long eraSinceMillis;
-  private Set<BackendStart> shownAlive = Set.of();
-  private Believed believed = new Believed(List.of(), Set.of());
-  private List<BackendEntry> kept = List.of();
-  private Set<String> keptZones = Set.of();
-  private long dueMillis = NEVER;
+  private long eraStartMillis;
+  private Set<BackendStart> previouslyAlive = Set.of();
+  private Believed effective = new Believed(List.of(), Set.of());
+  private List<BackendEntry> retainedEntries = List.of();
+  private Set<String> retainedZones = Set.of();
+  private long nextUpdateMillis = NEVER;
 
-  /** Departures for a node that starts: it may read only a copy that does not have them. */
+  /** Departures to send to a starting node, which may read only a copy that lacks them. */
   public List<Departed> told() {
-    Set<Departed> told = new LinkedHashSet<>(contradicted);
-    told.addAll(departed.latest(MAX_TOLD));
-    return List.copyOf(told);
+    Set<Departed> departures = new LinkedHashSet<>(contradictedDepartures);
+    departures.addAll(departed.latest(MAX_SHARED_DEPARTURES));
+    return List.copyOf(departures);
   }
 
   /**
-   * Another node knows of these; {@link #update} is to follow.
+   * Adds departures known to another node; the caller must then call {@link #update}.
    *
-   * @return whether any of them is news
+   * @return whether any of them was unknown
    */
   public boolean learn(long nowMillis, List<Departed> others) {
-    boolean isNews = false;
+    boolean hasNew = false;
     for (Departed each : others) {
-      isNews |= departed.add(nowMillis, each);
+      hasNew |= departed.add(nowMillis, each);
     }
-    return isNews;
+    return hasNew;
   }
 
-  /** Whether time alone changes what is believed, so that {@link #update} is due. */
+  /**
+   * Whether the listing changes by the passage of time alone, so that {@link #update} must be
+   * called.
+   */
   public boolean isDue(long nowMillis) {
-    return nowMillis >= dueMillis;
+    return nowMillis >= nextUpdateMillis;
   }
 
-  /** How many entries are kept that the store did not show when it came back. */
+  /** Number of retained entries that the store did not contain when it was restored. */
   public int keptEntries() {
-    return kept.size();
+    return retainedEntries.size();
   }
 
   /**
-   * Takes what the store shows now.
+   * Recomputes the listing from the store's current contents.
    *
-   * @param isService whether the configuration in force names a service
+   * @param isService tells whether the active configuration refers to a service
    */
   public Believed update(long nowMillis, Shown shown, Predicate<String> isService) {
-    if (shown.at().era() != at.era() || !at.isKnown()) {
+    if (shown.at().era() != position.era() || !position.isKnown()) {
       beginEra(nowMillis, shown.at());
     }
-    at = shown.at();
-    dueMillis = NEVER;
-    contradicted.clear();
-    dropKept(nowMillis);
-    List<Listed> alive = alive(nowMillis, shown.listed(), isService);
-    noteDepartures(nowMillis, shown.listed(), alive);
+    position = shown.at();
+    nextUpdateMillis = NEVER;
+    contradictedDepartures.clear();
+    expireRetained(nowMillis);
+    List<Listed> alive = selectAlive(nowMillis, shown.listed(), isService);
+    recordDepartures(nowMillis, shown.listed(), alive);
     List<BackendEntry> entries = new ArrayList<>();
-    Map<BackendEntry, BackendEntry> stillLeaving = new HashMap<>();
+    Map<BackendEntry, BackendEntry> stillDraining = new HashMap<>();
     for (Listed each : alive) {
-      believe(nowMillis, each, stillLeaving).ifPresent(entries::add);
+      resolve(nowMillis, each, stillDraining).ifPresent(entries::add);
     }
-    leaving = stillLeaving;
-    addKept(nowMillis, shown.listed(), entries);
+    drainingByEntry = stillDraining;
+    addRetained(nowMillis, shown.listed(), entries);
     Set<String> zones = new HashSet<>(shown.evacuatedZones());
-    zones.addAll(keptZones);
-    believed = new Believed(List.copyOf(entries), Set.copyOf(zones));
-    return believed;
+    zones.addAll(retainedZones);
+    effective = new Believed(List.copyOf(entries), Set.copyOf(zones));
+    return effective;
   }
 
   private void beginEra(long nowMillis, StorePosition first) {
-    boolean isRestored = at.isKnown();
-    kept = isRestored ? believed.entries() : List.of();
-    keptZones = isRestored ? believed.evacuatedZones() : Set.of();
-    // What the copy does not show was perhaps only not written again yet: it has not departed.
-    shownAlive = Set.of();
-    copiedRevision = first.revision();
-    eraSinceMillis = nowMillis;
+    boolean isRestored = position.isKnown();
+    retainedEntries = isRestored ? effective.entries() : List.of();
+    retainedZones = isRestored ? effective.evacuatedZones() : Set.of();
+    // Entries missing from the copy may only not have been rewritten yet, so they do not count as
+    // departed.
+    previouslyAlive = Set.of();
+    restoredRevision = first.revision();
+    eraStartMillis = nowMillis;
   }
 
-  private void dropKept(long nowMillis) {
-    if (nowMillis >= eraSinceMillis + KEPT_MILLIS) {
-      kept = List.of();
-      keptZones = Set.of();
-    } else if (!kept.isEmpty() || !keptZones.isEmpty()) {
-      dueMillis = eraSinceMillis + KEPT_MILLIS;
+  private void expireRetained(long nowMillis) {
+    if (nowMillis >= eraStartMillis + KEPT_MILLIS) {
+      retainedEntries = List.of();
+      retainedZones = Set.of();
+    } else if (!retainedEntries.isEmpty() || !retainedZones.isEmpty()) {
+      nextUpdateMillis = eraStartMillis + KEPT_MILLIS;
     }
   }
 
   /**
-   * Of two entries at one address only the one that was written last can be alive: the other one
-   * has ended, and its entry only stands until its lease runs out. An entry of a service that the
-   * configuration does not name is no back end's, and takes no other one's place; nor does one of a
-   * start that is known to have ended.
+   * Selects one entry per address. Of two entries at one address only the one written last can
+   * belong to a live backend; the other has ended and exists only until its lease expires. An entry
+   * for a service that the configuration does not refer to never displaces another entry, nor does
+   * the entry of a backend that is known to have ended.
    */
-  private List<Listed> alive(long nowMillis, List<Listed> listed, Predicate<String> isService) {
+  private List<Listed> selectAlive(
+      long nowMillis, List<Listed> listed, Predicate<String> isService) {
     Comparator<Listed> order =
         Comparator.comparing((Listed each) -> isService.test(each.entry().service()))
-            .thenComparing(each -> !isOf(standing(nowMillis, each), Departure.ENDED))
+            .thenComparing(
+                each -> !isDeparture(findEffectiveDeparture(nowMillis, each), Departure.ENDED))
             .thenComparingLong(Listed::revision);
     Map<PeerAddress, Listed> byAddress = new HashMap<>();
     for (Listed each : listed) {
@@ -179,92 +190,96 @@
     return List.copyOf(byAddress.values());
   }
 
-  private static boolean isOf(Optional<Known> known, Departure departure) {
+  private static boolean isDeparture(Optional<KnownDeparture> known, Departure departure) {
     return known.isPresent() && known.get().departed().departure() == departure;
   }
 
-  /** The departure that stands against an entry; empty if there is none, or the start is back. */
-  private Optional<Known> standing(long nowMillis, Listed each) {
+  /** The departure that applies to an entry; empty if there is none or the backend has returned. */
+  private Optional<KnownDeparture> findEffectiveDeparture(long nowMillis, Listed each) {
     return departed
-        .of(each.entry().start())
-        .filter(known -> !isWrittenSince(each, known.departed().at()))
-        .filter(known -> !isRenewed(nowMillis, known));
+        .find(each.entry().start())
+        .filter(known -> !isWrittenAfter(each, known.departed().at()))
+        .filter(known -> !isPresumedRenewed(nowMillis, known));
   }
 
-  /** Whether a back end has written its entry itself after it was taken as departed. */
-  private boolean isWrittenSince(Listed each, StorePosition departedAt) {
-    long since = departedAt.era() == at.era() ? departedAt.revision() : copiedRevision;
+  /** Whether a backend has written its entry after it was recorded as departed. */
+  private boolean isWrittenAfter(Listed each, StorePosition departedAt) {
+    long since = departedAt.era() == position.era() ? departedAt.revision() : restoredRevision;
     return each.revision() > since;
   }
 
-  /** Whether an entry, of a start taken as ended, has stood for longer than nobody renews it. */
-  private boolean isRenewed(long nowMillis, Known known) {
-    return known.departed().departure() == Departure.ENDED && nowMillis >= renewedMillis(known);
+  /**
+   * Whether the entry of a backend recorded as ended has existed for longer than an entry that is
+   * not renewed can.
+   */
+  private boolean isPresumedRenewed(long nowMillis, KnownDeparture known) {
+    return known.departed().departure() == Departure.ENDED
+        && nowMillis >= presumedRenewedAtMillis(known);
   }
 
-  private long renewedMillis(Known known) {
-    return Math.max(known.sinceMillis(), eraSinceMillis) + UNRENEWED_MILLIS;
+  private long presumedRenewedAtMillis(KnownDeparture known) {
+    return Math.max(known.sinceMillis(), eraStartMillis) + UNRENEWED_MILLIS;
   }
 
-  private void noteDepartures(long nowMillis, List<Listed> listed, List<Listed> alive) {
-    Set<BackendStart> now = new HashSet<>();
-    alive.forEach(each -> now.add(each.entry().start()));
-    for (BackendStart before : shownAlive) {
-      if (!now.contains(before)) {
-        departed.add(nowMillis, new Departed(before, Departure.ENDED, at));
+  private void recordDepartures(long nowMillis, List<Listed> listed, List<Listed> alive) {
+    Set<BackendStart> aliveNow = new HashSet<>();
+    alive.forEach(each -> aliveNow.add(each.entry().start()));
+    for (BackendStart before : previouslyAlive) {
+      if (!aliveNow.contains(before)) {
+        departed.add(nowMillis, new Departed(before, Departure.ENDED, position));
       }
     }
-    shownAlive = now;
+    previouslyAlive = aliveNow;
     for (Listed each : listed) {
       if (each.entry().state() == BackendEntry.State.DRAINING) {
-        StorePosition writtenAt = new StorePosition(at.era(), each.revision());
+        StorePosition writtenAt = new StorePosition(position.era(), each.revision());
         departed.add(nowMillis, new Departed(each.entry().start(), Departure.LEAVING, writtenAt));
       }
     }
   }
 
-  /** What is believed of an entry that the store shows; empty if its start has ended. */
-  private Optional<BackendEntry> believe(
-      long nowMillis, Listed each, Map<BackendEntry, BackendEntry> stillLeaving) {
+  /** The entry to use for an entry of the store; empty if its backend has ended. */
+  private Optional<BackendEntry> resolve(
+      long nowMillis, Listed each, Map<BackendEntry, BackendEntry> stillDraining) {
     BackendEntry entry = each.entry();
-    Optional<Known> standing = standing(nowMillis, each);
-    if (standing.isEmpty()) {
-      departed.returned(entry.start());
+    Optional<KnownDeparture> departure = findEffectiveDeparture(nowMillis, each);
+    if (departure.isEmpty()) {
+      departed.remove(entry.start());
       return Optional.of(entry);
     }
-    if (isOf(standing, Departure.ENDED)) {
-      contradicted.add(standing.get().departed());
-      dueMillis = Math.min(dueMillis, renewedMillis(standing.get()));
+    if (isDeparture(departure, Departure.ENDED)) {
+      contradictedDepartures.add(departure.get().departed());
+      nextUpdateMillis = Math.min(nextUpdateMillis, presumedRenewedAtMillis(departure.get()));
       return Optional.empty();
     }
     if (entry.state() == BackendEntry.State.DRAINING) {
       return Optional.of(entry);
     }
-    contradicted.add(standing.get().departed());
-    BackendEntry believedEntry = leaving.getOrDefault(entry, entry.leaving());
-    stillLeaving.put(entry, believedEntry);
-    return Optional.of(believedEntry);
+    contradictedDepartures.add(departure.get().departed());
+    BackendEntry drainingEntry = drainingByEntry.getOrDefault(entry, entry.leaving());
+    stillDraining.put(entry, drainingEntry);
+    return Optional.of(drainingEntry);
   }
 
   /**
-   * Adds the entries that are kept. Those that the store shows again are kept no longer; nor are
-   * those whose address is another start's now, which have ended.
+   * Adds the retained entries. An entry is no longer retained once the store lists it again, or
+   * once another backend uses its address, which means that it has ended.
    */
-  private void addKept(long nowMillis, List<Listed> listed, List<BackendEntry> entries) {
-    Set<PeerAddress> taken = new HashSet<>();
-    entries.forEach(entry -> taken.add(entry.address()));
-    Set<String> ids = new HashSet<>();
-    listed.forEach(each -> ids.add(each.entry().id()));
-    List<BackendEntry> stillKept = new ArrayList<>();
-    for (BackendEntry entry : kept) {
-      boolean isShown = ids.contains(entry.id());
-      if (!isShown && taken.contains(entry.address())) {
-        departed.add(nowMillis, new Departed(entry.start(), Departure.ENDED, at));
-      } else if (!isShown && !isOf(departed.of(entry.start()), Departure.ENDED)) {
-        stillKept.add(entry);
+  private void addRetained(long nowMillis, List<Listed> listed, List<BackendEntry> entries) {
+    Set<PeerAddress> usedAddresses = new HashSet<>();
+    entries.forEach(entry -> usedAddresses.add(entry.address()));
+    Set<String> listedIds = new HashSet<>();
+    listed.forEach(each -> listedIds.add(each.entry().id()));
+    List<BackendEntry> stillRetained = new ArrayList<>();
+    for (BackendEntry entry : retainedEntries) {
+      boolean isListed = listedIds.contains(entry.id());
+      if (!isListed && usedAddresses.contains(entry.address())) {
+        departed.add(nowMillis, new Departed(entry.start(), Departure.ENDED, position));
+      } else if (!isListed && !isDeparture(departed.find(entry.start()), Departure.ENDED)) {
+        stillRetained.add(entry);
       }
     }
-    kept = stillKept;
-    entries.addAll(kept);
+    retainedEntries = stillRetained;
+    entries.addAll(retainedEntries);
   }
 }
--- a/umberpath-control/src/test/java/io/umberpath/control/ChaosRun.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/ChaosRun.java
@@ -8,10 +8,13 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 
-/** One seeded run: a fleet under random faults and changes, then peace, then every check. */
+/**
+ * One seeded run: a fleet under random faults and changes, then a fault-free recovery phase, then
+ * all checks.
+ */
 final class ChaosRun {
   private static final long FAULT_MILLIS = 20_000;
-  private static final long PEACE_LIMIT_MILLIS = 40_000;
+  private static final long RECOVERY_LIMIT_MILLIS = 40_000;
 
   final TestFleet fleet;
   private final SplittableRandom random;
@@ -25,55 +28,56 @@
     int zones = 1 + random.nextInt(4);
     fleet = new TestFleet(seed, size, zones);
     fleet.fault = fault;
-    fleet.platform = TestFleet.document(1);
+    fleet.platformDocument = TestFleet.document(1);
     fleet.quorum =
         random.nextInt(3) == 0
             ? ControlSettings.QuorumRule.ZONE_MAJORITY
             : ControlSettings.QuorumRule.MAJORITY;
-    fleet.batchWindow = random.nextInt(2) * 20;
+    fleet.batchWindowMillis = random.nextInt(2) * 20;
     fleet.maxReaders = 1 + random.nextInt(4);
   }
 
-  /** Runs; returns everything that is wrong, empty if nothing is. */
+  /** Runs the scenario; returns all failures, empty if there are none. */
   List<String> run() {
     fleet.startAll();
-    List<String> wrong = new ArrayList<>();
-    if (fleet.runUntil(30_000, fleet::converged) < 0) {
-      wrong.add("did not form");
-      return wrong;
+    List<String> failures = new ArrayList<>();
+    if (fleet.runUntil(30_000, fleet::hasConverged) < 0) {
+      failures.add("did not form");
+      return failures;
     }
-    fleet.loss = random.nextInt(3) * 0.05;
-    fleet.duplication = random.nextInt(2) * 0.1;
-    fleet.maxDelay = 1 + random.nextInt(4) * 40;
-    long end = fleet.now + FAULT_MILLIS;
-    while (fleet.now < end) {
-      disturb();
+    fleet.lossProbability = random.nextInt(3) * 0.05;
+    fleet.duplicationProbability = random.nextInt(2) * 0.1;
+    fleet.maxDelayMillis = 1 + random.nextInt(4) * 40;
+    long end = fleet.nowMillis + FAULT_MILLIS;
+    while (fleet.nowMillis < end) {
+      injectFault();
       submit();
       fleet.run(50 + random.nextInt(800));
     }
     heal();
-    if (fleet.runUntil(PEACE_LIMIT_MILLIS, this::peaceful) < 0) {
-      wrong.add(fleet.now + " did not converge after the faults: " + describe());
+    if (fleet.runUntil(RECOVERY_LIMIT_MILLIS, this::hasRecovered) < 0) {
+      failures.add(fleet.nowMillis + " did not converge after the faults: " + describe());
     } else {
-      wrong.addAll(fleet.lostChanges(poolByTicket));
+      failures.addAll(fleet.lostChanges(poolByTicket));
     }
-    wrong.addAll(fleet.violations);
+    failures.addAll(fleet.violations);
     if (fleet.maxConcurrentReaders > fleet.maxReaders) {
-      wrong.add(fleet.maxConcurrentReaders + " readers at once of " + fleet.maxReaders);
+      failures.add(fleet.maxConcurrentReaders + " readers at once of " + fleet.maxReaders);
     }
-    return wrong;
+    return failures;
   }
 
-  private boolean peaceful() {
-    boolean oneRevision =
-        fleet.alive().stream().allMatch(process -> process.revision == fleet.platform.revision());
-    return fleet.converged() && oneRevision && fleet.answers.size() == poolByTicket.size();
+  private boolean hasRecovered() {
+    boolean isSameRevision =
+        fleet.liveProcesses().stream()
+            .allMatch(process -> process.revision == fleet.platformDocument.revision());
+    return fleet.hasConverged() && isSameRevision && fleet.answers.size() == poolByTicket.size();
   }
 
   private String describe() {
     StringBuilder text = new StringBuilder();
     text.append(fleet.answers.size()).append('/').append(poolByTicket.size()).append(" answers");
-    for (TestFleet.Process process : fleet.alive()) {
+    for (TestFleet.Process process : fleet.liveProcesses()) {
       ControlStatus status = process.status();
       Version committed = status.committed().version();
       text.append("\n  ").append(status.self()).append(' ').append(status.role());
@@ -92,30 +96,34 @@
     if (random.nextBoolean()) {
       String name = "p" + submitted++;
       TestFleet.Process origin = fleet.process(random.nextInt(size));
-      if (origin.alive && !origin.paused) {
-        long ticket = fleet.submit(origin, TestFleet.pool("r" + name, name));
+      if (origin.isAlive && !origin.isPaused) {
+        long ticket = fleet.submit(origin, TestFleet.poolChange("r" + name, name));
         poolByTicket.put(ticket, name);
-        fleet.at(fleet.now + 15_000, () -> origin.input(new ControlInput.ChangeAbandoned(ticket)));
+        fleet.runAt(
+            fleet.nowMillis + 15_000, () -> origin.input(new ControlInput.ChangeAbandoned(ticket)));
       }
     }
   }
 
-  /** Kills so few that a quorum of the processes that hold the state stays. */
-  private void disturb() {
+  /**
+   * Injects a random fault, killing so few processes that a quorum of those that hold the state
+   * remains.
+   */
+  private void injectFault() {
     int index = random.nextInt(size);
     switch (random.nextInt(8)) {
       case 0, 1 -> replaceOne(index);
       case 2 -> fleet.leader().ifPresent(this::replaceLeader);
-      case 3 -> cutOff();
+      case 3 -> partition();
       case 4 -> heal();
       case 5 -> pauseFor(index);
-      case 6 -> fleet.platform = TestFleet.document(fleet.platform.revision() + 1);
+      case 6 -> fleet.platformDocument = TestFleet.document(fleet.platformDocument.revision() + 1);
       default -> {}
     }
   }
 
-  private boolean settled() {
-    return fleet.leader().isPresent() && fleet.converged();
+  private boolean isStable() {
+    return fleet.leader().isPresent() && fleet.hasConverged();
   }
 
   private void replaceLeader(TestFleet.Process leader) {
@@ -127,37 +135,37 @@
   }
 
   private void replaceOne(int index) {
-    if (settled() && !fleet.process(index).paused) {
-      forgetTicketsOf(fleet.process(index));
+    if (isStable() && !fleet.process(index).isPaused) {
+      discardTicketsOf(fleet.process(index));
       fleet.restart(index);
     }
   }
 
-  /** A process that dies takes the answers it owes with it. */
-  private void forgetTicketsOf(TestFleet.Process process) {
+  /** A process that dies never completes its pending tickets, so they are not checked. */
+  private void discardTicketsOf(TestFleet.Process process) {
     process.pending().forEach(poolByTicket::remove);
   }
 
-  private void cutOff() {
+  private void partition() {
     int cutSize = 1 + random.nextInt(size - 1);
     List<PeerAddress> part = new ArrayList<>();
     for (int index = 0; index < cutSize; index++) {
       part.add(fleet.address(random.nextInt(size)));
     }
-    boolean oneWay = random.nextInt(4) == 0;
-    fleet.cut =
+    boolean isOneWay = random.nextInt(4) == 0;
+    fleet.isCut =
         (from, to) ->
-            oneWay
+            isOneWay
                 ? part.contains(from) && !part.contains(to)
                 : part.contains(from) != part.contains(to);
   }
 
   private void pauseFor(int index) {
-    if (!fleet.process(index).paused) {
+    if (!fleet.process(index).isPaused) {
       fleet.pause(index);
       TestFleet.Process process = fleet.process(index);
-      fleet.at(
-          fleet.now + random.nextInt(8_000),
+      fleet.runAt(
+          fleet.nowMillis + random.nextInt(8_000),
           () -> {
             if (fleet.process(index) == process) {
               fleet.resume(index);
@@ -167,6 +175,6 @@
   }
 
   private void heal() {
-    fleet.cut = (from, to) -> false;
+    fleet.isCut = (from, to) -> false;
   }
 }
--- a/umberpath-control/src/test/java/io/umberpath/control/ReportDifferenceTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/ReportDifferenceTest.java
@@ -25,29 +25,30 @@
         Arguments.of("unchanged", settled, settled, true),
         Arguments.of("all newer", settled, List.of(group(2, 3, 5, 8)), true),
         Arguments.of("one lags", settled, List.of(group(1, 5), group(2, 3, 8)), true),
-        Arguments.of("laggard came", List.of(group(1, 5), group(2, 3, 8)), settled, true),
+        Arguments.of(
+            "lagging member caught up", List.of(group(1, 5), group(2, 3, 8)), settled, true),
         Arguments.of("one more", settled, List.of(group(1, 3, 5, 8, 9)), false),
         Arguments.of("one more, lagging", settled, List.of(group(1, 9), group(2, 3, 5, 8)), true),
         Arguments.of("one less", settled, List.of(group(1, 3, 5)), false),
         Arguments.of("first", List.of(), settled, false),
-        Arguments.of("nobody left", settled, List.of(), false));
+        Arguments.of("no members left", settled, List.of(), false));
   }
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("reports")
-  void completesToWhatWasMeant(
-      String name, List<ReportGroup> former, List<ReportGroup> groups, boolean leavesOut) {
-    List<ReportGroup> sent = ReportDifference.of(former, groups);
-    assertThat(!sent.equals(groups)).as(name).isEqualTo(leavesOut);
+  void completionRestoresTheOriginalGroups(
+      String name, List<ReportGroup> former, List<ReportGroup> groups, boolean omitsSlots) {
+    List<ReportGroup> sent = ReportDifference.between(former, groups);
+    assertThat(!sent.equals(groups)).as(name).isEqualTo(omitsSlots);
     assertThat(ReportDifference.complete(Optional.of(former), sent)).contains(groups);
-    assertThat(ReportDifference.complete(Optional.empty(), sent).isEmpty()).isEqualTo(leavesOut);
+    assertThat(ReportDifference.complete(Optional.empty(), sent).isEmpty()).isEqualTo(omitsSlots);
   }
 
   @Test
-  void sizeDoesNotDependOnScatteredMembers() {
+  void sizeDoesNotDependOnTheNumberOfMembers() {
     int[] scattered = IntStream.range(0, 700).map(index -> index * 8).toArray();
     List<ReportGroup> sent =
-        ReportDifference.of(List.of(group(1, scattered)), List.of(group(2, scattered)));
+        ReportDifference.between(List.of(group(1, scattered)), List.of(group(2, scattered)));
     assertThat(sent.get(0).slots()).isEqualTo(SlotSet.EMPTY);
   }
 }
--- a/umberpath-control/src/test/java/io/umberpath/control/SeededFaultTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/SeededFaultTest.java
@@ -7,20 +7,22 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.EnumSource.Mode;
 
-/** The incarnation rule has its own scenario in {@link DisasterTest}. */
+/**
+ * The fault that skips the incarnation rule has its own scenario in {@link DisasterRecoveryTest}.
+ */
 class SeededFaultTest {
   private static final int SEEDS = 60;
 
   @ParameterizedTest
   @EnumSource(value = SeededFault.class, mode = Mode.EXCLUDE, names = "SKIP_INCARNATION_RULE")
-  void theChecksCatchEveryKnownWrongVariant(SeededFault fault) {
-    int caught = 0;
-    for (int seed = 1; seed <= SEEDS && caught == 0; seed++) {
-      boolean wrong =
+  void checksDetectEverySeededFault(SeededFault fault) {
+    int detected = 0;
+    for (int seed = 1; seed <= SEEDS && detected == 0; seed++) {
+      boolean isDetected =
           new ChaosRun(seed, Optional.of(fault))
               .run().stream().anyMatch(each -> !each.contains("converge"));
-      caught += wrong ? 1 : 0;
+      detected += isDetected ? 1 : 0;
     }
-    assertThat(caught).as("caught " + fault).isPositive();
+    assertThat(detected).as("caught " + fault).isPositive();
   }
 }
--- a/umberpath-control/src/test/java/io/umberpath/control/store/RestoredStoreWatcherTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/store/RestoredStoreWatcherTest.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** A store that comes back from an older copy gives its revisions out again, in a newer era. */
+/** A store that is restored from an older copy issues the same revisions again, in a newer era. */
 final class RestoredStoreWatcherTest {
   private static final StoreWatcherSettings SETTINGS =
       new StoreWatcherSettings(4_000, 200, 100, 1_000);
@@ -43,16 +43,16 @@
     return ((Step.Call) watcher.next(0)).call();
   }
 
-  /** Holds revision 20 of era 1 and has just been told that the store does not have it. */
-  private void loseTheHistory() {
+  /** Holds revision 20 of era 1 and is then told that the store no longer has it. */
+  private void expireHistory() {
     watcher.answered(0, page(position(1, 20), item("a", "1", 18), item("b", "1", 20)));
     call();
     watcher.answered(0, new StoreAnswer.HistoryGone(2));
   }
 
   @Test
-  void aReadOfANewerEraReplacesAStateOfAHigherRevision() {
-    loseTheHistory();
+  void readInANewerEraReplacesAStateWithAHigherRevision() {
+    expireHistory();
     assertThat(call()).isEqualTo(new StoreCall.Read("", Optional.empty()));
 
     assertThat(watcher.answered(0, page(position(2, 18), item("a", "1", 18)))).isTrue();
@@ -62,9 +62,9 @@
     assertThat(call()).isEqualTo(new StoreCall.Watch("", 18, 6_000));
   }
 
-  /** The revisions of the new era have passed the one that is held: nothing is refused. */
+  /** The revisions of the new era exceed the held one, so the watch is not rejected. */
   @Test
-  void eventsOfANewerEraAreNotAppliedToAStateOfTheOneBefore() {
+  void eventsOfANewerEraAreNotAppliedToAStateOfThePreviousEra() {
     watcher.answered(0, page(position(1, 20), item("a", "1", 18)));
     call();
 
@@ -76,7 +76,7 @@
   }
 
   @Test
-  void eventsAfterARevisionOfTheEraBeforeAreNotAppliedToAnAdoptedState() {
+  void eventsOfAWatchFromThePreviousEraAreNotAppliedToAnAdoptedState() {
     watcher.answered(0, page(position(1, 20), item("a", "1", 18)));
     call();
     watcher.adopt(changes(position(2, 15), item("a", "1", 15)));
@@ -89,10 +89,12 @@
     assertThat(call()).isEqualTo(new StoreCall.Watch("", 15, 6_000));
   }
 
-  /** An instance that has not been switched over yet, or an answer that was long under way. */
+  /**
+   * The response comes from a store instance that has not been switched over yet, or was delayed.
+   */
   @Test
-  void anAnswerOfAnEraThatIsOverSaysNothing() {
-    loseTheHistory();
+  void responsesOfAPreviousEraAreIgnored() {
+    expireHistory();
     watcher.answered(0, page(position(2, 18), item("a", "1", 18)));
 
     assertThat(watcher.answered(0, page(position(1, 30), item("a", "9", 30)))).isFalse();
@@ -105,7 +107,7 @@
   }
 
   @Test
-  void aRefusedWatchThatNamesNoEraIsFollowedByAReadAllTheSame() {
+  void rejectedWatchWithoutAnEraTriggersARead() {
     watcher.answered(0, page(position(1, 20), item("a", "1", 18)));
     call();
 
@@ -115,7 +117,7 @@
   }
 
   @Test
-  void pagesOfTwoErasAreNotPutTogether() {
+  void pagesOfDifferentErasAreNotCombined() {
     watcher.answered(0, new StoreAnswer.Page(List.of(item("a", "1", 18)), true, position(1, 20)));
 
     watcher.answered(0, page(position(2, 19), item("b", "1", 19)));
@@ -129,8 +131,8 @@
   }
 
   @Test
-  void aNodeOfTheEraBeforeTakesTheWholeStateAndGivesNoneToThoseAhead() {
-    loseTheHistory();
+  void nodeInThePreviousEraTakesTheFullStateAndOffersNone() {
+    expireHistory();
     watcher.answered(0, page(position(2, 18), item("a", "1", 18)));
     StoreWatcher behind = watcher();
     behind.adopt(changes(position(1, 25), item("a", "2", 25)));
@@ -148,7 +150,7 @@
   }
 
   @Test
-  void noPatchLeadsFromOneEraToAnother() {
+  void patchesDoNotCrossEras() {
     watcher.answered(0, page(position(1, 20), large("old", 20)));
     watcher.answered(0, new StoreAnswer.HistoryGone(2));
     watcher.answered(0, page(position(2, 19), large("copy", 19)));
@@ -164,9 +166,9 @@
     assertThat(other.items()).containsExactly(large("new", 20));
   }
 
-  /** A store that names no era, or whose history goes again and again. */
+  /** The store states no era, or its history expires again and again. */
   @Test
-  void aStoreThatRefusesEachWatchIsReadEverMoreRarely() {
+  void readsBackOffWhenEveryWatchIsRejected() {
     int calls = 0;
     long now = 0;
     while (now < 10_000) {
