--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ActiveExchanges.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ActiveExchanges.java
@@ -62,11 +62,11 @@
   public synchronized boolean awaitNone(long timeoutMillis) throws InterruptedException {
     long endNanos = System.nanoTime() + timeoutMillis * 1_000_000;
     while (!exchanges.isEmpty()) {
-      long leftMillis = (endNanos - System.nanoTime()) / 1_000_000;
-      if (leftMillis <= 0) {
+      long remainingMillis = (endNanos - System.nanoTime()) / 1_000_000;
+      if (remainingMillis <= 0) {
         return false;
       }
-      wait(leftMillis);
+      wait(remainingMillis);
     }
     return true;
   }
@@ -77,10 +77,10 @@
    * @return how many may have run; the others are refused as not run
    */
   public int abortAll() {
-    int cutOff = 0;
+    int mayHaveRun = 0;
     for (Exchange exchange : exchanges) {
-      cutOff += exchange.abortAtDrainBound() ? 1 : 0;
+      mayHaveRun += exchange.abortAtDrainTimeout() ? 1 : 0;
     }
-    return cutOff;
+    return mayHaveRun;
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/Attempt.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/Attempt.java
@@ -19,7 +19,7 @@
   private static final long NANOS_PER_MICRO = 1_000;
 
   private final Exchange exchange;
-  private final AnswerTurn turn;
+  private final PipelinedResponse pipelined;
   private final ConnectionPool pool;
   private final String originId;
   private final int number;
@@ -28,13 +28,18 @@
   private OriginConnection origin;
 
   /** The connection on which the head was sent alone; null before, and once the body follows. */
-  private OriginConnection asked;
+  private OriginConnection awaitingContinue;
 
   private OutgoingRequest outgoing;
 
-  Attempt(Exchange exchange, AnswerTurn turn, ConnectionPool pool, String originId, int number) {
+  Attempt(
+      Exchange exchange,
+      PipelinedResponse pipelined,
+      ConnectionPool pool,
+      String originId,
+      int number) {
     this.exchange = exchange;
-    this.turn = turn;
+    this.pipelined = pipelined;
     this.pool = pool;
     this.originId = originId;
     this.number = number;
@@ -47,7 +52,7 @@
 
   @Override
   public void connected(OriginConnection connection) {
-    connection.runOrDefer(() -> RequestFaults.guard(exchange, () -> sendOn(connection)));
+    connection.runOrDefer(() -> RequestGuard.guard(exchange, () -> sendOn(connection)));
   }
 
   private boolean sendOn(OriginConnection connection) {
@@ -79,28 +84,28 @@
 
   @Override
   public void onBroken(Verdict.Reason reason) {
-    boolean hasOnlyAsked;
+    boolean hasSentOnlyHead;
     synchronized (exchange) {
-      hasOnlyAsked = asked != null;
+      hasSentOnlyHead = awaitingContinue != null;
     }
     exchange.attemptFailed(
         this,
-        hasOnlyAsked ? Refusal.notRun(Verdict.Reason.UNREACHABLE) : Refusal.mayHaveRun(reason));
+        hasSentOnlyHead ? Refusal.notRun(Verdict.Reason.UNREACHABLE) : Refusal.mayHaveRun(reason));
   }
 
   @Override
   public void onInterim(byte[] head) {
-    exchange.attemptInterim(this, head);
+    exchange.attemptReceivedInterim(this, head);
   }
 
   @Override
   public boolean onAnswerPart(AnswerPart part) {
-    return exchange.attemptAnswered(this, part);
+    return exchange.attemptReceivedPart(this, part);
   }
 
   @Override
   public void whenReadyForMore(Runnable resume) {
-    turn.whenTakesMore(resume);
+    pipelined.runWhenWritable(resume);
   }
 
   /** The request as it is sent, its headers still to be completed. */
@@ -110,16 +115,16 @@
   }
 
   /** Whether the head is to be sent alone, for the origin to ask for the body. */
-  boolean asksBefore(RequestBody body) {
-    return exchange.plan().asksBeforeBody() && body.isLongOrIncomplete();
+  boolean needsContinue(RequestBody body) {
+    return exchange.plan().asksBeforeBody() && body.needsContinue();
   }
 
   /** Sends the prepared head, and what there is of the body unless the origin is to ask for it. */
   void send(OriginConnection connection, RequestBody body) {
     connection.begin(this);
-    if (asksBefore(body)) {
-      asked = connection;
-      connection.write(outgoing.asking(), false);
+    if (needsContinue(body)) {
+      awaitingContinue = connection;
+      connection.write(outgoing.withExpectContinue(), false);
     } else {
       sendFirst(connection, body);
     }
@@ -128,19 +133,19 @@
   private void sendFirst(OriginConnection connection, RequestBody body) {
     origin = connection;
     connection.write(
-        outgoing.first(body.kept(), body.isComplete(), body.trailers()), body.isComplete());
+        outgoing.firstPart(body.buffered(), body.isComplete(), body.trailers()), body.isComplete());
   }
 
   /** Sends the body that the origin has asked for. */
   void sendBody(RequestBody body) {
-    OriginConnection connection = asked;
-    asked = null;
+    OriginConnection connection = awaitingContinue;
+    awaitingContinue = null;
     sendFirst(connection, body);
   }
 
   /** Sends more of the body. */
   void sendMore(Buffer content, RequestBody body, boolean last) {
-    origin.write(outgoing.next(content, last, body.trailers()), last);
+    origin.write(outgoing.nextPart(content, last, body.trailers()), last);
   }
 
   /** The connection in use, or null before there is one. */
@@ -149,23 +154,23 @@
   }
 
   /** What of the answer is to be passed on, now that a piece of it has come. */
-  Optional<AnswerPart> passesOn(AnswerPart part) {
+  Optional<AnswerPart> partToForward(AnswerPart part) {
     return shortAnswer.take(part);
   }
 
   /** The answer is whole; the connection goes its own way. */
   void detach() {
     origin = null;
-    asked = null;
-    exchange.history().answered();
+    awaitingContinue = null;
+    exchange.history().responseComplete();
   }
 
   /** Closes the connection if it is still in use. */
   void abandon() {
     if (origin != null) {
       origin.abandon();
-    } else if (asked != null) {
-      asked.abandon();
+    } else if (awaitingContinue != null) {
+      awaitingContinue.abandon();
     }
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/AttemptHistory.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/AttemptHistory.java
@@ -15,8 +15,8 @@
   private int count;
   private String lastOrigin;
   private long sentNanos;
-  private long answeredNanos;
-  private boolean isAnswered;
+  private long responseNanos;
+  private boolean isResponseComplete;
   private Refusal lastRefusal;
   private boolean mayHaveRun;
 
@@ -31,13 +31,13 @@
   /** The attempt is handed to its connection. */
   synchronized void sent() {
     sentNanos = System.nanoTime();
-    isAnswered = false;
+    isResponseComplete = false;
   }
 
   /** The attempt's answer has been read whole; it may have lain unread. */
-  synchronized void answered() {
-    answeredNanos = Math.max(sentNanos, EventLoop.likelyArrivalNanos());
-    isAnswered = true;
+  synchronized void responseComplete() {
+    responseNanos = Math.max(sentNanos, EventLoop.likelyArrivalNanos());
+    isResponseComplete = true;
   }
 
   /** An attempt, or the exchange before its first, has failed. */
@@ -47,9 +47,9 @@
   }
 
   /** A refusal that does not say "not run" where an earlier attempt may have. */
-  synchronized Refusal truthful(Refusal refusal) {
-    boolean overstates = mayHaveRun && refusal.verdict() instanceof Verdict.NotRun;
-    return overstates ? Refusal.mayHaveRun(refusal.reason()) : refusal;
+  synchronized Refusal adjustForEarlierAttempts(Refusal refusal) {
+    boolean isUncertain = mayHaveRun && refusal.verdict() instanceof Verdict.NotRun;
+    return isUncertain ? Refusal.mayHaveRun(refusal.reason()) : refusal;
   }
 
   /** Attempts made so far. */
@@ -62,7 +62,7 @@
    * has; 0 if none was.
    */
   public synchronized long sinceSentMicros() {
-    long endNanos = isAnswered ? answeredNanos : System.nanoTime();
+    long endNanos = isResponseComplete ? responseNanos : System.nanoTime();
     return sentNanos == 0 ? 0 : (endNanos - sentNanos) / NANOS_PER_MICRO;
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/CallerConnection.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ClientConnection.java
@@ -21,47 +21,47 @@
  * that is begun is answered before the connection ends in order, see {@link ConnectionState}.
  * Thread-safe; an exchange's lock may be held when its own is taken, never the other way round.
  */
-final class CallerConnection implements PendingAnswers {
-  private static final Attribute<CallerConnection> ATTRIBUTE =
+final class ClientConnection implements PendingAnswers {
+  private static final Attribute<ClientConnection> ATTRIBUTE =
       AttributeBuilder.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("umberpath.callerConnection");
 
   private final Connection<?> connection;
   private final ProxyStats.Side side;
   private final ConnectionLog log;
-  private final RestTime rest;
-  private final AnswerTurns turns = new AnswerTurns();
-  private final LostExchanges lost = new LostExchanges();
+  private final IdleTimer idleTimer;
+  private final ResponsePipeline pipeline = new ResponsePipeline();
+  private final ExchangeCanceller canceller = new ExchangeCanceller();
   private final Arrival arrival;
-  private final SuspendedReads suspended;
-  private final DroppedInput dropped = new DroppedInput();
+  private final SuspendedReads reads;
+  private final DroppedInput droppedInput = new DroppedInput();
   private ConnectionState state = ConnectionState.OPEN;
-  private ConnectionEnd endedBy = ConnectionEnd.PEER;
-  private boolean advancing;
+  private ConnectionEnd endCause = ConnectionEnd.PEER;
+  private boolean isAdvancing;
 
   /** A request was let in and has no turn yet. */
-  private boolean beginning;
+  private boolean isBeginning;
 
   /** The connection ends when no request is under way. */
-  private boolean endsAtRest;
+  private boolean endsWhenIdle;
 
-  private Object lastAnswer;
+  private Object finalResponse;
 
   /** The request whose answer is complete but whose body is not; the rest is read and dropped. */
-  private HttpHeader discarding;
+  private HttpHeader discarded;
 
-  CallerConnection(
+  ClientConnection(
       Connection<?> connection, ProxyStats.Side side, ExchangeEnvironment environment) {
     this.connection = connection;
     this.side = side;
     this.log = environment.connectionLog();
-    this.rest = new RestTime(environment.clockMillis());
+    this.idleTimer = new IdleTimer(environment.clockMillis());
     this.arrival = Arrival.accepted(connection);
-    this.suspended = new SuspendedReads(connection, arrival);
+    this.reads = new SuspendedReads(connection, arrival);
     ATTRIBUTE.set(connection, this);
     PendingAnswers.attach(connection, this);
   }
 
-  static CallerConnection of(Connection<?> connection) {
+  static ClientConnection of(Connection<?> connection) {
     return ATTRIBUTE.get(connection);
   }
 
@@ -70,17 +70,17 @@
   }
 
   /** The earliest moment at which what was last read can have arrived, on the nano clock. */
-  long arrivedNanos() {
+  long earliestArrivalNanos() {
     return arrival.earliestNanos();
   }
 
   /** The exchange this content belongs to; null if it begins one or is to be dropped. */
   synchronized Exchange exchangeOf(HttpContent content) {
-    return turns.exchangeOf(content);
+    return pipeline.exchangeOf(content);
   }
 
   synchronized boolean isDiscarding(HttpContent content) {
-    return discarding != null && discarding == content.getHttpHeader();
+    return discarded != null && discarded == content.getHttpHeader();
   }
 
   /**
@@ -89,25 +89,25 @@
    *
    * @return the action that waits, or null if the request may begin now
    */
-  synchronized NextAction awaitRoom(FilterChainContext context) {
-    if (state == ConnectionState.OPEN && turns.hasRoom() && discarding == null) {
-      beginning = true;
+  synchronized NextAction suspendIfFull(FilterChainContext context) {
+    if (state == ConnectionState.OPEN && pipeline.hasRoom() && discarded == null) {
+      isBeginning = true;
       return null;
     }
-    return suspended.atHead(context);
+    return reads.suspendAtHead(context);
   }
 
   /** A request has been read: its answer comes after those of the requests before it. */
-  synchronized AnswerTurn begin(Exchange exchange, HttpHeader request) {
-    AnswerTurn turn = new AnswerTurn(this, request, exchange);
-    beginning = false;
+  synchronized PipelinedResponse begin(Exchange exchange, HttpHeader request) {
+    PipelinedResponse response = new PipelinedResponse(this, request, exchange);
+    isBeginning = false;
     if (state != ConnectionState.CLOSED) {
-      turns.add(turn);
+      pipeline.add(response);
     }
     if (!request.getProcessingState().isKeepAlive()) {
       announceLast();
     }
-    return turn;
+    return response;
   }
 
   /**
@@ -115,67 +115,67 @@
    *
    * @param runsBesideOthers whether it may run at the same time as others, and again
    */
-  synchronized boolean mayStart(AnswerTurn turn, boolean runsBesideOthers) {
-    turn.runsBesideOthers(runsBesideOthers);
-    boolean starts = turns.mayStartBesideOthers(turn);
-    if (!starts) {
-      turn.waitToStart();
+  synchronized boolean mayStart(PipelinedResponse response, boolean mayRunConcurrently) {
+    response.setConcurrent(mayRunConcurrently);
+    boolean startsNow = pipeline.mayStartConcurrently(response);
+    if (!startsNow) {
+      response.deferStart();
     }
-    return starts;
+    return startsNow;
   }
 
   /** Stops reading until {@link #resume} is called with the same context. */
   synchronized NextAction suspend(FilterChainContext context) {
-    return suspended.inBody(context);
+    return reads.suspendInBody(context);
   }
 
   /** Reads on after {@link #suspend}; nothing if that context goes on already. */
   void resume(FilterChainContext context) {
     Runnable resumption;
     synchronized (this) {
-      resumption = suspended.takeBody(context);
+      resumption = reads.takeBodyResumption(context);
     }
     resumption.run();
   }
 
   /** The request has been read whole. */
-  void bodyComplete(AnswerTurn turn) {
-    boolean dropped;
+  void requestBodyComplete(PipelinedResponse response) {
+    boolean isDiscarded;
     synchronized (this) {
-      turn.completeBody();
-      dropped = discarding == turn.request();
+      response.completeBody();
+      isDiscarded = discarded == response.request();
     }
-    if (dropped) {
+    if (isDiscarded) {
       discard(true);
     }
   }
 
   /** Holds a message whose turn has not come; false if it is to be written now. */
-  synchronized boolean hold(AnswerTurn turn, Object message, long bytes) {
-    if (turn.isCurrent()) {
+  synchronized boolean hold(PipelinedResponse response, Object message, long bytes) {
+    if (response.isCurrent()) {
       return false;
     }
     if (state != ConnectionState.CLOSED) {
-      turns.hold(turn, message, bytes);
+      pipeline.hold(response, message, bytes);
     }
     return true;
   }
 
-  boolean canTakeMore(AnswerTurn turn) {
+  boolean canWrite(PipelinedResponse response) {
     synchronized (this) {
-      if (!turn.isCurrent()) {
-        return turns.canHoldMore();
+      if (!response.isCurrent()) {
+        return pipeline.canHoldMore();
       }
     }
     return connection.canWrite();
   }
 
   /** Keeps an action until the turn has come; false if it has. */
-  synchronized boolean postpone(AnswerTurn turn, Runnable action) {
-    if (turn.isCurrent()) {
+  synchronized boolean postponeUntilCurrent(PipelinedResponse response, Runnable action) {
+    if (response.isCurrent()) {
       return false;
     }
-    turn.addWaiter(action);
+    response.addWaiter(action);
     return true;
   }
 
@@ -185,12 +185,12 @@
    *
    * @return whether the answer is to say that the connection ends
    */
-  synchronized boolean endsWith(AnswerTurn turn) {
-    boolean isBehind = !turns.isLast(turn) || beginning || suspended.isMoreBehind();
-    if (!isBehind) {
+  synchronized boolean tryMakeLast(PipelinedResponse response) {
+    boolean hasInputBehind = !pipeline.isLast(response) || isBeginning || reads.hasInputNow();
+    if (!hasInputBehind) {
       announceLast();
     }
-    return !isBehind;
+    return !hasInputBehind;
   }
 
   /** No request is begun any more: an answer under way says that the connection ends. */
@@ -205,17 +205,17 @@
    *
    * @param keepAlive whether the connection may carry another request
    */
-  void answered(AnswerTurn turn, boolean keepAlive) {
+  void responseComplete(PipelinedResponse response, boolean keepAlive) {
     synchronized (this) {
-      turn.end(keepAlive);
+      response.end(keepAlive);
     }
     advance();
   }
 
   /** The answer has broken off: the connection ends when its turn comes. */
-  void cutOff(AnswerTurn turn) {
+  void responseTruncated(PipelinedResponse response) {
     synchronized (this) {
-      turn.cutOff();
+      response.truncate();
     }
     advance();
   }
@@ -223,10 +223,10 @@
   /** Passes the turn on as far as it goes. Called without the lock of any exchange. */
   private void advance() {
     synchronized (this) {
-      if (advancing) {
+      if (isAdvancing) {
         return;
       }
-      advancing = true;
+      isAdvancing = true;
     }
     for (Runnable step = nextStep(); step != null; step = nextStep()) {
       step.run();
@@ -235,28 +235,28 @@
 
   /** What is to be done next, without the lock; null if nothing is. */
   private synchronized Runnable nextStep() {
-    AnswerTurn first = turns.first();
+    PipelinedResponse first = pipeline.first();
     if (state.isOver()) {
-      advancing = false;
+      isAdvancing = false;
       return null;
     }
     if (first == null) {
-      advancing = false;
-      return lastStep();
+      isAdvancing = false;
+      return writeFinalResponse();
     }
     if (!first.isCurrent()) {
-      return first.isHolding() ? flush(first) : makeCurrent(first);
+      return first.hasHeldMessages() ? flush(first) : makeCurrent(first);
     }
     if (first.isEnded()) {
-      return pass(first);
+      return completeFirst(first);
     }
-    advancing = false;
+    isAdvancing = false;
     return null;
   }
 
-  private Runnable lastStep() {
-    Object message = lastAnswer;
-    lastAnswer = null;
+  private Runnable writeFinalResponse() {
+    Object message = finalResponse;
+    finalResponse = null;
     if (message == null) {
       return null;
     }
@@ -267,83 +267,84 @@
     };
   }
 
-  private Runnable flush(AnswerTurn turn) {
-    boolean isWhole = turn.isEnded() && !turn.isCutOff();
-    List<Object> messages = turns.takeHeld(turn);
+  private Runnable flush(PipelinedResponse response) {
+    boolean isWhole = response.isEnded() && !response.isTruncated();
+    List<Object> messages = pipeline.takeHeld(response);
     return () -> {
       if (isWhole) {
-        turn.exchange().heldAnswerGoesOut();
+        response.exchange().beforeHeldResponseWritten();
       }
       messages.forEach(message -> connection.write(message, null));
     };
   }
 
-  private Runnable makeCurrent(AnswerTurn turn) {
-    turn.makeCurrent();
-    List<Runnable> waiters = turn.takeWaiters();
-    boolean starts = turn.takeWaitsToStart();
+  private Runnable makeCurrent(PipelinedResponse response) {
+    response.makeCurrent();
+    List<Runnable> waiters = response.takeWaiters();
+    boolean starts = response.takeDeferredStart();
     return () -> {
-      waiters.forEach(this::whenWritable);
+      waiters.forEach(this::runWhenWritable);
       if (starts) {
-        turn.exchange().onTurn();
+        response.exchange().onBecameCurrent();
       }
     };
   }
 
   /** The first answer is out: the turn passes on, or the connection ends. */
-  private Runnable pass(AnswerTurn turn) {
-    turns.removeFirst();
-    rest.restart();
-    if (turn.isCutOff()) {
+  private Runnable completeFirst(PipelinedResponse response) {
+    pipeline.removeFirst();
+    idleTimer.restart();
+    if (response.isTruncated()) {
       state = ConnectionState.OUTPUT_ENDED;
       return () -> abort(ConnectionEnd.BROKEN_ANSWER);
     }
-    boolean isLast = state == ConnectionState.LAST_ANSWER && turns.isEmpty() && lastAnswer == null;
-    if (isLast || !turn.isKeepAlive()) {
+    boolean isLast =
+        state == ConnectionState.LAST_ANSWER && pipeline.isEmpty() && finalResponse == null;
+    if (isLast || !response.isKeepAlive()) {
       return endOutput(ConnectionEnd.LAST_ANSWER);
     }
-    if (!turn.isBodyComplete()) {
-      discarding = turn.request();
-      return suspended.takeBody();
+    if (!response.isBodyComplete()) {
+      discarded = response.request();
+      return reads.takeBodyResumption();
     }
-    return readOn();
+    return resumeReading();
   }
 
   /** Another request may begin; or the connection ends, if it is to end at rest. */
-  private Runnable readOn() {
-    Runnable head = suspended.takeHead();
+  private Runnable resumeReading() {
+    Runnable head = reads.takeHeadResumption();
     return () -> {
       head.run();
-      endIfAtRestAfterReading();
+      endIfIdleAfterReading();
     };
   }
 
-  private void endIfAtRestAfterReading() {
-    boolean isToEnd;
+  private void endIfIdleAfterReading() {
+    boolean shouldEnd;
     synchronized (this) {
-      isToEnd = endsAtRest;
+      shouldEnd = endsWhenIdle;
     }
-    if (isToEnd) {
-      afterReading(this::endIfAtRest);
+    if (shouldEnd) {
+      afterReading(this::endIfIdle);
     }
   }
 
   /** Whether no request is under way, as far as has been read. */
-  private boolean isAtRest() {
-    boolean isRequestUnderWay = !turns.isEmpty() || beginning || suspended.isMoreRead();
-    return !isRequestUnderWay && discarding == null && lastAnswer == null;
+  private boolean isIdle() {
+    boolean isRequestUnderWay = !pipeline.isEmpty() || isBeginning || reads.hasInput();
+    return !isRequestUnderWay && discarded == null && finalResponse == null;
   }
 
   /** Nothing more is written; what the peer still sends is dropped until it ends, too. */
   private Runnable endOutput(ConnectionEnd cause) {
     state = ConnectionState.OUTPUT_ENDED;
-    dropped.outputEnds();
-    endsBy(cause);
-    rest.restart();
-    Runnable head = suspended.takeHead();
-    Runnable body = suspended.takeBody();
+    droppedInput.outputEnds();
+    setEndCause(cause);
+    idleTimer.restart();
+    Runnable head = reads.takeHeadResumption();
+    Runnable body = reads.takeBodyResumption();
     return () -> {
-      OutputEnd.afterAllWritten(connection);
+      OutputShutdown.afterPendingWrites(connection);
       head.run();
       body.run();
     };
@@ -356,9 +357,9 @@
     }
     Runnable next;
     synchronized (this) {
-      discarding = null;
-      rest.restart();
-      next = state.isOver() ? () -> {} : readOn();
+      discarded = null;
+      idleTimer.restart();
+      next = state.isOver() ? () -> {} : resumeReading();
     }
     next.run();
   }
@@ -370,60 +371,60 @@
 
   @Override
   public synchronized void keepsUndecoded(boolean isKept) {
-    suspended.keepsUndecoded(isKept);
+    reads.keepsUndecoded(isKept);
   }
 
   @Override
   public synchronized void dropped(int bytes) {
-    dropped.add(bytes);
+    droppedInput.add(bytes);
   }
 
   @Override
   public void writeLast(Object message) {
     synchronized (this) {
       announceLast();
-      lastAnswer = message;
+      finalResponse = message;
     }
     advance();
   }
 
   /** Ends the connection at once. */
   void abort(ConnectionEnd cause) {
-    endsBy(cause);
+    setEndCause(cause);
     connection.terminateSilently();
   }
 
-  private synchronized void endsBy(ConnectionEnd cause) {
-    if (endedBy == ConnectionEnd.PEER) {
-      endedBy = cause;
+  private synchronized void setEndCause(ConnectionEnd cause) {
+    if (endCause == ConnectionEnd.PEER) {
+      endCause = cause;
     }
   }
 
   /** The connection is gone. */
-  void closed() {
+  void onClosed() {
     List<Exchange> open;
     ConnectionEnd cause;
     UnansweredRequests.Input input;
     synchronized (this) {
       state = ConnectionState.CLOSED;
-      open = turns.takeAll();
+      open = pipeline.takeAll();
       cause =
-          endedBy == ConnectionEnd.PEER
+          endCause == ConnectionEnd.PEER
               ? ConnectionEnd.ofCloseReason(connection.getCloseReason())
-              : endedBy;
-      input = dropped.input(connection, suspended.isAtHead());
+              : endCause;
+      input = droppedInput.input(connection, reads.isSuspendedAtHead());
     }
     // Exchanges are asked for their own state, under their own locks.
     UnansweredRequests unanswered = UnansweredRequests.of(side, cause, open, input);
     if (unanswered.isAny()) {
       log.ended(unanswered);
     }
-    lost.end(open);
+    canceller.cancel(open);
   }
 
   /** Ends the exchanges that could not be ended under another's lock. */
-  void endThoseLeft() {
-    lost.endThoseLeft();
+  void cancelDeferred() {
+    canceller.cancelDeferred();
   }
 
   /**
@@ -433,7 +434,7 @@
    * @param idleMillis bound also for a peer that takes nothing of what was written
    */
   void expire(long idleMillis, long lingerMillis) {
-    rest.noteOutput(unwrittenBytes());
+    idleTimer.noteUnwrittenBytes(unwrittenBytes());
     if (isOverdue(idleMillis, lingerMillis)) {
       afterReading(() -> endOverdue(idleMillis, lingerMillis));
     }
@@ -448,9 +449,9 @@
   }
 
   private synchronized boolean isOverdue(long idleMillis, long lingerMillis) {
-    boolean lingers = discarding != null || state == ConnectionState.OUTPUT_ENDED;
-    boolean isShort = lingers && unwrittenBytes() == 0;
-    return (lingers || isAtRest()) && rest.isOver(isShort ? lingerMillis : idleMillis);
+    boolean isLingering = discarded != null || state == ConnectionState.OUTPUT_ENDED;
+    boolean isShort = isLingering && unwrittenBytes() == 0;
+    return (isLingering || isIdle()) && idleTimer.hasElapsed(isShort ? lingerMillis : idleMillis);
   }
 
   private void endOverdue(long idleMillis, long lingerMillis) {
@@ -468,21 +469,21 @@
   }
 
   /** Ends the connection when all that has been read from it is answered. */
-  void endAtRest() {
+  void endWhenIdle() {
     synchronized (this) {
-      endsAtRest = true;
+      endsWhenIdle = true;
     }
-    endIfAtRestAfterReading();
+    endIfIdleAfterReading();
   }
 
-  private void endIfAtRest() {
+  private void endIfIdle() {
     Runnable next = () -> {};
     synchronized (this) {
-      if (state == ConnectionState.OPEN && isAtRest()) {
+      if (state == ConnectionState.OPEN && isIdle()) {
         next = endOutput(ConnectionEnd.STOP);
-      } else if (turns.isEmpty() && suspended.isHolding()) {
+      } else if (pipeline.isEmpty() && reads.hasBufferedBytes()) {
         // Less than a whole request has no answer that would end the connection.
-        next = () -> afterReading(this::endIfAtRest);
+        next = () -> afterReading(this::endIfIdle);
       }
     }
     next.run();
@@ -493,7 +494,7 @@
     return connection instanceof NIOConnection nio ? nio.getAsyncWriteQueue().spaceInBytes() : 0;
   }
 
-  void whenWritable(Runnable action) {
+  void runWhenWritable(Runnable action) {
     connection.notifyCanWrite(new OriginConnection.WhenWritable(connection, action));
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/Exchange.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/Exchange.java
@@ -20,37 +20,37 @@
  * another exchange's is taken.
  */
 public final class Exchange {
-  private final CallerConnection caller;
-  private final AnswerTurn turn;
+  private final ClientConnection client;
+  private final PipelinedResponse pipelined;
   private final RequestHead request;
   private final RequestHandler handler;
   private final ExchangeEnvironment environment;
-  private final AnswerWriter answer;
+  private final ResponseWriter responseWriter;
   private final RequestBody body = new RequestBody();
   private final AttemptHistory history = new AttemptHistory();
-  private final AnswerProgress progress = new AnswerProgress();
+  private final ResponseProgress progress = new ResponseProgress();
   private final RequestAge age;
-  private ExchangeStage stage = ExchangeStage.DECIDING;
+  private ExchangeStage stage = ExchangeStage.PENDING;
   private RequestPlan plan;
   private Attempt attempt;
-  private Runnable whenBodyWanted;
+  private Runnable bodyResumption;
   private Verdict outcome;
-  private boolean cutOff;
+  private boolean isResponseTruncated;
   private boolean dispatchAgain;
-  private boolean awaitsBody;
+  private boolean awaitsBufferedBody;
 
   Exchange(
-      CallerConnection caller,
+      ClientConnection client,
       HttpRequestPacket packet,
       RequestHandler handler,
       ExchangeEnvironment environment) {
-    this.caller = caller;
-    this.age = RequestAge.readNow(caller.arrivedNanos());
+    this.client = client;
+    this.age = RequestAge.readNow(client.earliestArrivalNanos());
     this.request = RequestHead.of(packet);
     this.handler = handler;
     this.environment = environment;
-    this.turn = caller.begin(this, packet);
-    this.answer = new AnswerWriter(turn, packet, handler);
+    this.pipelined = client.begin(this, packet);
+    this.responseWriter = new ResponseWriter(pipelined, packet, handler);
   }
 
   /** The caller's request. */
@@ -75,9 +75,9 @@
 
   /** Tells the sender to send the body; returns whether the request still waits for it. */
   public synchronized boolean continueBody() {
-    boolean waits = stage == ExchangeStage.DECIDING;
+    boolean waits = stage == ExchangeStage.PENDING;
     if (waits) {
-      answer.continueBody();
+      responseWriter.writeContinue();
     }
     return waits;
   }
@@ -105,13 +105,13 @@
     Either<Refusal, RequestPlan> decision =
         broken
             ? Either.left(Refusal.notRun(Verdict.Reason.BAD_REQUEST))
-            : RequestFaults.plan(handler, request, environment.nowMillis() - age.unreadMillis());
+            : RequestGuard.plan(handler, request, environment.nowMillis() - age.unreadMillis());
     boolean readOn;
     synchronized (this) {
-      readOn = broken || take(first);
+      readOn = broken || takeBodyPart(first);
       if (broken) {
-        answer.closeAfter();
-        caller.bodyComplete(turn);
+        responseWriter.closeAfter();
+        client.requestBodyComplete(pipelined);
       }
       if (decision.isLeft()) {
         refuse(decision.getLeft());
@@ -120,45 +120,45 @@
       }
     }
     if (decision.isRight()
-        && !refuseTooLarge()
-        && caller.mayStart(turn, handler.mayRunBesideOthers(plan))) {
+        && !refuseIfTooLarge()
+        && client.mayStart(pipelined, handler.mayRunBesideOthers(plan))) {
       EventLoop.runOrDefer(this::dispatchIfWanted);
     }
-    afterLock();
+    runDeferredActions();
     return readOn;
   }
 
   /** The answer, which was held whole until its turn, is about to be written. */
-  synchronized void heldAnswerGoesOut() {
-    answer.heldAnswerGoesOut();
+  synchronized void beforeHeldResponseWritten() {
+    responseWriter.beforeHeldResponseWritten();
   }
 
   /** A request that waited for those before it on its connection starts. */
-  void onTurn() {
+  void onBecameCurrent() {
     EventLoop.runOrDefer(this::dispatchIfWanted);
   }
 
   private void dispatchIfWanted() {
     boolean wanted;
     synchronized (this) {
-      wanted = stage == ExchangeStage.DECIDING && !endsWithCaller();
+      wanted = stage == ExchangeStage.PENDING && !cancelIfClientGone();
     }
     if (wanted) {
-      RequestFaults.dispatch(this, handler);
+      RequestGuard.dispatch(this, handler);
     }
-    afterLock();
+    runDeferredActions();
   }
 
   /** Ends the request if its caller is gone, which is heard of some iterations after it is read. */
-  private boolean endsWithCaller() {
-    boolean isGone = !caller.connection().isOpen();
+  private boolean cancelIfClientGone() {
+    boolean isGone = !client.connection().isOpen();
     if (isGone) {
-      fail(asFirmAsPossible(Verdict.Reason.CANCELLED), false);
+      fail(refusalForStage(Verdict.Reason.CANCELLED), false);
     }
     return isGone;
   }
 
-  private synchronized boolean refuseTooLarge() {
+  private synchronized boolean refuseIfTooLarge() {
     boolean isTooLarge = body.exceeds(environment.maxBodyBytes().getAsLong(), request);
     if (isTooLarge) {
       fail(Refusal.notRun(Verdict.Reason.TOO_LARGE), false);
@@ -170,31 +170,31 @@
   boolean onBodyPart(HttpContent content) {
     boolean readOn;
     synchronized (this) {
-      readOn = take(content);
+      readOn = takeBodyPart(content);
       if (stage != ExchangeStage.DONE) {
-        refuseTooLarge();
+        refuseIfTooLarge();
       }
-      dispatchIfBodyIsHeld();
+      dispatchIfBodyBuffered();
     }
-    afterLock();
+    runDeferredActions();
     return readOn;
   }
 
-  private boolean take(HttpContent content) {
+  private boolean takeBodyPart(HttpContent content) {
     Buffer buffer = content.getContent();
     boolean last = content.isLast();
     if (last) {
       body.complete(HeaderFields.trailersOf(content));
-      caller.bodyComplete(turn);
+      client.requestBodyComplete(pipelined);
     }
     if (stage == ExchangeStage.DONE) {
       return true;
     }
     if (attempt == null || attempt.origin() == null) {
-      body.hold(buffer);
+      body.buffer(buffer);
       return last || !body.isFull();
     }
-    body.passOn(buffer);
+    body.noteForwarded(buffer);
     if (buffer.hasRemaining() || last) {
       attempt.sendMore(buffer, body, last);
     }
@@ -206,11 +206,11 @@
   }
 
   /** Runs the action once more of the body can be taken. */
-  void whenBodyWanted(Runnable resume) {
+  void runWhenBodyWanted(Runnable resume) {
     OriginConnection origin;
     synchronized (this) {
       if (stage != ExchangeStage.DONE && (attempt == null || attempt.origin() == null)) {
-        whenBodyWanted = resume;
+        bodyResumption = resume;
         return;
       }
       origin = stage == ExchangeStage.DONE ? null : attempt.origin();
@@ -223,26 +223,26 @@
   }
 
   /** The body breaks the rules of framing. */
-  void onBrokenBody() {
+  void onMalformedBody() {
     synchronized (this) {
-      answer.closeAfter();
-      caller.bodyComplete(turn);
-      fail(asFirmAsPossible(Verdict.Reason.BAD_REQUEST), false);
+      responseWriter.closeAfter();
+      client.requestBodyComplete(pipelined);
+      fail(refusalForStage(Verdict.Reason.BAD_REQUEST), false);
     }
-    afterLock();
+    runDeferredActions();
   }
 
   /** Ends the connection after a fault that leaves no answer to give. */
-  void endConnection() {
-    caller.abort(ConnectionEnd.FAULT);
+  void abortConnection() {
+    client.abort(ConnectionEnd.FAULT);
   }
 
   /** Ends the request without another attempt. */
   void giveUp(Verdict.Reason reason) {
     synchronized (this) {
-      fail(asFirmAsPossible(reason), false);
+      fail(refusalForStage(reason), false);
     }
-    afterLock();
+    runDeferredActions();
   }
 
   /**
@@ -253,13 +253,13 @@
    */
   void checkDeadline(long nowMillis, boolean isLate) {
     synchronized (this) {
-      boolean waits = isLate && stage.mayHaveReachedOrigin() || progress.isOnItsWay(nowMillis);
+      boolean waits = isLate && stage.mayHaveReachedOrigin() || progress.isActive(nowMillis);
       if (plan == null || waits || !age.isPastDeadline(plan, stage, nowMillis)) {
         return;
       }
-      fail(asFirmAsPossible(Verdict.Reason.DEADLINE), false);
+      fail(refusalForStage(Verdict.Reason.DEADLINE), false);
     }
-    afterLock();
+    runDeferredActions();
   }
 
   /**
@@ -267,22 +267,22 @@
    *
    * @return whether work was broken off that may have begun
    */
-  boolean abortAtDrainBound() {
+  boolean abortAtDrainTimeout() {
     boolean mayHaveRun;
     synchronized (this) {
-      if (stage == ExchangeStage.DONE || progress.isOnItsWay(environment.nowMillis())) {
+      if (stage == ExchangeStage.DONE || progress.isActive(environment.nowMillis())) {
         return false;
       }
       mayHaveRun = stage.mayHaveReachedOrigin();
       String route = plan == null ? "" : plan.route();
       environment.attemptLog().cutOff(UnansweredRequests.idOf(this), route, body.received());
-      fail(asFirmAsPossible(Verdict.Reason.DRAINING), false);
+      fail(refusalForStage(Verdict.Reason.DRAINING), false);
     }
-    afterLock();
+    runDeferredActions();
     return mayHaveRun;
   }
 
-  private Refusal asFirmAsPossible(Verdict.Reason reason) {
+  private Refusal refusalForStage(Verdict.Reason reason) {
     return stage.mayHaveReachedOrigin() ? Refusal.mayHaveRun(reason) : Refusal.notRun(reason);
   }
 
@@ -294,11 +294,11 @@
   public boolean sendTo(ConnectionPool pool, String originId) {
     Attempt next;
     synchronized (this) {
-      if (stage != ExchangeStage.DECIDING) {
+      if (stage != ExchangeStage.PENDING) {
         return false;
       }
       stage = ExchangeStage.CONNECTING;
-      next = new Attempt(this, turn, pool, originId, history.begin(originId));
+      next = new Attempt(this, pipelined, pool, originId, history.begin(originId));
       attempt = next;
     }
     next.begin();
@@ -311,15 +311,15 @@
    */
   public void dispatchOnceBodyIsHeld() {
     synchronized (this) {
-      awaitsBody = true;
-      dispatchIfBodyIsHeld();
+      awaitsBufferedBody = true;
+      dispatchIfBodyBuffered();
     }
-    afterLock();
+    runDeferredActions();
   }
 
-  private void dispatchIfBodyIsHeld() {
-    if (awaitsBody && stage == ExchangeStage.DECIDING && body.isHeld()) {
-      awaitsBody = false;
+  private void dispatchIfBodyBuffered() {
+    if (awaitsBufferedBody && stage == ExchangeStage.PENDING && body.isHeld()) {
+      awaitsBufferedBody = false;
       dispatchAgain = true;
     }
   }
@@ -329,7 +329,7 @@
     synchronized (this) {
       fail(stage.mayHaveReachedOrigin() ? Refusal.mayHaveRun(refusal.reason()) : refusal, false);
     }
-    afterLock();
+    runDeferredActions();
   }
 
   /** Ends the attempt, and the request unless another attempt is permitted. */
@@ -346,23 +346,23 @@
       handler.attemptEnded(this, ended.originId(), refusal, ended.elapsedMicros());
     }
     history.failed(refusal);
-    if (before == ExchangeStage.ANSWERING) {
-      cutOff = true;
+    if (before == ExchangeStage.RESPONDING) {
+      isResponseTruncated = true;
       finish(refusal.verdict());
     } else if (retryPermitted && handler.mayRetry(this, refusal.verdict())) {
       environment.stats().retried(refusal.verdict());
-      stage = ExchangeStage.DECIDING;
+      stage = ExchangeStage.PENDING;
       dispatchAgain = true;
     } else {
-      refuseFinally(refusal);
+      writeFinalRefusal(refusal);
     }
   }
 
-  private void refuseFinally(Refusal refusal) {
-    Refusal truthful = history.truthful(refusal);
+  private void writeFinalRefusal(Refusal refusal) {
+    Refusal adjusted = history.adjustForEarlierAttempts(refusal);
     // Before the write, which may find the caller's connection broken and end the request again.
-    finish(truthful.verdict());
-    answer.refusal(truthful, plan, body.isRestUnwanted(request));
+    finish(adjusted.verdict());
+    responseWriter.writeRefusal(adjusted, plan, body.isClosePreferredToDiscard(request));
   }
 
   private void finish(Verdict verdict) {
@@ -371,7 +371,7 @@
   }
 
   /** Does what must not be done under this exchange's lock. */
-  private void afterLock() {
+  private void runDeferredActions() {
     if (Thread.holdsLock(this)) {
       return;
     }
@@ -384,28 +384,28 @@
       dispatch = dispatchAgain;
       dispatchAgain = false;
       if (stage == ExchangeStage.DONE || attempt != null && attempt.origin() != null) {
-        resume = whenBodyWanted;
-        whenBodyWanted = null;
+        resume = bodyResumption;
+        bodyResumption = null;
       }
     }
     if (dispatch) {
       EventLoop.runOrDefer(this::dispatchIfWanted);
     }
     if (resume != null) {
-      whenBodyWanted(resume);
+      runWhenBodyWanted(resume);
     }
     if (ended != null) {
-      if (cutOff) {
-        caller.cutOff(turn);
+      if (isResponseTruncated) {
+        client.responseTruncated(pipelined);
       } else {
-        caller.answered(turn, answer.isKeepAlive());
+        client.responseComplete(pipelined, responseWriter.isKeepAlive());
       }
       environment.active().remove(this);
       environment.stats().inFlight(handler.side(), -1);
       environment.stats().requestEnded(handler.side(), ended, age.sinceReadMicros());
       handler.ended(this, ended);
     }
-    caller.endThoseLeft();
+    client.cancelDeferred();
   }
 
   /** The attempt has a connection; returns whether it still wants it. */
@@ -414,19 +414,19 @@
     synchronized (this) {
       wanted = isStillWanted(connected, ExchangeStage.CONNECTING);
       if (wanted) {
-        stage = connected.asksBefore(body) ? ExchangeStage.ASKING : ExchangeStage.SENT;
+        stage = connected.needsContinue(body) ? ExchangeStage.HEAD_SENT : ExchangeStage.SENT;
         history.sent();
         handler.addHeaders(this, connected.prepare().packet(), environment.nowMillis());
         connected.send(connection, body);
       }
     }
-    afterLock();
+    runDeferredActions();
     return wanted;
   }
 
   /** Time has passed since the attempt was decided on: what spoke for it may not hold any more. */
   private boolean isStillWanted(Attempt current, ExchangeStage expected) {
-    if (attempt != current || stage != expected || endsWithCaller()) {
+    if (attempt != current || stage != expected || cancelIfClientGone()) {
       return false;
     }
     Optional<Refusal> refusal = handler.refusalAtSending(plan, environment.nowMillis());
@@ -440,61 +440,61 @@
         fail(refusal, true);
       }
     }
-    afterLock();
+    runDeferredActions();
   }
 
-  void attemptInterim(Attempt current, byte[] head) {
+  void attemptReceivedInterim(Attempt current, byte[] head) {
     synchronized (this) {
       if (attempt == current && stage == ExchangeStage.SENT) {
-        answer.interim(head);
-      } else if (isStillWanted(current, ExchangeStage.ASKING)) {
+        responseWriter.writeInterim(head);
+      } else if (isStillWanted(current, ExchangeStage.HEAD_SENT)) {
         stage = ExchangeStage.SENT;
         current.sendBody(body);
       }
     }
-    afterLock();
+    runDeferredActions();
   }
 
   /** A piece of the answer; returns whether to read on. */
-  boolean attemptAnswered(Attempt answered, AnswerPart part) {
+  boolean attemptReceivedPart(Attempt current, AnswerPart part) {
     boolean readOn;
     synchronized (this) {
-      readOn = attempt != answered || takeAnswer(answered, part);
+      readOn = attempt != current || takeResponsePart(current, part);
     }
-    afterLock();
+    runDeferredActions();
     return readOn;
   }
 
-  private boolean takeAnswer(Attempt answered, AnswerPart part) {
+  private boolean takeResponsePart(Attempt current, AnswerPart part) {
     if (part.first()) {
       Optional<Refusal> refusal = handler.refusalIn(this, part.head());
       if (refusal.isPresent()) {
         // A connection that carried an answer to another request is not used again.
         if (part.last() && refusal.get().fromOrigin()) {
-          answered.detach();
+          current.detach();
         }
         fail(refusal.get(), true);
         return true;
       }
     }
-    Optional<AnswerPart> ready = answered.passesOn(part);
-    return ready.isEmpty() || passOn(answered, ready.get());
+    Optional<AnswerPart> ready = current.partToForward(part);
+    return ready.isEmpty() || forwardPart(current, ready.get());
   }
 
-  private boolean passOn(Attempt answered, AnswerPart part) {
-    progress.passes(part, environment.nowMillis());
-    stage = ExchangeStage.ANSWERING;
-    answer.part(part, plan);
-    if (attempt != answered) {
+  private boolean forwardPart(Attempt current, AnswerPart part) {
+    progress.onPart(part, environment.nowMillis());
+    stage = ExchangeStage.RESPONDING;
+    responseWriter.writePart(part, plan);
+    if (attempt != current) {
       // The caller's connection broke while the piece was written, which has ended the request.
       return true;
     }
     if (part.last()) {
-      answered.detach();
+      current.detach();
       attempt = null;
-      handler.attemptEnded(this, answered.originId(), null, answered.elapsedMicros());
+      handler.attemptEnded(this, current.originId(), null, current.elapsedMicros());
       finish(new Verdict.Completed());
     }
-    return part.last() || answer.canTakeMore();
+    return part.last() || responseWriter.canWrite();
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ExchangeStage.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ExchangeStage.java
@@ -13,20 +13,20 @@
  */
 enum ExchangeStage {
   /** Nothing is under way anywhere. */
-  DECIDING,
+  PENDING,
   /** An attempt waits for a connection; nothing of it has been sent. */
   CONNECTING,
   /** The head was sent alone: nothing runs before the origin has asked for the body. */
-  ASKING,
+  HEAD_SENT,
   /** The request, or its beginning, may have reached the origin. */
   SENT,
   /** The caller has got the beginning of the answer. */
-  ANSWERING,
+  RESPONDING,
   /** Over. */
   DONE;
 
   /** Whether the attempt under way may have reached its origin. */
   boolean mayHaveReachedOrigin() {
-    return this == SENT || this == ANSWERING;
+    return this == SENT || this == RESPONDING;
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/RestTime.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/IdleTimer.java
@@ -3,12 +3,12 @@
 import java.util.function.LongSupplier;
 
 /** Since when nothing has happened on a connection. Thread-safe. */
-final class RestTime {
+final class IdleTimer {
   private final LongSupplier clockMillis;
   private volatile long sinceMillis;
   private volatile long lastUnwrittenBytes;
 
-  RestTime(LongSupplier clockMillis) {
+  IdleTimer(LongSupplier clockMillis) {
     this.clockMillis = clockMillis;
     restart();
   }
@@ -19,14 +19,14 @@
   }
 
   /** A peer that takes what was written is not waited for in vain. */
-  void noteOutput(long unwrittenBytes) {
+  void noteUnwrittenBytes(long unwrittenBytes) {
     if (unwrittenBytes != lastUnwrittenBytes) {
       lastUnwrittenBytes = unwrittenBytes;
       restart();
     }
   }
 
-  boolean isOver(long boundMillis) {
+  boolean hasElapsed(long boundMillis) {
     return clockMillis.getAsLong() - sinceMillis >= boundMillis;
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/InboundFilter.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/InboundFilter.java
@@ -15,9 +15,9 @@
 public final class InboundFilter extends BaseFilter {
   private final RequestHandler handler;
   private final ExchangeEnvironment environment;
-  private final Set<CallerConnection> connections = ConcurrentHashMap.newKeySet();
+  private final Set<ClientConnection> connections = ConcurrentHashMap.newKeySet();
   private final LongAdder accepted = new LongAdder();
-  private volatile boolean ending;
+  private volatile boolean isEnding;
 
   /** Creates the last filter of a listener. */
   public InboundFilter(RequestHandler handler, ExchangeEnvironment environment) {
@@ -27,12 +27,12 @@
 
   @Override
   public NextAction handleAccept(FilterChainContext context) {
-    CallerConnection caller =
-        new CallerConnection(context.getConnection(), handler.side(), environment);
-    connections.add(caller);
+    ClientConnection client =
+        new ClientConnection(context.getConnection(), handler.side(), environment);
+    connections.add(client);
     accepted.increment();
-    if (ending) {
-      caller.endAtRest();
+    if (isEnding) {
+      client.endWhenIdle();
     }
     return context.getStopAction();
   }
@@ -40,65 +40,65 @@
   @Override
   public NextAction handleRead(FilterChainContext context) {
     HttpContent content = context.getMessage();
-    CallerConnection caller = CallerConnection.of(context.getConnection());
-    if (caller.isEnded()) {
+    ClientConnection client = ClientConnection.of(context.getConnection());
+    if (client.isEnded()) {
       return context.getStopAction();
     }
-    Exchange exchange = caller.exchangeOf(content);
+    Exchange exchange = client.exchangeOf(content);
     if (exchange != null) {
-      return bodyPart(context, caller, exchange, content);
+      return handleBodyPart(context, client, exchange, content);
     }
-    if (caller.isDiscarding(content)) {
-      return discard(context, caller, content);
+    if (client.isDiscarding(content)) {
+      return discard(context, client, content);
     }
-    NextAction wait = caller.awaitRoom(context);
-    return wait != null ? wait : begin(context, caller, content);
+    NextAction suspension = client.suspendIfFull(context);
+    return suspension != null ? suspension : begin(context, client, content);
   }
 
   private NextAction begin(
-      FilterChainContext context, CallerConnection caller, HttpContent content) {
+      FilterChainContext context, ClientConnection client, HttpContent content) {
     HttpRequestPacket request = (HttpRequestPacket) content.getHttpHeader();
-    Exchange exchange = new Exchange(caller, request, handler, environment);
-    boolean readOn = RequestFaults.guard(exchange, () -> exchange.begin(content));
-    return continueOrSuspend(context, caller, exchange, readOn);
+    Exchange exchange = new Exchange(client, request, handler, environment);
+    boolean readOn = RequestGuard.guard(exchange, () -> exchange.begin(content));
+    return continueOrSuspend(context, client, exchange, readOn);
   }
 
-  private static NextAction bodyPart(
-      FilterChainContext context, CallerConnection caller, Exchange exchange, HttpContent content) {
+  private static NextAction handleBodyPart(
+      FilterChainContext context, ClientConnection client, Exchange exchange, HttpContent content) {
     if (content instanceof HttpBrokenContent) {
-      exchange.onBrokenBody();
+      exchange.onMalformedBody();
       return context.getStopAction();
     }
-    boolean readOn = RequestFaults.guard(exchange, () -> exchange.onBodyPart(content));
-    return continueOrSuspend(context, caller, exchange, readOn);
+    boolean readOn = RequestGuard.guard(exchange, () -> exchange.onBodyPart(content));
+    return continueOrSuspend(context, client, exchange, readOn);
   }
 
   private static NextAction continueOrSuspend(
-      FilterChainContext context, CallerConnection caller, Exchange exchange, boolean readOn) {
+      FilterChainContext context, ClientConnection client, Exchange exchange, boolean readOn) {
     if (readOn) {
       return context.getStopAction();
     }
-    NextAction action = caller.suspend(context);
-    exchange.whenBodyWanted(() -> caller.resume(context));
+    NextAction action = client.suspend(context);
+    exchange.runWhenBodyWanted(() -> client.resume(context));
     return action;
   }
 
   private static NextAction discard(
-      FilterChainContext context, CallerConnection caller, HttpContent content) {
+      FilterChainContext context, ClientConnection client, HttpContent content) {
     if (content instanceof HttpBrokenContent) {
-      caller.abort(ConnectionEnd.BROKEN_ANSWER);
+      client.abort(ConnectionEnd.BROKEN_ANSWER);
     } else {
-      caller.discard(content.isLast());
+      client.discard(content.isLast());
     }
     return context.getStopAction();
   }
 
   @Override
   public NextAction handleClose(FilterChainContext context) {
-    CallerConnection caller = CallerConnection.of(context.getConnection());
-    if (caller != null) {
-      connections.remove(caller);
-      OwnTurn.run(context.getConnection(), caller::closed);
+    ClientConnection client = ClientConnection.of(context.getConnection());
+    if (client != null) {
+      connections.remove(client);
+      OwnTurn.run(context.getConnection(), client::onClosed);
     }
     return context.getStopAction();
   }
@@ -108,13 +108,13 @@
    * the connection, for too long.
    */
   public void expire(long idleMillis, long lingerMillis) {
-    connections.forEach(caller -> caller.expire(idleMillis, lingerMillis));
+    connections.forEach(client -> client.expire(idleMillis, lingerMillis));
   }
 
   /** Ends each connection, also later ones, as soon as all that was read from it is answered. */
   public void endConnections() {
-    ending = true;
-    connections.forEach(CallerConnection::endAtRest);
+    isEnding = true;
+    connections.forEach(ClientConnection::endWhenIdle);
   }
 
   /** Connections accepted so far. */
@@ -129,6 +129,6 @@
 
   /** Bytes of answers that no socket has taken yet. */
   public long unwrittenBytes() {
-    return connections.stream().mapToLong(CallerConnection::unwrittenBytes).sum();
+    return connections.stream().mapToLong(ClientConnection::unwrittenBytes).sum();
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/OutgoingRequest.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/OutgoingRequest.java
@@ -40,9 +40,9 @@
       builder.contentLength(request.contentLength());
     }
     HttpRequestPacket packet = builder.build();
-    Set<String> leftOut =
+    Set<String> excluded =
         plan.authorization().isPresent() ? REPLACED_BY_SECRET : plan.replacedHeaders();
-    HeaderCopier.copy(request.fields(), packet, leftOut);
+    HeaderCopier.copy(request.fields(), packet, excluded);
     if (request.field(Header.Host.toString()).isEmpty()) {
       set(packet, Header.Host.toString(), origin.toString());
     }
@@ -59,13 +59,13 @@
   }
 
   /** The head alone; the origin is asked to say whether the body is to follow. */
-  HttpPacket asking() {
+  HttpPacket withExpectContinue() {
     set(packet, Header.Expect.toString(), "100-continue");
     return packet;
   }
 
   /** The head with the first bytes of the body. */
-  HttpPacket first(byte[] content, boolean last, HeaderFields trailers) {
+  HttpPacket firstPart(byte[] content, boolean last, HeaderFields trailers) {
     if (!packet.isChunked() && packet.getContentLength() <= 0) {
       return packet;
     }
@@ -73,11 +73,11 @@
         content.length == 0
             ? Buffers.EMPTY_BUFFER
             : Buffers.wrap(MemoryManager.DEFAULT_MEMORY_MANAGER, content);
-    return next(buffer, last, trailers);
+    return nextPart(buffer, last, trailers);
   }
 
   /** More of the body. */
-  HttpPacket next(Buffer content, boolean last, HeaderFields trailers) {
+  HttpPacket nextPart(Buffer content, boolean last, HeaderFields trailers) {
     return part(packet, content, last, trailers);
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/OutputEnd.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/OutputShutdown.java
@@ -13,13 +13,13 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
 /** Ends what is written to a connection once the socket has taken it all; reading goes on. */
-final class OutputEnd {
+final class OutputShutdown {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  private OutputEnd() {}
+  private OutputShutdown() {}
 
   /** Ends the output behind all that has been written. */
-  static void afterAllWritten(Connection<?> connection) {
+  static void afterPendingWrites(Connection<?> connection) {
     if (connection instanceof TCPNIOConnection tcp) {
       // An empty write completes when those before it have.
       ((TCPNIOTransport) tcp.getTransport())
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/AnswerTurn.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/PipelinedResponse.java
@@ -12,22 +12,22 @@
  * of their requests: what is written before its turn is held. The connection's lock guards its
  * state.
  */
-final class AnswerTurn {
-  private final CallerConnection connection;
+final class PipelinedResponse {
+  private final ClientConnection connection;
   private final HttpHeader request;
   private final Exchange exchange;
   private final Deque<Object> held = new ArrayDeque<>();
-  private final List<Runnable> whenCurrent = new ArrayList<>();
+  private final List<Runnable> waiters = new ArrayList<>();
   private long heldBytes;
-  private boolean current;
-  private boolean runsBesideOthers;
-  private boolean waitsToStart;
+  private boolean isCurrent;
+  private boolean isConcurrent;
+  private boolean isStartDeferred;
   private boolean ended;
   private boolean keepAlive;
-  private boolean cutOff;
+  private boolean isTruncated;
   private boolean bodyComplete;
 
-  AnswerTurn(CallerConnection connection, HttpHeader request, Exchange exchange) {
+  PipelinedResponse(ClientConnection connection, HttpHeader request, Exchange exchange) {
     this.connection = connection;
     this.request = request;
     this.exchange = exchange;
@@ -45,21 +45,21 @@
   }
 
   /** Whether more can be written without being held beyond bounds. */
-  boolean canTakeMore() {
-    return connection.canTakeMore(this);
+  boolean canWrite() {
+    return connection.canWrite(this);
   }
 
   /** Runs the action once more can be written. */
-  void whenTakesMore(Runnable action) {
-    if (!connection.postpone(this, action)) {
-      connection.whenWritable(action);
+  void runWhenWritable(Runnable action) {
+    if (!connection.postponeUntilCurrent(this, action)) {
+      connection.runWhenWritable(action);
     }
   }
 
   /** Whether what is written goes out at once. */
   boolean isCurrent() {
     synchronized (connection) {
-      return current;
+      return isCurrent;
     }
   }
 
@@ -68,8 +68,8 @@
    *
    * @return whether it is to say so
    */
-  boolean endsConnection() {
-    return connection.endsWith(this);
+  boolean tryMakeLast() {
+    return connection.tryMakeLast(this);
   }
 
   /** The answer says that it is the last: no request behind its own is begun any more. */
@@ -78,7 +78,7 @@
   }
 
   /** Whether a request may begin behind this one: earlier callers send one at a time. */
-  boolean mayBeFollowed() {
+  boolean allowsPipelining() {
     return request.getProtocol() == Protocol.HTTP_1_1;
   }
 
@@ -91,7 +91,7 @@
   }
 
   void makeCurrent() {
-    current = true;
+    isCurrent = true;
   }
 
   void hold(Object message, long bytes) {
@@ -99,7 +99,7 @@
     heldBytes += bytes;
   }
 
-  boolean isHolding() {
+  boolean hasHeldMessages() {
     return !held.isEmpty();
   }
 
@@ -115,43 +115,43 @@
   }
 
   void addWaiter(Runnable action) {
-    whenCurrent.add(action);
+    waiters.add(action);
   }
 
   List<Runnable> takeWaiters() {
-    List<Runnable> taken = List.copyOf(whenCurrent);
-    whenCurrent.clear();
+    List<Runnable> taken = List.copyOf(waiters);
+    waiters.clear();
     return taken;
   }
 
-  void runsBesideOthers(boolean mayRun) {
-    runsBesideOthers = mayRun;
+  void setConcurrent(boolean mayRunConcurrently) {
+    isConcurrent = mayRunConcurrently;
   }
 
   /** Whether another request may run at the same time. */
-  boolean allowsOthersBeside() {
-    return ended || runsBesideOthers;
+  boolean allowsConcurrency() {
+    return ended || isConcurrent;
   }
 
   /** Whether all of some allow it. */
-  static boolean allAllowOthersBeside(Iterable<AnswerTurn> turns) {
-    for (AnswerTurn turn : turns) {
-      if (!turn.allowsOthersBeside()) {
+  static boolean allAllowConcurrency(Iterable<PipelinedResponse> responses) {
+    for (PipelinedResponse response : responses) {
+      if (!response.allowsConcurrency()) {
         return false;
       }
     }
     return true;
   }
 
-  void waitToStart() {
-    waitsToStart = true;
+  void deferStart() {
+    isStartDeferred = true;
   }
 
   /** Whether its request waits for the turn; asked once. */
-  boolean takeWaitsToStart() {
-    boolean waited = waitsToStart;
-    waitsToStart = false;
-    return waited;
+  boolean takeDeferredStart() {
+    boolean wasDeferred = isStartDeferred;
+    isStartDeferred = false;
+    return wasDeferred;
   }
 
   void end(boolean keepAliveAfter) {
@@ -159,9 +159,9 @@
     keepAlive = keepAliveAfter;
   }
 
-  void cutOff() {
+  void truncate() {
     ended = true;
-    cutOff = true;
+    isTruncated = true;
   }
 
   boolean isEnded() {
@@ -172,8 +172,8 @@
     return keepAlive;
   }
 
-  boolean isCutOff() {
-    return cutOff;
+  boolean isTruncated() {
+    return isTruncated;
   }
 
   void completeBody() {
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/RequestBody.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/RequestBody.java
@@ -17,42 +17,42 @@
   static final int REPLAY_LIMIT_BYTES = 64 * 1024;
 
   /** Longest body that is sent without being asked for, bytes. */
-  private static final int MAX_UNASKED_BYTES = 16 * 1024;
+  private static final int MAX_BYTES_WITHOUT_CONTINUE = 16 * 1024;
 
   /** Longest rest of a refused body that is read and dropped, bytes. */
-  private static final long MAX_DROPPED_BYTES = 64 * 1024;
+  private static final long MAX_DISCARDED_BYTES = 64 * 1024;
 
-  private final ByteArrayOutputStream kept = new ByteArrayOutputStream(0);
-  private boolean replayable = true;
-  private boolean complete;
+  private final ByteArrayOutputStream buffered = new ByteArrayOutputStream(0);
+  private boolean isReplayable = true;
+  private boolean isComplete;
   private long received;
   private HeaderFields trailers = HeaderFields.NONE;
   private OptionalLong hash = OptionalLong.empty();
 
   /** Adds bytes that no attempt has taken yet; they are kept whatever their number. */
-  synchronized void hold(Buffer content) {
+  synchronized void buffer(Buffer content) {
     received += content.remaining();
-    keep(content);
+    append(content);
   }
 
   /** Notes bytes that are passed on to the attempt under way. */
-  synchronized void passOn(Buffer content) {
+  synchronized void noteForwarded(Buffer content) {
     received += content.remaining();
-    if (!replayable) {
+    if (!isReplayable) {
       return;
     }
-    if (kept.size() + content.remaining() <= REPLAY_LIMIT_BYTES) {
-      keep(content);
+    if (buffered.size() + content.remaining() <= REPLAY_LIMIT_BYTES) {
+      append(content);
       return;
     }
-    hash = OptionalLong.of(RequestFingerprint.bodyOf(beginningWith(content)));
-    replayable = false;
-    kept.reset();
+    hash = OptionalLong.of(RequestFingerprint.bodyOf(prefixWith(content)));
+    isReplayable = false;
+    buffered.reset();
   }
 
-  private void keep(Buffer content) {
+  private void append(Buffer content) {
     byte[] bytes = copy(content, content.remaining());
-    kept.write(bytes, 0, bytes.length);
+    buffered.write(bytes, 0, bytes.length);
   }
 
   private static byte[] copy(Buffer content, int count) {
@@ -65,10 +65,10 @@
   }
 
   /** The beginning of the body, as far as it counts for its hash: what is kept, and more of it. */
-  private byte[] beginningWith(Buffer content) {
-    int missing = Math.max(0, RequestFingerprint.BODY_PREFIX_BYTES - kept.size());
-    kept.writeBytes(copy(content, Math.min(missing, content.remaining())));
-    return kept.toByteArray();
+  private byte[] prefixWith(Buffer content) {
+    int missing = Math.max(0, RequestFingerprint.BODY_PREFIX_BYTES - buffered.size());
+    buffered.writeBytes(copy(content, Math.min(missing, content.remaining())));
+    return buffered.toByteArray();
   }
 
   /**
@@ -76,21 +76,21 @@
    * received to tell. See {@link RequestFingerprint#body}.
    */
   public synchronized OptionalLong hash() {
-    boolean enough = complete || kept.size() >= RequestFingerprint.BODY_PREFIX_BYTES;
-    if (hash.isEmpty() && enough) {
-      hash = OptionalLong.of(RequestFingerprint.bodyOf(kept.toByteArray()));
+    boolean hasPrefix = isComplete || buffered.size() >= RequestFingerprint.BODY_PREFIX_BYTES;
+    if (hash.isEmpty() && hasPrefix) {
+      hash = OptionalLong.of(RequestFingerprint.bodyOf(buffered.toByteArray()));
     }
     return hash;
   }
 
   synchronized void complete(HeaderFields newTrailers) {
-    complete = true;
+    isComplete = true;
     trailers = newTrailers;
   }
 
   /** Whether the caller has sent it all. */
   synchronized boolean isComplete() {
-    return complete;
+    return isComplete;
   }
 
   /**
@@ -98,38 +98,38 @@
    * is long, or of unknown length; or its caller waits to be told to send it, and may send another
    * request in its place.
    */
-  synchronized boolean isRestUnwanted(RequestHead request) {
-    if (complete) {
+  synchronized boolean isClosePreferredToDiscard(RequestHead request) {
+    if (isComplete) {
       return false;
     }
-    long stated = request.contentLength();
-    boolean isShort = stated >= 0 && stated - received <= MAX_DROPPED_BYTES;
+    long declaredLength = request.contentLength();
+    boolean isShort = declaredLength >= 0 && declaredLength - received <= MAX_DISCARDED_BYTES;
     return !isShort || request.field(Header.Expect.toString()).isPresent();
   }
 
   /** Whether everything received can be sent again. */
   public synchronized boolean isReplayable() {
-    return replayable;
+    return isReplayable;
   }
 
   /** Whether all of it is held, or as much as may be: its hash can be told then. */
   public synchronized boolean isHeld() {
-    return complete || isFull();
+    return isComplete || isFull();
   }
 
   /** Whether it is not there yet, or too long to be sent on the chance that it is wanted. */
-  synchronized boolean isLongOrIncomplete() {
-    return !complete || kept.size() > MAX_UNASKED_BYTES;
+  synchronized boolean needsContinue() {
+    return !isComplete || buffered.size() > MAX_BYTES_WITHOUT_CONTINUE;
   }
 
   /** Whether as much is held as may be. */
   synchronized boolean isFull() {
-    return kept.size() >= REPLAY_LIMIT_BYTES;
+    return buffered.size() >= REPLAY_LIMIT_BYTES;
   }
 
   /** The bytes to send first. */
-  synchronized byte[] kept() {
-    return kept.toByteArray();
+  synchronized byte[] buffered() {
+    return buffered.toByteArray();
   }
 
   /** Whether it is longer than a limit, as far as can be told. */
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/RequestFaults.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/RequestGuard.java
@@ -7,10 +7,10 @@
 import java.util.function.BooleanSupplier;
 
 /** Keeps a fault of the program in the handling of one request to that request. */
-final class RequestFaults {
+final class RequestGuard {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  private RequestFaults() {}
+  private RequestGuard() {}
 
   /** The handler's plan of a request, or a refusal if the handler fails. */
   static Either<Refusal, RequestPlan> plan(
@@ -48,7 +48,7 @@
       exchange.giveUp(Verdict.Reason.INTERNAL);
       return true;
     } catch (Error fault) {
-      exchange.endConnection();
+      exchange.abortConnection();
       throw fault;
     }
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/AnswerTurns.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ResponsePipeline.java
@@ -6,45 +6,45 @@
 import org.glassfish.grizzly.http.HttpContent;
 
 /** The answers that a connection owes, in the order of their requests. Its lock guards them. */
-final class AnswerTurns {
+final class ResponsePipeline {
   /** Requests read before the first of them is answered. */
   private static final int MAX_PIPELINED = 16;
 
   /** Bytes of answers held for their turn, beyond which nothing more is read. */
   private static final long MAX_HELD_BYTES = 128 * 1024;
 
-  private final Deque<AnswerTurn> turns = new ArrayDeque<>();
+  private final Deque<PipelinedResponse> responses = new ArrayDeque<>();
   private long heldBytes;
 
   /** Adds the turn of a request that has just been read. */
-  void add(AnswerTurn turn) {
-    if (turns.isEmpty()) {
-      turn.makeCurrent();
+  void add(PipelinedResponse response) {
+    if (responses.isEmpty()) {
+      response.makeCurrent();
     }
-    turns.add(turn);
+    responses.add(response);
   }
 
-  AnswerTurn first() {
-    return turns.peekFirst();
+  PipelinedResponse first() {
+    return responses.peekFirst();
   }
 
-  AnswerTurn removeFirst() {
-    return turns.removeFirst();
+  PipelinedResponse removeFirst() {
+    return responses.removeFirst();
   }
 
   boolean isEmpty() {
-    return turns.isEmpty();
+    return responses.isEmpty();
   }
 
-  boolean isLast(AnswerTurn turn) {
-    return turns.peekLast() == turn;
+  boolean isLast(PipelinedResponse response) {
+    return responses.peekLast() == response;
   }
 
   /** Whether the request of one more may begin. */
   boolean hasRoom() {
-    AnswerTurn last = turns.peekLast();
-    boolean mayFollow = last == null || last.mayBeFollowed();
-    return mayFollow && turns.size() < MAX_PIPELINED && canHoldMore();
+    PipelinedResponse last = responses.peekLast();
+    boolean mayBeFollowed = last == null || last.allowsPipelining();
+    return mayBeFollowed && responses.size() < MAX_PIPELINED && canHoldMore();
   }
 
   /** Whether more of an answer may be held for its turn. */
@@ -54,30 +54,30 @@
 
   /** The exchange that a piece of a body belongs to; null if to none. */
   Exchange exchangeOf(HttpContent content) {
-    AnswerTurn last = turns.peekLast();
+    PipelinedResponse last = responses.peekLast();
     boolean belongs = last != null && last.request() == content.getHttpHeader();
     return belongs ? last.exchange() : null;
   }
 
   /** Whether a request may run beside all those that are under way. */
-  boolean mayStartBesideOthers(AnswerTurn turn) {
-    return turn == turns.peekFirst() || AnswerTurn.allAllowOthersBeside(turns);
+  boolean mayStartConcurrently(PipelinedResponse response) {
+    return response == responses.peekFirst() || PipelinedResponse.allAllowConcurrency(responses);
   }
 
-  void hold(AnswerTurn turn, Object message, long bytes) {
-    turn.hold(message, bytes);
+  void hold(PipelinedResponse response, Object message, long bytes) {
+    response.hold(message, bytes);
     heldBytes += bytes;
   }
 
-  List<Object> takeHeld(AnswerTurn turn) {
-    heldBytes -= turn.heldBytes();
-    return turn.takeHeld();
+  List<Object> takeHeld(PipelinedResponse response) {
+    heldBytes -= response.heldBytes();
+    return response.takeHeld();
   }
 
   /** Takes all: no answer can be given any more. */
   List<Exchange> takeAll() {
-    List<Exchange> open = turns.stream().map(AnswerTurn::exchange).toList();
-    turns.clear();
+    List<Exchange> open = responses.stream().map(PipelinedResponse::exchange).toList();
+    responses.clear();
     heldBytes = 0;
     return open;
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/AnswerProgress.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ResponseProgress.java
@@ -3,16 +3,16 @@
 import io.umberpath.node.proxy.origin.AnswerPart;
 
 /** How far the answer of one exchange has gone out. The exchange's lock guards it. */
-final class AnswerProgress {
+final class ResponseProgress {
   /** Time without a piece after which an answer counts as standing still, milliseconds. */
   private static final long STALL_MILLIS = 1_000;
 
   private int status;
-  private long lastPieceMillis;
+  private long lastPartMillis;
 
   /** A piece is about to go out. */
-  void passes(AnswerPart part, long nowMillis) {
-    lastPieceMillis = nowMillis;
+  void onPart(AnswerPart part, long nowMillis) {
+    lastPartMillis = nowMillis;
     if (part.first()) {
       status = part.head().status();
     }
@@ -24,7 +24,7 @@
   }
 
   /** Whether it has begun, and a piece has come lately. */
-  boolean isOnItsWay(long nowMillis) {
-    return status != 0 && nowMillis - lastPieceMillis < STALL_MILLIS;
+  boolean isActive(long nowMillis) {
+    return status != 0 && nowMillis - lastPartMillis < STALL_MILLIS;
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/AnswerWriter.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ResponseWriter.java
@@ -21,19 +21,19 @@
 import org.glassfish.grizzly.memory.MemoryManager;
 
 /** Writes the answer of one exchange to its caller. The exchange's lock guards it. */
-final class AnswerWriter {
+final class ResponseWriter {
   private static final byte[] CONTINUE =
       "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
 
   /** What holding a message costs besides its content, bytes. */
-  private static final int HEAD_BYTES = 1_024;
+  private static final int HELD_MESSAGE_OVERHEAD_BYTES = 1_024;
 
   private static final String CLOSE = "close";
   private static final String CHUNKED = "chunked";
   private static final int NO_CONTENT = 204;
   private static final int NOT_MODIFIED = 304;
 
-  private final AnswerTurn turn;
+  private final PipelinedResponse pipelined;
   private final RequestHandler handler;
   private final HttpRequestPacket request;
   private final HttpResponsePacket response;
@@ -41,32 +41,32 @@
   /** Whether the body goes out in chunks. */
   private boolean isChunked;
 
-  AnswerWriter(AnswerTurn turn, HttpRequestPacket request, RequestHandler handler) {
-    this.turn = turn;
+  ResponseWriter(PipelinedResponse pipelined, HttpRequestPacket request, RequestHandler handler) {
+    this.pipelined = pipelined;
     this.handler = handler;
     this.request = request;
     this.response = request.getResponse();
   }
 
   /** Tells the sender of the request to send its body. */
-  void continueBody() {
-    interim(CONTINUE);
+  void writeContinue() {
+    writeInterim(CONTINUE);
   }
 
   /** Passes an interim answer on; older callers would take it for the final one. */
-  void interim(byte[] head) {
-    if (isVersion11()) {
-      turn.write(wrap(head), head.length);
+  void writeInterim(byte[] head) {
+    if (isHttp11()) {
+      pipelined.write(wrap(head), head.length);
     }
   }
 
   /** Writes a piece of a back end's answer. */
-  void part(AnswerPart part, RequestPlan plan) {
+  void writePart(AnswerPart part, RequestPlan plan) {
     if (part.first()) {
       if (part.last()) {
-        endConnectionIfLeaving();
+        endConnectionIfDraining();
       }
-      head(part.head());
+      writeHead(part.head());
       String requestId = handler.echoedId(plan);
       if (requestId != null) {
         response.getHeaders().setValue(ProxyHeaders.REQUEST_ID).setString(requestId);
@@ -80,20 +80,20 @@
     }
   }
 
-  private void head(AnswerHead head) {
+  private void writeHead(AnswerHead head) {
     response.setStatus(head.status());
     head.reason().ifPresent(response::setReasonPhrase);
     HeaderCopier.copy(head.fields(), response, Set.of());
     head.field(ChainBudget.HEADER)
-        .ifPresent(chain -> response.getHeaders().setValue(ChainBudget.HEADER).setString(chain));
+        .ifPresent(budget -> response.getHeaders().setValue(ChainBudget.HEADER).setString(budget));
     if (head.contentLength() >= 0 && !head.isChunked()) {
       writeWithLength(head.contentLength());
     } else if (hasNoBody(head.status())) {
-      writeUnchanged();
-    } else if (isVersion11()) {
+      writeVerbatim();
+    } else if (isHttp11()) {
       response.getHeaders().setValue(Header.TransferEncoding).setString(CHUNKED);
       isChunked = true;
-      writeUnchanged();
+      writeVerbatim();
     } else {
       response.setChunkingAllowed(false);
       closeAfter();
@@ -102,7 +102,7 @@
 
   private void writeWithLength(long contentLength) {
     response.getHeaders().setValue(Header.ContentLength).setString(Long.toString(contentLength));
-    writeUnchanged();
+    writeVerbatim();
   }
 
   /** Whether an answer ends with its head, whatever that says (RFC 9112, section 6.3). */
@@ -114,12 +114,12 @@
    * Makes the codec write head and body as they are. Otherwise it would end the connection after
    * answers of some statuses, without regard to the requests behind them.
    */
-  private void writeUnchanged() {
+  private void writeVerbatim() {
     response.setProtocol(Protocol.HTTP_1_1);
     response.setIgnoreContentModifiers(true);
     if (!isKeepAlive()) {
       response.getHeaders().setValue(Header.Connection).setString(CLOSE);
-    } else if (!isVersion11()) {
+    } else if (!isHttp11()) {
       response.getHeaders().setValue(Header.Connection).setString("keep-alive");
     }
   }
@@ -129,7 +129,7 @@
    *
    * @param endsConnection whether so much of the body is missing that it is not waited for
    */
-  void refusal(Refusal refusal, RequestPlan plan, boolean endsConnection) {
+  void writeRefusal(Refusal refusal, RequestPlan plan, boolean endsConnection) {
     String requestId = handler.echoedId(plan);
     String verdict = VerdictHeader.format(refusal.verdict());
     byte[] text = (verdict + "\n").getBytes(StandardCharsets.US_ASCII);
@@ -156,9 +156,9 @@
     if (endsConnection) {
       closeAfter();
     } else if (refusal.reason() == Verdict.Reason.DRAINING) {
-      endConnectionWhereLast();
+      endConnectionIfLast();
     } else {
-      endConnectionIfLeaving();
+      endConnectionIfDraining();
     }
     writeWithLength(text.length);
     write(wrap(text), true, HeaderFields.NONE);
@@ -168,22 +168,22 @@
    * A node that leaves ends the connection with an answer that is whole in hand. One that has begun
    * to go out is too early: a request read before its end would run and have no answer.
    */
-  private void endConnectionIfLeaving() {
+  private void endConnectionIfDraining() {
     if (handler.isLeaving()) {
-      endConnectionWhereLast();
+      endConnectionIfLast();
     }
   }
 
   /** Not before its turn: until then more requests may be read behind it. */
-  private void endConnectionWhereLast() {
-    if (turn.isCurrent() && turn.endsConnection()) {
+  private void endConnectionIfLast() {
+    if (pipelined.isCurrent() && pipelined.tryMakeLast()) {
       request.getProcessingState().setKeepAlive(false);
     }
   }
 
   /** An answer that was held whole goes out now: a node that leaves may end the connection. */
-  void heldAnswerGoesOut() {
-    if (handler.isLeaving() && !response.isCommitted() && turn.endsConnection()) {
+  void beforeHeldResponseWritten() {
+    if (handler.isLeaving() && !response.isCommitted() && pipelined.tryMakeLast()) {
       request.getProcessingState().setKeepAlive(false);
       if (response.isIgnoreContentModifiers()) {
         response.getHeaders().setValue(Header.Connection).setString(CLOSE);
@@ -193,7 +193,7 @@
 
   /** Announces that the connection ends with this answer; nothing behind it is begun. */
   void closeAfter() {
-    turn.announceLast();
+    pipelined.announceLast();
     request.getProcessingState().setKeepAlive(false);
   }
 
@@ -201,21 +201,23 @@
     return request.getProcessingState().isKeepAlive();
   }
 
-  boolean canTakeMore() {
-    return turn.canTakeMore();
+  boolean canWrite() {
+    return pipelined.canWrite();
   }
 
-  private boolean isVersion11() {
+  private boolean isHttp11() {
     return request.getProtocol() == Protocol.HTTP_1_1;
   }
 
   private void write(Buffer content, boolean last, HeaderFields trailers) {
     Buffer framed = isChunked ? wrap(ChunkedEncoder.encode(content, last, trailers)) : content;
     // A piece that is held would keep the whole buffer that it was read into.
-    Buffer lasting = isChunked || turn.isCurrent() ? framed : wrap(BufferBytes.copyOf(framed));
-    int bytes = lasting.remaining();
-    turn.write(
-        OutgoingRequest.part(response, lasting, last, HeaderFields.NONE), HEAD_BYTES + bytes);
+    Buffer retained =
+        isChunked || pipelined.isCurrent() ? framed : wrap(BufferBytes.copyOf(framed));
+    int bytes = retained.remaining();
+    pipelined.write(
+        OutgoingRequest.part(response, retained, last, HeaderFields.NONE),
+        HELD_MESSAGE_OVERHEAD_BYTES + bytes);
   }
 
   private static Buffer wrap(byte[] bytes) {
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/SuspendedReads.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/SuspendedReads.java
@@ -17,7 +17,7 @@
   private FilterChainContext body;
 
   /** The codec keeps bytes behind the message that it has handed on last. */
-  private boolean isUndecoded;
+  private boolean hasUndecodedBytes;
 
   SuspendedReads(Connection<?> connection, Arrival arrival) {
     this.arrival = arrival;
@@ -25,13 +25,13 @@
   }
 
   /** Stands still at a head, which is seen again once it is resumed. */
-  NextAction atHead(FilterChainContext context) {
+  NextAction suspendAtHead(FilterChainContext context) {
     head = context;
     return suspend(context);
   }
 
   /** Stands still within a body. */
-  NextAction inBody(FilterChainContext context) {
+  NextAction suspendInBody(FilterChainContext context) {
     body = context;
     return suspend(context);
   }
@@ -44,52 +44,52 @@
     return action;
   }
 
-  boolean isAtHead() {
+  boolean isSuspendedAtHead() {
     return head != null;
   }
 
   /** Whether bytes behind what was suspended have been read and not been decoded. */
-  boolean isHolding() {
+  boolean hasBufferedBytes() {
     return ahead.isHolding();
   }
 
   void keepsUndecoded(boolean isKept) {
-    isUndecoded = isKept;
+    hasUndecodedBytes = isKept;
   }
 
   /** Whether something has been read behind the requests that have begun. */
-  boolean isMoreRead() {
-    return isAtHead() || isHolding();
+  boolean hasInput() {
+    return isSuspendedAtHead() || hasBufferedBytes();
   }
 
   /** The same within a run of the filter chain, which has more in hand and may be late. */
-  boolean isMoreBehind() {
-    return isAtHead() || isUndecoded || ahead.look();
+  boolean hasInputNow() {
+    return isSuspendedAtHead() || hasUndecodedBytes || ahead.look();
   }
 
   /** What reads on from the head; does nothing if reading does not stand there. */
-  Runnable takeHead() {
-    FilterChainContext waiting = head;
+  Runnable takeHeadResumption() {
+    FilterChainContext context = head;
     head = null;
-    return waiting == null ? () -> {} : () -> readOn(waiting::resume);
+    return context == null ? () -> {} : () -> resume(context::resume);
   }
 
   /** What reads on within the body; does nothing if reading does not stand there. */
-  Runnable takeBody() {
+  Runnable takeBodyResumption() {
     FilterChainContext waiting = body;
-    return waiting == null ? () -> {} : takeBody(waiting);
+    return waiting == null ? () -> {} : takeBodyResumption(waiting);
   }
 
   /** The same if reading stands at this context, and nothing otherwise. */
-  Runnable takeBody(FilterChainContext context) {
+  Runnable takeBodyResumption(FilterChainContext context) {
     if (body != context) {
       return () -> {};
     }
     body = null;
-    return () -> readOn(() -> context.resume(context.getStopAction()));
+    return () -> resume(() -> context.resume(context.getStopAction()));
   }
 
-  private void readOn(Runnable resumption) {
+  private void resume(Runnable resumption) {
     arrival.readingResumes();
     resumption.run();
   }
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/inbound/ExchangeBrokenWriteTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/inbound/ExchangeBrokenWriteTest.java
@@ -41,18 +41,18 @@
 class ExchangeBrokenWriteTest {
   private static final PeerAddress ORIGIN = new PeerAddress("127.0.0.1", 9);
   private static final long DEADLINE_MILLIS = 1_000;
-  private static final long LOCK_MILLIS = 3_000;
+  private static final long LOCK_TIMEOUT_MILLIS = 3_000;
   private static final AttributeBuilder ATTRIBUTES = Grizzly.DEFAULT_ATTRIBUTE_BUILDER;
 
-  private final List<Verdict> ended = new ArrayList<>();
-  private final List<String> attemptsEnded = new ArrayList<>();
+  private final List<Verdict> verdicts = new ArrayList<>();
+  private final List<String> endedAttempts = new ArrayList<>();
   private final ActiveExchanges active = new ActiveExchanges();
   private Runnable onOriginWrite = () -> {};
   private final Connection<?> origin = connection(() -> onOriginWrite.run());
-  private CallerConnection caller;
-  private final Connection<?> callersConnection = connection(() -> caller.closed());
+  private ClientConnection client;
+  private final Connection<?> clientConnection = connection(() -> client.onClosed());
   private final ConnectionPool pool = new ConnectionPool(ORIGIN, this::connect, 1, () -> 0);
-  private Refusal refusalOfTheHandler;
+  private Refusal handlerRefusal;
 
   private final RequestHandler handler =
       new StubRequestHandler() {
@@ -63,9 +63,7 @@
 
         @Override
         public Either<Refusal, RequestPlan> plan(RequestHead head, long nowMillis) {
-          return refusalOfTheHandler == null
-              ? Either.right(new Plan())
-              : Either.left(refusalOfTheHandler);
+          return handlerRefusal == null ? Either.right(new Plan()) : Either.left(handlerRefusal);
         }
 
         @Override
@@ -75,12 +73,12 @@
 
         @Override
         public void attemptEnded(Exchange exchange, String originId, Refusal refusal, long micros) {
-          attemptsEnded.add(originId);
+          endedAttempts.add(originId);
         }
 
         @Override
         public void ended(Exchange exchange, Verdict verdict) {
-          ended.add(verdict);
+          verdicts.add(verdict);
         }
       };
 
@@ -120,7 +118,7 @@
   }
 
   @Test
-  void endsOnceWhenTheWriteOfTheLastPieceFindsTheCallerGone() {
+  void endsOnceWhenWritingTheLastPartFailsForTheClient() {
     begin();
     AnswerHead head = new AnswerHead(200, Optional.empty(), HeaderFields.NONE, 0, false);
 
@@ -128,61 +126,61 @@
         .listener()
         .onAnswerPart(new AnswerPart(head, true, Buffers.EMPTY_BUFFER, true, HeaderFields.NONE));
 
-    assertThat(ended).containsExactly(new Verdict.MayHaveRun(Verdict.Reason.CANCELLED));
-    assertThat(attemptsEnded).containsExactly("backend-1");
+    assertThat(verdicts).containsExactly(new Verdict.MayHaveRun(Verdict.Reason.CANCELLED));
+    assertThat(endedAttempts).containsExactly("backend-1");
     assertThat(active.size()).isZero();
   }
 
   @Test
-  void endsOnceWhenTheWriteOfAnInterimAnswerFindsTheCallerGone() {
+  void endsOnceWhenWritingAnInterimResponseFailsForTheClient() {
     HttpRequestPacket request = new ReceivedRequest();
     request.setProtocol(Protocol.HTTP_1_1);
     begin(request, true);
 
     OriginConnection.of(origin).listener().onInterim("HTTP/1.1 100 Continue\r\n\r\n".getBytes());
 
-    assertThat(ended).containsExactly(new Verdict.MayHaveRun(Verdict.Reason.CANCELLED));
+    assertThat(verdicts).containsExactly(new Verdict.MayHaveRun(Verdict.Reason.CANCELLED));
     assertThat(active.size()).isZero();
   }
 
   @Test
-  void endsOnceWhenTheWriteOfARefusalFindsTheCallerGone() {
-    refusalOfTheHandler = Refusal.notRun(Verdict.Reason.NO_ROUTE);
+  void endsOnceWhenWritingARefusalFailsForTheClient() {
+    handlerRefusal = Refusal.notRun(Verdict.Reason.NO_ROUTE);
 
     begin();
 
-    assertThat(ended).containsExactly(new Verdict.NotRun(Verdict.Reason.NO_ROUTE));
+    assertThat(verdicts).containsExactly(new Verdict.NotRun(Verdict.Reason.NO_ROUTE));
     assertThat(active.size()).isZero();
   }
 
   /** An upload's back end resets its connection; the write of the next piece finds out. */
   @Test
-  void endsOnceWhenTheWriteOfABodysPieceFindsTheBackendGone() {
+  void endsOnceWhenWritingABodyPartFailsForTheBackend() {
     HttpRequestPacket request = new ReceivedRequest();
     request.setContentLength(2);
     Exchange exchange = begin(request, false);
     onOriginWrite =
         () -> OriginConnection.of(origin).listener().onBroken(Verdict.Reason.CONNECTION_LOST);
 
-    boolean readOn = exchange.onBodyPart(piece(request, false));
+    boolean readOn = exchange.onBodyPart(bodyPart(request, false));
 
     assertThat(readOn).isTrue();
-    assertThat(ended).containsExactly(new Verdict.MayHaveRun(Verdict.Reason.CONNECTION_LOST));
-    assertThat(attemptsEnded).containsExactly("backend-1");
+    assertThat(verdicts).containsExactly(new Verdict.MayHaveRun(Verdict.Reason.CONNECTION_LOST));
+    assertThat(endedAttempts).containsExactly("backend-1");
     assertThat(active.size()).isZero();
   }
 
   /** The timer holds an exchange's lock at its deadline while the caller's connection closes. */
   @Test
-  void aConnectionThatClosesHoldsNoLockWhileItWaitsForAnExchange() throws InterruptedException {
+  void closingConnectionHoldsNoLockWhileItWaitsForAnExchange() throws InterruptedException {
     Exchange exchange = begin(new ReceivedRequest(), true);
-    Thread closing = new Thread(() -> caller.closed());
-    Thread writing = new Thread(() -> caller.isEnded());
+    Thread closing = new Thread(() -> client.onClosed());
+    Thread writing = new Thread(() -> client.isEnded());
     synchronized (exchange) {
       closing.start();
       awaitBlocked(closing);
       writing.start();
-      writing.join(LOCK_MILLIS);
+      writing.join(LOCK_TIMEOUT_MILLIS);
       assertThat(writing.isAlive()).as("waits for the connection's lock").isFalse();
     }
     closing.join();
@@ -194,9 +192,9 @@
     }
   }
 
-  private static HttpContent piece(HttpRequestPacket request, boolean last) {
+  private static HttpContent bodyPart(HttpRequestPacket request, boolean isLast) {
     Buffer content = Buffers.wrap(MemoryManager.DEFAULT_MEMORY_MANAGER, "x");
-    return HttpContent.builder(request).content(content).last(last).build();
+    return HttpContent.builder(request).content(content).last(isLast).build();
   }
 
   private void begin() {
@@ -212,8 +210,8 @@
             ConnectionLog.NONE,
             active,
             () -> Long.MAX_VALUE);
-    caller = new CallerConnection(callersConnection, ProxyStats.Side.EDGE, environment);
-    Exchange exchange = new Exchange(caller, request, handler, environment);
+    client = new ClientConnection(clientConnection, ProxyStats.Side.EDGE, environment);
+    Exchange exchange = new Exchange(client, request, handler, environment);
     exchange.begin(
         HttpContent.builder(request).content(Buffers.EMPTY_BUFFER).last(complete).build());
     return exchange;
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/inbound/RequestBodyTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/inbound/RequestBodyTest.java
@@ -28,12 +28,12 @@
   }
 
   @Test
-  void aShortBodyIsToldOnceItIsComplete() {
+  void hashOfShortBodyIsKnownOnceComplete() {
     byte[] all = bytes(100);
-    body.hold(buffer(Arrays.copyOf(all, 40)));
+    body.buffer(buffer(Arrays.copyOf(all, 40)));
     assertThat(body.hash()).isEmpty();
 
-    body.passOn(buffer(Arrays.copyOfRange(all, 40, 100)));
+    body.noteForwarded(buffer(Arrays.copyOfRange(all, 40, 100)));
     assertThat(body.hash()).isEmpty();
     body.complete(null);
 
@@ -41,28 +41,28 @@
   }
 
   @Test
-  void aLongBodyIsToldOnceItsBeginningIsThere() {
+  void hashOfLongBodyIsKnownOnceItsPrefixArrived() {
     byte[] all = bytes(PREFIX + 1_000);
-    body.hold(buffer(Arrays.copyOf(all, PREFIX - 1)));
+    body.buffer(buffer(Arrays.copyOf(all, PREFIX - 1)));
     assertThat(body.hash()).isEmpty();
 
-    body.hold(buffer(Arrays.copyOfRange(all, PREFIX - 1, all.length)));
+    body.buffer(buffer(Arrays.copyOfRange(all, PREFIX - 1, all.length)));
 
     assertThat(body.hash()).hasValue(RequestFingerprint.bodyOf(all));
   }
 
   @Test
-  void aBodyThatIsNoLongerKeptIsToldAllTheSame() {
+  void hashIsKnownForBodyBeyondTheReplayLimit() {
     byte[] all = bytes(RequestBody.REPLAY_LIMIT_BYTES + 1_000);
-    body.passOn(buffer(Arrays.copyOf(all, 10)));
-    body.passOn(buffer(Arrays.copyOfRange(all, 10, all.length)));
+    body.noteForwarded(buffer(Arrays.copyOf(all, 10)));
+    body.noteForwarded(buffer(Arrays.copyOfRange(all, 10, all.length)));
 
     assertThat(body.isReplayable()).isFalse();
     assertThat(body.hash()).hasValue(RequestFingerprint.bodyOf(all));
   }
 
   @Test
-  void aRequestWithoutABodyIsToldAtItsEnd() {
+  void hashOfEmptyBodyIsKnownOnceComplete() {
     body.complete(null);
 
     assertThat(body.hash()).hasValue(RequestFingerprint.bodyOf(new byte[0]));
