--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ActiveExchanges.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ActiveExchanges.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.atomic.LongAdder;
 import java.util.stream.Stream;
 
-/** The exchanges in flight of a proxy. Thread-safe. */
+/** The exchanges of a proxy that are in flight. Thread-safe. */
 public final class ActiveExchanges {
   private final Set<Exchange> exchanges = ConcurrentHashMap.newKeySet();
   private final LongAdder arrivals = new LongAdder();
@@ -25,7 +25,7 @@
     }
   }
 
-  /** Exchanges begun so far. */
+  /** Number of exchanges begun so far. */
   public long arrivals() {
     return arrivals.sum();
   }
@@ -35,19 +35,19 @@
     return exchanges.size();
   }
 
-  /** Plans of the exchanges in flight that have one. */
+  /** Plans of the exchanges in flight, except those that have not been planned yet. */
   public Stream<RequestPlan> plans() {
     return exchanges.stream().map(Exchange::plan).filter(Objects::nonNull);
   }
 
-  /** Ends exchanges whose deadline has passed. */
+  /** Fails the exchanges whose deadline has passed. */
   public void expire(long nowMillis) {
     for (Exchange exchange : exchanges) {
       exchange.checkDeadline(nowMillis, false);
     }
   }
 
-  /** Ends exchanges whose deadline has passed and that wait for nothing from an origin. */
+  /** Fails the exchanges whose deadline has passed and of which nothing has reached an origin. */
   public void expireUnsent(long nowMillis) {
     for (Exchange exchange : exchanges) {
       exchange.checkDeadline(nowMillis, true);
@@ -55,9 +55,9 @@
   }
 
   /**
-   * Waits until none is in flight.
+   * Waits until no exchange is in flight.
    *
-   * @return whether that came within the time
+   * @return false if the timeout expired first
    */
   public synchronized boolean awaitNone(long timeoutMillis) throws InterruptedException {
     long endNanos = System.nanoTime() + timeoutMillis * 1_000_000;
@@ -72,7 +72,7 @@
   }
 
   /**
-   * Ends every exchange whose answer is not on its way; each is logged.
+   * Fails and logs every exchange whose response is not being sent.
    *
    * @return how many may have run; the others are refused as not run
    */
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/Attempt.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/Attempt.java
@@ -12,8 +12,8 @@
 import org.glassfish.grizzly.Buffer;
 
 /**
- * One attempt of an exchange: passes what it hears on to the exchange, which ignores it once the
- * attempt is over. The exchange's lock guards its state.
+ * One attempt to have an exchange's request served by an origin. Reports its events to the
+ * exchange, which ignores them once the attempt is over. Guarded by the exchange's lock.
  */
 final class Attempt implements ConnectionWaiter, AnswerListener {
   private static final long NANOS_PER_MICRO = 1_000;
@@ -27,7 +27,10 @@
   private final ShortAnswer shortAnswer = new ShortAnswer();
   private OriginConnection origin;
 
-  /** The connection on which the head was sent alone; null before, and once the body follows. */
+  /**
+   * The connection on which only the head was sent with {@code Expect: 100-continue}; null
+   * otherwise.
+   */
   private OriginConnection awaitingContinue;
 
   private OutgoingRequest outgoing;
@@ -45,7 +48,7 @@
     this.number = number;
   }
 
-  /** Asks for a connection. */
+  /** Acquires a connection from the pool. */
   void begin() {
     pool.acquire(this);
   }
@@ -108,18 +111,20 @@
     pipelined.runWhenWritable(resume);
   }
 
-  /** The request as it is sent, its headers still to be completed. */
+  /** Creates the outgoing request; the handler still adds its own headers. */
   OutgoingRequest prepare() {
     outgoing = OutgoingRequest.of(exchange.request(), exchange.plan(), pool.address());
     return outgoing;
   }
 
-  /** Whether the head is to be sent alone, for the origin to ask for the body. */
+  /** Whether the head is sent first and the body only after the origin's 100 (Continue). */
   boolean needsContinue(RequestBody body) {
     return exchange.plan().asksBeforeBody() && body.needsContinue();
   }
 
-  /** Sends the prepared head, and what there is of the body unless the origin is to ask for it. */
+  /**
+   * Sends the prepared head, with the body received so far unless the origin must ask for it first.
+   */
   void send(OriginConnection connection, RequestBody body) {
     connection.begin(this);
     if (needsContinue(body)) {
@@ -136,7 +141,7 @@
         outgoing.firstPart(body.buffered(), body.isComplete(), body.trailers()), body.isComplete());
   }
 
-  /** Sends the body that the origin has asked for. */
+  /** Sends the body after the origin's 100 (Continue). */
   void sendBody(RequestBody body) {
     OriginConnection connection = awaitingContinue;
     awaitingContinue = null;
@@ -148,24 +153,24 @@
     origin.write(outgoing.nextPart(content, last, body.trailers()), last);
   }
 
-  /** The connection in use, or null before there is one. */
+  /** The connection to which the body is sent; null before there is one. */
   OriginConnection origin() {
     return origin;
   }
 
-  /** What of the answer is to be passed on, now that a piece of it has come. */
+  /** Takes a part of the response and returns what can be forwarded of the response now. */
   Optional<AnswerPart> partToForward(AnswerPart part) {
     return shortAnswer.take(part);
   }
 
-  /** The answer is whole; the connection goes its own way. */
+  /** Called when the response is complete: the attempt no longer owns the connection. */
   void detach() {
     origin = null;
     awaitingContinue = null;
     exchange.history().responseComplete();
   }
 
-  /** Closes the connection if it is still in use. */
+  /** Closes the connection if the attempt still owns it. */
   void abandon() {
     if (origin != null) {
       origin.abandon();
@@ -182,7 +187,7 @@
     return (System.nanoTime() - startNanos) / NANOS_PER_MICRO;
   }
 
-  /** Its record after it failed. */
+  /** The log record of this attempt after it failed. */
   RequestAttempt record(Verdict verdict, long requestBytes) {
     RequestPlan plan = exchange.plan();
     return new RequestAttempt(
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/AttemptHistory.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/AttemptHistory.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** The attempts of one exchange so far. Thread-safe. */
+/** The attempts that one exchange has made so far. Thread-safe. */
 public final class AttemptHistory {
   private static final long NANOS_PER_MICRO = 1_000;
   private static final long NANOS_PER_MILLI = 1_000_000;
@@ -20,7 +20,7 @@
   private Refusal lastRefusal;
   private boolean mayHaveRun;
 
-  /** An attempt begins; returns its number. */
+  /** Records the start of an attempt and returns its number, from 1. */
   synchronized int begin(String originId) {
     count++;
     triedOrigins.add(originId);
@@ -28,50 +28,53 @@
     return count;
   }
 
-  /** The attempt is handed to its connection. */
+  /** Records that the attempt's request was written to its connection. */
   synchronized void sent() {
     sentNanos = System.nanoTime();
     isResponseComplete = false;
   }
 
-  /** The attempt's answer has been read whole; it may have lain unread. */
+  /**
+   * Records that the attempt's response has been read completely. The time is an estimate of when
+   * it arrived, since it may have been waiting in the socket.
+   */
   synchronized void responseComplete() {
     responseNanos = Math.max(sentNanos, EventLoop.likelyArrivalNanos());
     isResponseComplete = true;
   }
 
-  /** An attempt, or the exchange before its first, has failed. */
+  /** Records the failure of an attempt, or of the exchange before its first attempt. */
   synchronized void failed(Refusal refusal) {
     mayHaveRun |= refusal.verdict() instanceof Verdict.MayHaveRun;
     lastRefusal = refusal;
   }
 
-  /** A refusal that does not say "not run" where an earlier attempt may have. */
+  /** Replaces "not run" by "may have run" in a refusal if an earlier attempt may have run. */
   synchronized Refusal adjustForEarlierAttempts(Refusal refusal) {
     boolean isUncertain = mayHaveRun && refusal.verdict() instanceof Verdict.NotRun;
     return isUncertain ? Refusal.mayHaveRun(refusal.reason()) : refusal;
   }
 
-  /** Attempts made so far. */
+  /** Number of attempts made so far. */
   public synchronized int count() {
     return count;
   }
 
   /**
-   * Microseconds since the last attempt was handed to its connection, until its answer came if it
-   * has; 0 if none was.
+   * Microseconds from the last write of an attempt to the arrival of its complete response, or to
+   * now if there is none yet; 0 if nothing was sent.
    */
   public synchronized long sinceSentMicros() {
     long endNanos = isResponseComplete ? responseNanos : System.nanoTime();
     return sentNanos == 0 ? 0 : (endNanos - sentNanos) / NANOS_PER_MICRO;
   }
 
-  /** Milliseconds since the last attempt was handed to its connection, rounded up. */
+  /** Milliseconds since the last attempt was written to its connection, rounded up. */
   public synchronized long sentAgoMillis() {
     return (System.nanoTime() - sentNanos) / NANOS_PER_MILLI + 1;
   }
 
-  /** How the last attempt ended, if one did. */
+  /** The failure of the last attempt that failed, if any. */
   public synchronized Optional<Refusal> lastRefusal() {
     return Optional.ofNullable(lastRefusal);
   }
@@ -81,7 +84,7 @@
     return lastOrigin;
   }
 
-  /** Origins that have been tried. */
+  /** The origins that have been tried. */
   public synchronized Set<String> triedOrigins() {
     return Set.copyOf(triedOrigins);
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ClientConnection.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ClientConnection.java
@@ -16,10 +16,10 @@
 import org.glassfish.grizzly.nio.NIOConnection;
 
 /**
- * One connection of a caller or another node. Requests that arrive before earlier ones are answered
- * run side by side where that is safe; answers go out in the order of the requests. Each request
- * that is begun is answered before the connection ends in order, see {@link ConnectionState}.
- * Thread-safe; an exchange's lock may be held when its own is taken, never the other way round.
+ * One inbound connection of a client or another node. Pipelined requests run concurrently where
+ * that is safe; responses are written in the order of the requests. Each begun request is answered
+ * before the connection ends in order, see {@link ConnectionState}. Thread-safe; its lock may be
+ * taken while an exchange's lock is held, never the other way round.
  */
 final class ClientConnection implements PendingAnswers {
   private static final Attribute<ClientConnection> ATTRIBUTE =
@@ -38,15 +38,15 @@
   private ConnectionEnd endCause = ConnectionEnd.PEER;
   private boolean isAdvancing;
 
-  /** A request was let in and has no turn yet. */
+  /** A request has been let in but is not in the pipeline yet. */
   private boolean isBeginning;
 
-  /** The connection ends when no request is under way. */
+  /** Whether the connection ends as soon as no request is in flight. */
   private boolean endsWhenIdle;
 
   private Object finalResponse;
 
-  /** The request whose answer is complete but whose body is not; the rest is read and dropped. */
+  /** The request whose response is complete but whose body is not and is discarded. */
   private HttpHeader discarded;
 
   ClientConnection(
@@ -69,12 +69,12 @@
     return connection;
   }
 
-  /** The earliest moment at which what was last read can have arrived, on the nano clock. */
+  /** The earliest time at which the last input can have arrived, on {@link System#nanoTime}. */
   long earliestArrivalNanos() {
     return arrival.earliestNanos();
   }
 
-  /** The exchange this content belongs to; null if it begins one or is to be dropped. */
+  /** The exchange to which this content belongs; null if it starts one or is to be discarded. */
   synchronized Exchange exchangeOf(HttpContent content) {
     return pipeline.exchangeOf(content);
   }
@@ -84,10 +84,10 @@
   }
 
   /**
-   * Lets a request whose head has just arrived wait while too much is under way, or while the last
-   * answer is; it is then seen again.
+   * Suspends reading at the head of a request while the pipeline is full, or once the last response
+   * has been announced. The head is passed in again when reading resumes.
    *
-   * @return the action that waits, or null if the request may begin now
+   * @return the suspend action, or null if the request may begin now
    */
   synchronized NextAction suspendIfFull(FilterChainContext context) {
     if (state == ConnectionState.OPEN && pipeline.hasRoom() && discarded == null) {
@@ -97,7 +97,6 @@
     return reads.suspendAtHead(context);
   }
 
-  /** A request has been read: its answer comes after those of the requests before it. */
   synchronized PipelinedResponse begin(Exchange exchange, HttpHeader request) {
     PipelinedResponse response = new PipelinedResponse(this, request, exchange);
     isBeginning = false;
@@ -111,9 +110,9 @@
   }
 
   /**
-   * Whether a request may start beside those before it. If not, it starts when its turn comes.
+   * Whether a request may start now. If not, it starts when its response becomes the current one.
    *
-   * @param runsBesideOthers whether it may run at the same time as others, and again
+   * @param mayRunConcurrently whether it may run at the same time as others, and more than once
    */
   synchronized boolean mayStart(PipelinedResponse response, boolean mayRunConcurrently) {
     response.setConcurrent(mayRunConcurrently);
@@ -124,12 +123,12 @@
     return startsNow;
   }
 
-  /** Stops reading until {@link #resume} is called with the same context. */
+  /** Suspends reading within a body until {@link #resume} is called with the same context. */
   synchronized NextAction suspend(FilterChainContext context) {
     return reads.suspendInBody(context);
   }
 
-  /** Reads on after {@link #suspend}; nothing if that context goes on already. */
+  /** Resumes reading after {@link #suspend}; does nothing if that context has been resumed. */
   void resume(FilterChainContext context) {
     Runnable resumption;
     synchronized (this) {
@@ -138,7 +137,6 @@
     resumption.run();
   }
 
-  /** The request has been read whole. */
   void requestBodyComplete(PipelinedResponse response) {
     boolean isDiscarded;
     synchronized (this) {
@@ -150,7 +148,7 @@
     }
   }
 
-  /** Holds a message whose turn has not come; false if it is to be written now. */
+  /** Holds a message unless its response is the current one; false if it must be written now. */
   synchronized boolean hold(PipelinedResponse response, Object message, long bytes) {
     if (response.isCurrent()) {
       return false;
@@ -170,7 +168,7 @@
     return connection.canWrite();
   }
 
-  /** Keeps an action until the turn has come; false if it has. */
+  /** Keeps an action until the response is the current one; false if it already is. */
   synchronized boolean postponeUntilCurrent(PipelinedResponse response, Runnable action) {
     if (response.isCurrent()) {
       return false;
@@ -180,10 +178,10 @@
   }
 
   /**
-   * Makes an answer the last if no request has arrived behind it. From then on none is begun: it
-   * would run, and have no answer.
+   * Makes a response the last one if no request has arrived behind it; a later request would run
+   * and have no response.
    *
-   * @return whether the answer is to say that the connection ends
+   * @return whether the response must announce that the connection closes
    */
   synchronized boolean tryMakeLast(PipelinedResponse response) {
     boolean hasInputBehind = !pipeline.isLast(response) || isBeginning || reads.hasInputNow();
@@ -193,7 +191,7 @@
     return !hasInputBehind;
   }
 
-  /** No request is begun any more: an answer under way says that the connection ends. */
+  /** Called when a response announces that the connection closes: no later request is begun. */
   synchronized void announceLast() {
     if (state == ConnectionState.OPEN) {
       state = ConnectionState.LAST_ANSWER;
@@ -201,7 +199,7 @@
   }
 
   /**
-   * The answer has been written whole, or is held whole.
+   * The response is complete, written or held.
    *
    * @param keepAlive whether the connection may carry another request
    */
@@ -212,7 +210,7 @@
     advance();
   }
 
-  /** The answer has broken off: the connection ends when its turn comes. */
+  /** The response is truncated: the connection is closed once the responses ahead are complete. */
   void responseTruncated(PipelinedResponse response) {
     synchronized (this) {
       response.truncate();
@@ -220,7 +218,7 @@
     advance();
   }
 
-  /** Passes the turn on as far as it goes. Called without the lock of any exchange. */
+  /** Advances the pipeline as far as possible. Must be called without the lock of any exchange. */
   private void advance() {
     synchronized (this) {
       if (isAdvancing) {
@@ -233,7 +231,7 @@
     }
   }
 
-  /** What is to be done next, without the lock; null if nothing is. */
+  /** Chooses the next step, which runs without the lock; null if there is none. */
   private synchronized Runnable nextStep() {
     PipelinedResponse first = pipeline.first();
     if (state.isOver()) {
@@ -290,7 +288,7 @@
     };
   }
 
-  /** The first answer is out: the turn passes on, or the connection ends. */
+  /** The first response is complete: makes the next one the first, or ends the connection. */
   private Runnable completeFirst(PipelinedResponse response) {
     pipeline.removeFirst();
     idleTimer.restart();
@@ -310,7 +308,7 @@
     return resumeReading();
   }
 
-  /** Another request may begin; or the connection ends, if it is to end at rest. */
+  /** Lets another request begin, or ends the connection if it is to end when idle. */
   private Runnable resumeReading() {
     Runnable head = reads.takeHeadResumption();
     return () -> {
@@ -329,13 +327,13 @@
     }
   }
 
-  /** Whether no request is under way, as far as has been read. */
+  /** Whether no request is in flight, as far as has been read. */
   private boolean isIdle() {
     boolean isRequestUnderWay = !pipeline.isEmpty() || isBeginning || reads.hasInput();
     return !isRequestUnderWay && discarded == null && finalResponse == null;
   }
 
-  /** Nothing more is written; what the peer still sends is dropped until it ends, too. */
+  /** Shuts the output down; input is discarded until the peer closes, too. */
   private Runnable endOutput(ConnectionEnd cause) {
     state = ConnectionState.OUTPUT_ENDED;
     droppedInput.outputEnds();
@@ -350,7 +348,7 @@
     };
   }
 
-  /** Takes a piece of a body nobody wants. */
+  /** Discards a part of a body whose request has been answered. */
   void discard(boolean last) {
     if (!last) {
       return;
@@ -388,7 +386,6 @@
     advance();
   }
 
-  /** Ends the connection at once. */
   void abort(ConnectionEnd cause) {
     setEndCause(cause);
     connection.terminateSilently();
@@ -400,7 +397,6 @@
     }
   }
 
-  /** The connection is gone. */
   void onClosed() {
     List<Exchange> open;
     ConnectionEnd cause;
@@ -414,7 +410,7 @@
               : endCause;
       input = droppedInput.input(connection, reads.isSuspendedAtHead());
     }
-    // Exchanges are asked for their own state, under their own locks.
+    // Outside of this lock, since it takes the locks of the exchanges.
     UnansweredRequests unanswered = UnansweredRequests.of(side, cause, open, input);
     if (unanswered.isAny()) {
       log.ended(unanswered);
@@ -422,16 +418,17 @@
     canceller.cancel(open);
   }
 
-  /** Ends the exchanges that could not be ended under another's lock. */
+  /** Cancels the exchanges that could not be cancelled under another one's lock. */
   void cancelDeferred() {
     canceller.cancelDeferred();
   }
 
   /**
-   * Ends the connection if it has had no request for too long; and closes it if its peer does not
-   * end a body that is dropped, or the connection itself, in time.
+   * Ends the connection if it is idle for too long, and closes it if the peer does not finish a
+   * discarded body, or close its side, in time.
    *
-   * @param idleMillis bound also for a peer that takes nothing of what was written
+   * @param idleMillis timeout of an idle connection, also of a peer that reads none of the output
+   * @param lingerMillis timeout of a peer that has read all output
    */
   void expire(long idleMillis, long lingerMillis) {
     idleTimer.noteUnwrittenBytes(unwrittenBytes());
@@ -441,8 +438,8 @@
   }
 
   /**
-   * Runs a task on the thread that reads, once that has read what had arrived before: a process
-   * that had no processor for a while sees its timers before its sockets.
+   * Runs a task on the selector thread after it has read all input that had arrived: a process that
+   * got no CPU for a while runs its timers before it reads its sockets.
    */
   private void afterReading(Runnable task) {
     OwnTurn.run(connection, () -> OwnTurn.run(connection, task));
@@ -468,7 +465,7 @@
     end.run();
   }
 
-  /** Ends the connection when all that has been read from it is answered. */
+  /** Ends the connection as soon as all requests read from it are answered. */
   void endWhenIdle() {
     synchronized (this) {
       endsWhenIdle = true;
@@ -482,14 +479,14 @@
       if (state == ConnectionState.OPEN && isIdle()) {
         next = endOutput(ConnectionEnd.STOP);
       } else if (pipeline.isEmpty() && reads.hasBufferedBytes()) {
-        // Less than a whole request has no answer that would end the connection.
+        // An incomplete request has no response that would end the connection.
         next = () -> afterReading(this::endIfIdle);
       }
     }
     next.run();
   }
 
-  /** Bytes of answers that the socket has not taken yet. */
+  /** Response bytes that the socket has not accepted yet. */
   long unwrittenBytes() {
     return connection instanceof NIOConnection nio ? nio.getAsyncWriteQueue().spaceInBytes() : 0;
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ConnectionDrain.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ConnectionDrain.java
@@ -4,10 +4,10 @@
 import java.util.function.LongSupplier;
 
 /**
- * The last step of a planned stop, when no request is expected any more: what has been read is
- * answered, what was answered is written, and peers are told that no more comes. A connection is
- * gone when its peer has ended it, too: until then the peer may not have read all of its answers,
- * and the end of the process would take back what it has not.
+ * The last step of a graceful shutdown, when no more requests are expected: requests already read
+ * are answered, responses are written, and the output of each connection is shut down. Then waits
+ * until the peers have closed their side, too: until then a peer may not have read all of its
+ * responses, and the exit of the process would reset the connection and discard them.
  */
 public final class ConnectionDrain {
   private static final long CHECK_MILLIS = 10;
@@ -16,10 +16,10 @@
   private final LongSupplier clockMillis;
 
   /**
-   * Creates a drain that has not begun.
+   * Creates a drain that has not started.
    *
-   * @param listeners listeners that accept no more connections
-   * @param clockMillis rising clock, milliseconds
+   * @param listeners filters of the listeners that accept no more connections
+   * @param clockMillis monotonic clock, milliseconds
    */
   public ConnectionDrain(List<InboundFilter> listeners, LongSupplier clockMillis) {
     this.listeners = listeners;
@@ -27,9 +27,9 @@
   }
 
   /**
-   * Ends all connections; returns when they are gone.
+   * Shuts down all connections and returns when they are closed.
    *
-   * @param endMillis when it returns at the latest, on the clock
+   * @param endMillis the latest time to return, on the clock, milliseconds
    */
   public void run(long endMillis) throws InterruptedException {
     listeners.forEach(InboundFilter::endConnections);
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ConnectionEnd.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ConnectionEnd.java
@@ -2,28 +2,28 @@
 
 import org.glassfish.grizzly.CloseReason;
 
-/** Why a caller's connection ends. */
+/** Why a client connection ended. */
 public enum ConnectionEnd {
-  /** The peer ended or lost it. */
+  /** The peer closed it, or it was lost. */
   PEER,
-  /** The last answer that it was to carry is out. */
+  /** The response that was announced as the last one has been written. */
   LAST_ANSWER,
-  /** It carried no request for too long. */
+  /** It was idle for too long. */
   IDLE,
-  /** An answer broke off, which must not look complete. */
+  /** A response was truncated; closing shows the peer that it is incomplete. */
   BROKEN_ANSWER,
-  /** The process ends. */
+  /** The process is shutting down. */
   STOP,
-  /** The program failed while it handled what was read. */
+  /** An exception was thrown while input was handled. */
   FAULT;
 
-  /** Why a connection ends that this node did not mean to end. */
+  /** The cause of an end that this node did not initiate. */
   static ConnectionEnd ofCloseReason(CloseReason reason) {
     boolean isFault = reason != null && isOfProgram(reason.getCause());
     return isFault ? FAULT : PEER;
   }
 
-  /** The transport wraps what a filter throws; what the socket throws is bare. */
+  /** The transport wraps exceptions thrown by filters, but not those of the socket. */
   private static boolean isOfProgram(Throwable cause) {
     return cause != null
         && (cause.getCause() instanceof RuntimeException || cause.getCause() instanceof Error);
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ConnectionLog.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ConnectionLog.java
@@ -1,11 +1,11 @@
 package io.umberpath.node.proxy.inbound;
 
-/** Hears of connections that ended with requests unanswered. Thread-safe; never waits. */
+/** Receives connections that ended with unanswered requests. Thread-safe; must not block. */
 @FunctionalInterface
 public interface ConnectionLog {
-  /** Hears nothing. */
+  /** Ignores all events. */
   ConnectionLog NONE = unanswered -> {};
 
-  /** A connection has ended, and requests that were read from it have no answer. */
+  /** Called when a connection has ended with requests that were read from it but not answered. */
   void ended(UnansweredRequests unanswered);
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ConnectionState.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ConnectionState.java
@@ -1,26 +1,27 @@
 package io.umberpath.node.proxy.inbound;
 
 /**
- * Where a caller's connection stands. It only moves on, under its own lock:
+ * The state of a client connection. It only moves forward, under the connection's lock:
  *
  * <pre>
- * OPEN ──the last answer says so──▶ LAST_ANSWER ──it is written──▶ OUTPUT_ENDED ──the peer ends──▶ CLOSED
- *   └──────it rests for too long, or the process ends──────────────────▲
+ * OPEN ──last response announced──▶ LAST_ANSWER ──it is written──▶ OUTPUT_ENDED ──peer closes──▶ CLOSED
+ *   └──────idle for too long, or the process is shutting down──────────▲
  * </pre>
  *
- * and to {@link #CLOSED} from anywhere when the connection is lost or an answer breaks off.
+ * and to {@link #CLOSED} from any state when the connection is lost or a response is truncated.
  */
 enum ConnectionState {
   /** Requests are read, begun and answered. */
   OPEN,
-  /** An answer under way is the last: it is finished, and no request behind it is begun. */
+  /** The last response has been announced: it is completed, but no later request is begun. */
   LAST_ANSWER,
   /**
-   * All that was to be written is; the peer is told that no more comes. What it still sends is read
-   * and dropped, since closing over unread bytes would take away answers that it has not read.
+   * All output has been written and the output side shut down. Input is read and discarded, since
+   * closing with unread bytes would reset the connection and destroy responses the peer has not
+   * read.
    */
   OUTPUT_ENDED,
-  /** Gone. */
+  /** Closed. */
   CLOSED;
 
   /** Whether nothing more is written. */
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/DroppedInput.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/DroppedInput.java
@@ -5,20 +5,20 @@
 import org.glassfish.grizzly.Connection;
 
 /**
- * What a peer sent that was dropped, since its connection's output had ended. The connection's lock
- * guards it.
+ * Counts the input that was discarded because the connection's output had ended. Guarded by the
+ * connection's lock.
  */
 final class DroppedInput {
   private long endedNanos;
   private long firstNanos;
   private long bytes;
 
-  /** The output ends. */
+  /** Records that the output ends. */
   void outputEnds() {
     endedNanos = System.nanoTime();
   }
 
-  /** Bytes have been dropped. */
+  /** Records discarded bytes. */
   void add(int count) {
     if (bytes == 0) {
       firstNanos = System.nanoTime();
@@ -26,7 +26,7 @@
     bytes += count;
   }
 
-  /** What was read and not begun, in all. */
+  /** A summary of all input that belongs to no begun request. */
   UnansweredRequests.Input input(Connection<?> connection, boolean isHeadUnbegun) {
     long afterNanos = bytes == 0 ? 0 : firstNanos - endedNanos;
     int port = connection.getPeerAddress() instanceof InetSocketAddress peer ? peer.getPort() : 0;
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/Exchange.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/Exchange.java
@@ -15,9 +15,9 @@
 import org.glassfish.grizzly.http.HttpRequestPacket;
 
 /**
- * One request from its head to its final answer, through one or more attempts. The caller gets
- * exactly one final answer, or its connection is closed. Thread-safe; its lock is never held while
- * another exchange's is taken.
+ * One request and its final response, through one or more attempts. The client gets exactly one
+ * final response, or its connection is closed. Thread-safe; never takes another exchange's lock
+ * under its own.
  */
 public final class Exchange {
   private final ClientConnection client;
@@ -53,7 +53,7 @@
     this.responseWriter = new ResponseWriter(pipelined, packet, handler);
   }
 
-  /** The caller's request. */
+  /** The client's request. */
   public RequestHead request() {
     return request;
   }
@@ -63,17 +63,17 @@
     return history;
   }
 
-  /** What was decided about it. */
+  /** The handler's plan; null before it is made and for a refused request. */
   public RequestPlan plan() {
     return plan;
   }
 
-  /** What has been read of its body. */
+  /** The request body received so far. */
   public RequestBody body() {
     return body;
   }
 
-  /** Tells the sender to send the body; returns whether the request still waits for it. */
+  /** Sends 100 (Continue) to the client; returns whether the request still waits for its body. */
   public synchronized boolean continueBody() {
     boolean waits = stage == ExchangeStage.PENDING;
     if (waits) {
@@ -82,22 +82,22 @@
     return waits;
   }
 
-  /** Status of the answer that the caller has got the beginning of; 0 before. */
+  /** Status of the response whose first part has been forwarded to the client; 0 before. */
   public synchronized int answeredStatus() {
     return progress.status();
   }
 
-  /** How old the request is. */
+  /** The age of the request. */
   public RequestAge age() {
     return age;
   }
 
-  /** The origin of the attempt under way; null if there is none. */
+  /** The origin of the current attempt; null if there is none. */
   public synchronized String currentOrigin() {
     return attempt == null ? null : attempt.originId();
   }
 
-  /** Begins with the head and the first piece of the body; returns whether to read on. */
+  /** Starts with the head and the first body part; returns whether to keep reading. */
   boolean begin(HttpContent first) {
     environment.stats().inFlight(handler.side(), 1);
     environment.active().add(this);
@@ -128,12 +128,12 @@
     return readOn;
   }
 
-  /** The answer, which was held whole until its turn, is about to be written. */
+  /** Called before a response that was held completely is written. */
   synchronized void beforeHeldResponseWritten() {
     responseWriter.beforeHeldResponseWritten();
   }
 
-  /** A request that waited for those before it on its connection starts. */
+  /** Starts a request that was deferred until its response became the current one. */
   void onBecameCurrent() {
     EventLoop.runOrDefer(this::dispatchIfWanted);
   }
@@ -149,7 +149,7 @@
     runDeferredActions();
   }
 
-  /** Ends the request if its caller is gone, which is heard of some iterations after it is read. */
+  /** Cancels the request if its client is gone; the close event may only be handled later. */
   private boolean cancelIfClientGone() {
     boolean isGone = !client.connection().isOpen();
     if (isGone) {
@@ -166,7 +166,6 @@
     return isTooLarge;
   }
 
-  /** Takes a piece of the body; returns whether to read on. */
   boolean onBodyPart(HttpContent content) {
     boolean readOn;
     synchronized (this) {
@@ -199,13 +198,12 @@
       attempt.sendMore(buffer, body, last);
     }
     if (attempt == null) {
-      // The origin's connection broke while the piece was written, which has ended the attempt.
+      // Writing the part found the origin's connection broken, which ended the attempt.
       return true;
     }
     return last || attempt.origin().canWrite();
   }
 
-  /** Runs the action once more of the body can be taken. */
   void runWhenBodyWanted(Runnable resume) {
     OriginConnection origin;
     synchronized (this) {
@@ -222,7 +220,6 @@
     }
   }
 
-  /** The body breaks the rules of framing. */
   void onMalformedBody() {
     synchronized (this) {
       responseWriter.closeAfter();
@@ -232,12 +229,12 @@
     runDeferredActions();
   }
 
-  /** Ends the connection after a fault that leaves no answer to give. */
+  /** Closes the connection after an error that leaves no response to send. */
   void abortConnection() {
     client.abort(ConnectionEnd.FAULT);
   }
 
-  /** Ends the request without another attempt. */
+  /** Fails the request without another attempt. */
   void giveUp(Verdict.Reason reason) {
     synchronized (this) {
       fail(refusalForStage(reason), false);
@@ -246,10 +243,10 @@
   }
 
   /**
-   * Gives up if the deadline has passed. An answer that is on its way goes on: to cut it off would
-   * end its connection, with the answers to the requests behind it.
+   * Fails the request if its deadline has passed. A response that is being sent continues:
+   * truncating it would close the connection and lose the responses behind it.
    *
-   * @param isLate whether reading is late: an answer that may lie unread is waited for
+   * @param isLate whether reading is late: a response may have arrived unread and is waited for
    */
   void checkDeadline(long nowMillis, boolean isLate) {
     synchronized (this) {
@@ -263,9 +260,9 @@
   }
 
   /**
-   * The bound of a planned stop has passed. An answer that is on its way goes on, as at a deadline.
+   * Fails the request at the drain timeout, unless its response is being sent.
    *
-   * @return whether work was broken off that may have begun
+   * @return whether the request may have run
    */
   boolean abortAtDrainTimeout() {
     boolean mayHaveRun;
@@ -287,9 +284,9 @@
   }
 
   /**
-   * Begins the next attempt; called by the handler.
+   * Starts the next attempt; called by the handler.
    *
-   * @return whether it was begun; not if the request has ended meanwhile
+   * @return false if the request has ended meanwhile
    */
   public boolean sendTo(ConnectionPool pool, String originId) {
     Attempt next;
@@ -306,8 +303,7 @@
   }
 
   /**
-   * Has the handler dispatch again once the body is held; called by the handler instead of {@link
-   * #sendTo}.
+   * Dispatches again once the body is buffered; called by the handler instead of {@link #sendTo}.
    */
   public void dispatchOnceBodyIsHeld() {
     synchronized (this) {
@@ -324,7 +320,7 @@
     }
   }
 
-  /** Ends the request with a refusal; called by the handler instead of {@link #sendTo}. */
+  /** Fails the request with a refusal; called by the handler instead of {@link #sendTo}. */
   public void refuse(Refusal refusal) {
     synchronized (this) {
       fail(stage.mayHaveReachedOrigin() ? Refusal.mayHaveRun(refusal.reason()) : refusal, false);
@@ -332,7 +328,7 @@
     runDeferredActions();
   }
 
-  /** Ends the attempt, and the request unless another attempt is permitted. */
+  /** Ends the attempt, and the request unless a retry is permitted. */
   private void fail(Refusal refusal, boolean retryPermitted) {
     if (stage == ExchangeStage.DONE) {
       return;
@@ -360,7 +356,7 @@
 
   private void writeFinalRefusal(Refusal refusal) {
     Refusal adjusted = history.adjustForEarlierAttempts(refusal);
-    // Before the write, which may find the caller's connection broken and end the request again.
+    // The write may find the client's connection broken and fail the request again.
     finish(adjusted.verdict());
     responseWriter.writeRefusal(adjusted, plan, body.isClosePreferredToDiscard(request));
   }
@@ -370,7 +366,7 @@
     outcome = verdict;
   }
 
-  /** Does what must not be done under this exchange's lock. */
+  /** Runs the pending actions that must not run under this exchange's lock. */
   private void runDeferredActions() {
     if (Thread.holdsLock(this)) {
       return;
@@ -408,7 +404,7 @@
     client.cancelDeferred();
   }
 
-  /** The attempt has a connection; returns whether it still wants it. */
+  /** Called when the attempt has a connection; returns whether it is used. */
   boolean attemptConnected(Attempt connected, OriginConnection connection) {
     boolean wanted;
     synchronized (this) {
@@ -424,7 +420,7 @@
     return wanted;
   }
 
-  /** Time has passed since the attempt was decided on: what spoke for it may not hold any more. */
+  /** Checks again before sending: the conditions may have changed since the attempt was chosen. */
   private boolean isStillWanted(Attempt current, ExchangeStage expected) {
     if (attempt != current || stage != expected || cancelIfClientGone()) {
       return false;
@@ -455,7 +451,7 @@
     runDeferredActions();
   }
 
-  /** A piece of the answer; returns whether to read on. */
+  /** Takes a part of the response; returns whether to keep reading. */
   boolean attemptReceivedPart(Attempt current, AnswerPart part) {
     boolean readOn;
     synchronized (this) {
@@ -469,7 +465,7 @@
     if (part.first()) {
       Optional<Refusal> refusal = handler.refusalIn(this, part.head());
       if (refusal.isPresent()) {
-        // A connection that carried an answer to another request is not used again.
+        // A connection that delivered the response to another request is not reused.
         if (part.last() && refusal.get().fromOrigin()) {
           current.detach();
         }
@@ -486,7 +482,7 @@
     stage = ExchangeStage.RESPONDING;
     responseWriter.writePart(part, plan);
     if (attempt != current) {
-      // The caller's connection broke while the piece was written, which has ended the request.
+      // Writing the part found the client's connection broken, which ended the request.
       return true;
     }
     if (part.last()) {
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ExchangeCanceller.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ExchangeCanceller.java
@@ -5,13 +5,16 @@
 import java.util.List;
 
 /**
- * Ends exchanges whose caller is gone. The write that found that out may hold the lock of one of
- * them, under which no other may be taken: then the others are ended later. Thread-safe.
+ * Cancels exchanges whose client connection is closed. The write that found the connection closed
+ * may hold the lock of one exchange, under which no other may be taken; the others are then
+ * cancelled later. Thread-safe.
  */
 final class ExchangeCanceller {
   private final List<Exchange> deferred = new ArrayList<>();
 
-  /** Ends them now, or those that cannot be with {@link #endThoseLeft}. */
+  /**
+   * Cancels the exchanges now, or later in {@link #cancelDeferred} if another one's lock is held.
+   */
   void cancel(List<Exchange> exchanges) {
     boolean isUnderLock = exchanges.stream().anyMatch(Thread::holdsLock);
     for (Exchange exchange : exchanges) {
@@ -27,7 +30,7 @@
     deferred.add(exchange);
   }
 
-  /** Ends those that could not be ended under another's lock. */
+  /** Cancels the exchanges that were deferred. */
   void cancelDeferred() {
     takeDeferred().forEach(exchange -> exchange.giveUp(Verdict.Reason.CANCELLED));
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ExchangeEnvironment.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ExchangeEnvironment.java
@@ -5,14 +5,14 @@
 import java.util.function.LongSupplier;
 
 /**
- * What every exchange of a proxy shares.
+ * Dependencies shared by all exchanges of a proxy.
  *
- * @param clockMillis rising clock, milliseconds; deadlines are on it
+ * @param clockMillis monotonic clock of all deadlines, milliseconds
  * @param stats counters
  * @param attemptLog log of failed attempts
- * @param connectionLog hears of connections that ended with requests unanswered
+ * @param connectionLog log of connections that ended with unanswered requests
  * @param active exchanges in flight
- * @param maxBodyBytes largest request body
+ * @param maxBodyBytes largest request body, bytes
  */
 public record ExchangeEnvironment(
     LongSupplier clockMillis,
@@ -21,7 +21,6 @@
     ConnectionLog connectionLog,
     ActiveExchanges active,
     LongSupplier maxBodyBytes) {
-  /** The present time on the clock. */
   long nowMillis() {
     return clockMillis.getAsLong();
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ExchangeStage.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ExchangeStage.java
@@ -1,31 +1,34 @@
 package io.umberpath.node.proxy.inbound;
 
 /**
- * Where a request stands:
+ * The stage of a request:
  *
  * <pre>
- * DECIDING ──▶ CONNECTING ──▶ [ASKING ──▶] SENT ──▶ ANSWERING ──▶ DONE
- *     ▲            │               │           │
- *     └────────────┴───────────────┴───────────┘ another attempt
+ * PENDING ──▶ CONNECTING ──▶ [HEAD_SENT ──▶] SENT ──▶ RESPONDING ──▶ DONE
+ *    ▲            │                │            │
+ *    └────────────┴────────────────┴────────────┘ another attempt
  * </pre>
  *
- * and to {@link #DONE} from anywhere.
+ * and to {@link #DONE} from any stage.
  */
 enum ExchangeStage {
-  /** Nothing is under way anywhere. */
+  /** No attempt is in flight. */
   PENDING,
-  /** An attempt waits for a connection; nothing of it has been sent. */
+  /** An attempt waits for a connection; none of it has been sent. */
   CONNECTING,
-  /** The head was sent alone: nothing runs before the origin has asked for the body. */
+  /**
+   * Only the head was sent, with {@code Expect: 100-continue}. The request does not run before the
+   * origin asks for the body.
+   */
   HEAD_SENT,
-  /** The request, or its beginning, may have reached the origin. */
+  /** The request, or part of it, may have reached the origin. */
   SENT,
-  /** The caller has got the beginning of the answer. */
+  /** The client has received part of the response. */
   RESPONDING,
-  /** Over. */
+  /** The request has ended. */
   DONE;
 
-  /** Whether the attempt under way may have reached its origin. */
+  /** Whether the current attempt may have reached its origin. */
   boolean mayHaveReachedOrigin() {
     return this == SENT || this == RESPONDING;
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/Headers.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/Headers.java
@@ -6,16 +6,17 @@
 import java.util.Optional;
 import org.glassfish.grizzly.http.HttpRequestPacket;
 
-/** Reads the project's headers. */
+/** Reads and writes the headers that proxies exchange, see {@link ProxyHeaders}. */
 public final class Headers {
   private static final int MAX_DIGITS = 12;
 
   private Headers() {}
 
   /**
-   * Milliseconds until the caller gives up.
+   * Reads the time left until the client's deadline, milliseconds.
    *
-   * @return nothing if it does not say, or a fault that names the header
+   * @return empty if the header is absent; an error message that names the header if it is
+   *     malformed
    */
   public static Either<String, Optional<Long>> deadlineMillis(MessageHead request) {
     Optional<String> text = request.field(ProxyHeaders.DEADLINE);
@@ -28,12 +29,18 @@
         : Either.left(ProxyHeaders.DEADLINE + " is not a number of milliseconds");
   }
 
-  /** How long the request may have lain unread at the nodes before; 0 if they do not say. */
+  /**
+   * How long the request may have been waiting unread at earlier nodes, milliseconds; 0 if not
+   * given.
+   */
   public static long unreadMillis(MessageHead request) {
     return request.field(ProxyHeaders.UNREAD).flatMap(Headers::number).orElse(0L);
   }
 
-  /** Tells the next node how long the request may have lain unread here. */
+  /**
+   * Adds the header that tells the next node how long the request may have been waiting unread
+   * here.
+   */
   public static void addUnread(Exchange exchange, HttpRequestPacket outgoing) {
     long unreadMillis = exchange.age().unreadMillis();
     if (unreadMillis > 0) {
@@ -41,12 +48,14 @@
     }
   }
 
-  /** How long a refusal of another node says to leave its back end alone; 0 if it does not say. */
+  /**
+   * How long a refusal of another node asks not to use its backend, milliseconds; 0 if not given.
+   */
   public static long retryAfterMillis(MessageHead refusal) {
     return refusal.field(ProxyHeaders.RETRY_AFTER_MILLIS).flatMap(Headers::number).orElse(0L);
   }
 
-  /** A plain non-negative number. */
+  /** Parses a non-negative decimal number of at most 12 digits; empty if malformed. */
   public static Optional<Long> number(String text) {
     if (text.isEmpty() || text.length() > MAX_DIGITS) {
       return Optional.empty();
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/IdleTimer.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/IdleTimer.java
@@ -2,7 +2,7 @@
 
 import java.util.function.LongSupplier;
 
-/** Since when nothing has happened on a connection. Thread-safe. */
+/** Measures how long a connection has been idle. Thread-safe. */
 final class IdleTimer {
   private final LongSupplier clockMillis;
   private volatile long sinceMillis;
@@ -13,12 +13,12 @@
     restart();
   }
 
-  /** Something has happened. */
+  /** Restarts the time after activity on the connection. */
   void restart() {
     sinceMillis = clockMillis.getAsLong();
   }
 
-  /** A peer that takes what was written is not waited for in vain. */
+  /** Restarts the time if the peer has read output since the last call. */
   void noteUnwrittenBytes(long unwrittenBytes) {
     if (unwrittenBytes != lastUnwrittenBytes) {
       lastUnwrittenBytes = unwrittenBytes;
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/InboundFilter.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/InboundFilter.java
@@ -11,7 +11,7 @@
 import org.glassfish.grizzly.http.HttpContent;
 import org.glassfish.grizzly.http.HttpRequestPacket;
 
-/** Hands decoded requests of one listener to their exchanges. */
+/** The last filter of a listener: dispatches decoded requests to their exchanges. */
 public final class InboundFilter extends BaseFilter {
   private final RequestHandler handler;
   private final ExchangeEnvironment environment;
@@ -19,7 +19,7 @@
   private final LongAdder accepted = new LongAdder();
   private volatile boolean isEnding;
 
-  /** Creates the last filter of a listener. */
+  /** Creates the filter of one listener. */
   public InboundFilter(RequestHandler handler, ExchangeEnvironment environment) {
     this.handler = handler;
     this.environment = environment;
@@ -104,30 +104,33 @@
   }
 
   /**
-   * Ends connections that have been idle, and closes those whose peers do not end a refused body or
-   * the connection, for too long.
+   * Ends idle connections, and closes those whose peers do not finish a refused body, or close
+   * their side, in time.
    */
   public void expire(long idleMillis, long lingerMillis) {
     connections.forEach(client -> client.expire(idleMillis, lingerMillis));
   }
 
-  /** Ends each connection, also later ones, as soon as all that was read from it is answered. */
+  /**
+   * Ends each connection, including those accepted later, once all requests read from it are
+   * answered.
+   */
   public void endConnections() {
     isEnding = true;
     connections.forEach(ClientConnection::endWhenIdle);
   }
 
-  /** Connections accepted so far. */
+  /** Number of connections accepted so far. */
   public long accepted() {
     return accepted.sum();
   }
 
-  /** Connections that are open. */
+  /** Number of open connections. */
   public int open() {
     return connections.size();
   }
 
-  /** Bytes of answers that no socket has taken yet. */
+  /** Response bytes that the sockets have not accepted yet. */
   public long unwrittenBytes() {
     return connections.stream().mapToLong(ClientConnection::unwrittenBytes).sum();
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/OutgoingRequest.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/OutgoingRequest.java
@@ -16,7 +16,7 @@
 import org.glassfish.grizzly.memory.Buffers;
 import org.glassfish.grizzly.memory.MemoryManager;
 
-/** Builds the messages of one attempt from the caller's request. */
+/** Builds the messages of one attempt from the client's request. */
 final class OutgoingRequest {
   private static final Set<String> REPLACED_BY_SECRET = replacedBySecret();
 
@@ -26,7 +26,7 @@
     this.packet = packet;
   }
 
-  /** Copies the caller's request line, end-to-end headers and body framing. */
+  /** Copies the client's request line, end-to-end headers and body framing. */
   static OutgoingRequest of(RequestHead request, RequestPlan plan, PeerAddress origin) {
     HttpRequestPacket.Builder builder =
         HttpRequestPacket.builder()
@@ -58,13 +58,13 @@
     packet.getHeaders().setValue(name).setString(value);
   }
 
-  /** The head alone; the origin is asked to say whether the body is to follow. */
+  /** The head alone, with {@code Expect: 100-continue}. */
   HttpPacket withExpectContinue() {
     set(packet, Header.Expect.toString(), "100-continue");
     return packet;
   }
 
-  /** The head with the first bytes of the body. */
+  /** The head with the body received so far. */
   HttpPacket firstPart(byte[] content, boolean last, HeaderFields trailers) {
     if (!packet.isChunked() && packet.getContentLength() <= 0) {
       return packet;
@@ -76,14 +76,14 @@
     return nextPart(buffer, last, trailers);
   }
 
-  /** More of the body. */
+  /** The next part of the body. */
   HttpPacket nextPart(Buffer content, boolean last, HeaderFields trailers) {
     return part(packet, content, last, trailers);
   }
 
   /**
-   * A message's head, if it has not been written yet, with a piece of its body. Without a piece it
-   * is the head alone: the codec would write an empty piece as the chunk that ends the body.
+   * A message's head, if it has not been written yet, with a body part. Without content it is the
+   * head alone: the codec would write an empty part as the chunk that ends the body.
    */
   static HttpPacket part(
       org.glassfish.grizzly.http.HttpHeader header,
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/OutputShutdown.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/OutputShutdown.java
@@ -12,16 +12,19 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOConnection;
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
-/** Ends what is written to a connection once the socket has taken it all; reading goes on. */
+/**
+ * Shuts down the output of a connection once the socket has accepted all pending writes; reading
+ * continues.
+ */
 final class OutputShutdown {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
   private OutputShutdown() {}
 
-  /** Ends the output behind all that has been written. */
+  /** Shuts down the output after all pending writes. */
   static void afterPendingWrites(Connection<?> connection) {
     if (connection instanceof TCPNIOConnection tcp) {
-      // An empty write completes when those before it have.
+      // An empty write completes after all earlier writes.
       ((TCPNIOTransport) tcp.getTransport())
           .getWriter(tcp)
           .write(tcp, Buffers.EMPTY_BUFFER, new Shutdown(tcp));
@@ -43,7 +46,7 @@
       try {
         ((SocketChannel) connection.getChannel()).shutdownOutput();
       } catch (IOException lost) {
-        logger.atFine().withCause(lost).log("the peer has ended the connection already");
+        logger.atFine().withCause(lost).log("peer has already closed the connection");
         connection.terminateSilently();
       }
     }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/PipelinedResponse.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/PipelinedResponse.java
@@ -8,9 +8,9 @@
 import org.glassfish.grizzly.http.Protocol;
 
 /**
- * The place of one answer among the answers of its caller's connection. Answers go out in the order
- * of their requests: what is written before its turn is held. The connection's lock guards its
- * state.
+ * The response to one request of a client connection, in the order of the requests (HTTP/1.1
+ * pipelining). Messages written before the responses ahead of it are complete are held. Guarded by
+ * the connection's lock.
  */
 final class PipelinedResponse {
   private final ClientConnection connection;
@@ -34,9 +34,9 @@
   }
 
   /**
-   * Writes a message, or holds it until the turn has come.
+   * Writes a message, or holds it until this response is the current one.
    *
-   * @param bytes what holding it costs, bytes
+   * @param bytes memory accounted for the message while it is held, bytes
    */
   void write(Object message, long bytes) {
     if (!connection.hold(this, message, bytes)) {
@@ -44,7 +44,9 @@
     }
   }
 
-  /** Whether more can be written without being held beyond bounds. */
+  /**
+   * Whether more can be written without exceeding the limits of the socket queue or held messages.
+   */
   boolean canWrite() {
     return connection.canWrite(this);
   }
@@ -56,7 +58,7 @@
     }
   }
 
-  /** Whether what is written goes out at once. */
+  /** Whether messages are written at once instead of being held. */
   boolean isCurrent() {
     synchronized (connection) {
       return isCurrent;
@@ -64,20 +66,24 @@
   }
 
   /**
-   * Makes the answer the last of its connection, if no request has been read behind its own.
+   * Makes this the last response of its connection, unless another request has been read behind its
+   * own.
    *
-   * @return whether it is to say so
+   * @return whether the response must announce that the connection closes
    */
   boolean tryMakeLast() {
     return connection.tryMakeLast(this);
   }
 
-  /** The answer says that it is the last: no request behind its own is begun any more. */
+  /** Called when the response announces that the connection closes: no later request is begun. */
   void announceLast() {
     connection.announceLast();
   }
 
-  /** Whether a request may begin behind this one: earlier callers send one at a time. */
+  /**
+   * Whether the next request may begin before this response is complete: HTTP/1.0 clients do not
+   * pipeline.
+   */
   boolean allowsPipelining() {
     return request.getProtocol() == Protocol.HTTP_1_1;
   }
@@ -128,12 +134,12 @@
     isConcurrent = mayRunConcurrently;
   }
 
-  /** Whether another request may run at the same time. */
+  /** Whether other requests of the connection may run at the same time. */
   boolean allowsConcurrency() {
     return ended || isConcurrent;
   }
 
-  /** Whether all of some allow it. */
+  /** Whether all the responses allow concurrent requests. */
   static boolean allAllowConcurrency(Iterable<PipelinedResponse> responses) {
     for (PipelinedResponse response : responses) {
       if (!response.allowsConcurrency()) {
@@ -147,7 +153,7 @@
     isStartDeferred = true;
   }
 
-  /** Whether its request waits for the turn; asked once. */
+  /** Returns whether the start of the request was deferred, and clears that flag. */
   boolean takeDeferredStart() {
     boolean wasDeferred = isStartDeferred;
     isStartDeferred = false;
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/PoolRequestPlan.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/PoolRequestPlan.java
@@ -6,18 +6,18 @@
 import java.util.Optional;
 
 /**
- * The plan of a request whose route leads to a pool of the fleet's own register.
+ * The plan of a request whose route uses a pool of the fleet's own registry.
  *
- * @param requestId names the request between nodes and in logs
- * @param route name of its route
+ * @param requestId identifies the request between nodes and in logs
+ * @param route name of the route
  * @param tenant tenant of the route
  * @param tier tier of the route
- * @param repeatable whether it may run more than once
- * @param deadlineMillis when its caller gives up, on the proxy's clock
- * @param unreadBeforeMillis for how long it may have lain unread at the nodes before this one
+ * @param repeatable whether the request is idempotent and may run more than once
+ * @param deadlineMillis the client's deadline, on the proxy's clock
+ * @param unreadBeforeMillis how long the request may have been waiting unread at earlier nodes
  * @param authorization value of the Authorization header to send, if the route has a secret
- * @param pool the back ends to choose from, at an edge
- * @param chain retries its chain of calls may still make, when it arrived
+ * @param pool the backends to choose from; only at an edge
+ * @param chain retries that the chain of calls still had when the request arrived
  */
 public record PoolRequestPlan(
     String requestId,
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/Refusal.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/Refusal.java
@@ -4,31 +4,33 @@
 import io.umberpath.node.proxy.http.VerdictHeader;
 
 /**
- * The final answer to a request without a whole answer of a back end.
+ * The final result of a request that did not get a complete response from a backend.
  *
  * @param verdict not run, or may have run
- * @param retryAfterMillis when coming back makes sense; 0 if not known
- * @param fromOrigin whether another node said so, and not this one
+ * @param retryAfterMillis when a retry makes sense, milliseconds; 0 if unknown
+ * @param fromOrigin whether another node refused the request, and not this one
  */
 public record Refusal(Verdict verdict, long retryAfterMillis, boolean fromOrigin) {
   private static final long DEFAULT_RETRY_AFTER_MILLIS = 1_000;
 
-  /** A refusal by this node. */
+  /** Creates a refusal by this node. */
   public Refusal(Verdict verdict, long retryAfterMillis) {
     this(verdict, retryAfterMillis, false);
   }
 
-  /** Certainly did not run; the reason says whether to come back later. */
+  /**
+   * Creates a refusal of a request that did not run; the reason determines the retry-after time.
+   */
   public static Refusal notRun(Verdict.Reason reason) {
     return new Refusal(new Verdict.NotRun(reason), retryAfter(reason));
   }
 
-  /** May have run. */
+  /** Creates a refusal of a request that may have run. */
   public static Refusal mayHaveRun(Verdict.Reason reason) {
     return new Refusal(new Verdict.MayHaveRun(reason), 0);
   }
 
-  /** Its reason. */
+  /** The reason of the verdict. */
   public Verdict.Reason reason() {
     return VerdictHeader.reasonOf(verdict);
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/RequestAge.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/RequestAge.java
@@ -1,9 +1,9 @@
 package io.umberpath.node.proxy.inbound;
 
 /**
- * How old a request is, counted from the earliest moment at which it can have arrived.
+ * The age of a request, counted from the earliest time at which it can have arrived.
  *
- * @param arrivedNanos that moment, on {@link System#nanoTime}
+ * @param arrivedNanos that time, on {@link System#nanoTime}
  * @param readNanos when its head was decoded, on the same clock
  */
 public record RequestAge(long arrivedNanos, long readNanos) {
@@ -14,15 +14,15 @@
     return new RequestAge(arrivedNanos, System.nanoTime());
   }
 
-  /** Microseconds since its head was decoded. */
+  /** Microseconds since the head was decoded. */
   long sinceReadMicros() {
     return (System.nanoTime() - readNanos) / NANOS_PER_MICRO;
   }
 
   /**
-   * Whether its caller has given up. What has not begun is given up at the earliest deadline. Work
-   * that may have begun goes on until the latest one, that of a request sent just before it was
-   * read: its caller may still wait.
+   * Whether the client's deadline has passed. The arrival time is known only as a range: a request
+   * that has not started fails at the earliest possible deadline, one that may have started at the
+   * latest (if it was sent just before it was read), since its client may still wait.
    */
   boolean isPastDeadline(RequestPlan plan, ExchangeStage stage, long nowMillis) {
     long spreadMillis = plan.unreadBeforeMillis() + unreadMillis();
@@ -30,7 +30,7 @@
     return nowMillis >= plan.deadlineMillis() + graceMillis;
   }
 
-  /** For how long it may have lain unread, milliseconds; an upper bound. */
+  /** Upper bound of the time for which the request was waiting unread, milliseconds. */
   public long unreadMillis() {
     return (readNanos - arrivedNanos) / NANOS_PER_MILLI;
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/RequestBody.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/RequestBody.java
@@ -9,17 +9,17 @@
 import org.glassfish.grizzly.http.util.Header;
 
 /**
- * What has been read of a request body. Its beginning is kept, up to a bound, so that another
- * attempt can send it again; beyond the bound it is only passed on. Thread-safe.
+ * The received part of a request body. Up to a limit it is buffered for retries; beyond the limit
+ * it is only forwarded. Thread-safe.
  */
 public final class RequestBody {
-  /** Most bytes kept for another attempt. */
+  /** Most bytes buffered for a retry. */
   static final int REPLAY_LIMIT_BYTES = 64 * 1024;
 
-  /** Longest body that is sent without being asked for, bytes. */
+  /** Longest body that is sent without waiting for 100 (Continue), bytes. */
   private static final int MAX_BYTES_WITHOUT_CONTINUE = 16 * 1024;
 
-  /** Longest rest of a refused body that is read and dropped, bytes. */
+  /** Longest remainder of a refused request's body that is read and discarded, bytes. */
   private static final long MAX_DISCARDED_BYTES = 64 * 1024;
 
   private final ByteArrayOutputStream buffered = new ByteArrayOutputStream(0);
@@ -29,13 +29,13 @@
   private HeaderFields trailers = HeaderFields.NONE;
   private OptionalLong hash = OptionalLong.empty();
 
-  /** Adds bytes that no attempt has taken yet; they are kept whatever their number. */
+  /** Buffers bytes that no attempt has taken yet, without a limit. */
   synchronized void buffer(Buffer content) {
     received += content.remaining();
     append(content);
   }
 
-  /** Notes bytes that are passed on to the attempt under way. */
+  /** Records bytes that are forwarded to the current attempt. */
   synchronized void noteForwarded(Buffer content) {
     received += content.remaining();
     if (!isReplayable) {
@@ -64,7 +64,10 @@
     return bytes;
   }
 
-  /** The beginning of the body, as far as it counts for its hash: what is kept, and more of it. */
+  /**
+   * The prefix of the body that is hashed: the buffered bytes, and as much of the new content as is
+   * missing.
+   */
   private byte[] prefixWith(Buffer content) {
     int missing = Math.max(0, RequestFingerprint.BODY_PREFIX_BYTES - buffered.size());
     buffered.writeBytes(copy(content, Math.min(missing, content.remaining())));
@@ -72,8 +75,8 @@
   }
 
   /**
-   * Hash of its beginning, worked out when it is asked for; empty while too little has been
-   * received to tell. See {@link RequestFingerprint#body}.
+   * Hash of the body's prefix, computed on demand; empty while too little has been received. See
+   * {@link RequestFingerprint#body}.
    */
   public synchronized OptionalLong hash() {
     boolean hasPrefix = isComplete || buffered.size() >= RequestFingerprint.BODY_PREFIX_BYTES;
@@ -88,15 +91,15 @@
     trailers = newTrailers;
   }
 
-  /** Whether the caller has sent it all. */
+  /** Whether the client has sent the complete body. */
   synchronized boolean isComplete() {
     return isComplete;
   }
 
   /**
-   * Whether the connection rather ends than that the rest of a refused body is read and dropped: it
-   * is long, or of unknown length; or its caller waits to be told to send it, and may send another
-   * request in its place.
+   * Whether to close the connection rather than to read and discard the rest of a refused body: if
+   * the rest is long or its length unknown, or if the client waits for 100 (Continue) and may send
+   * another request instead of the body.
    */
   synchronized boolean isClosePreferredToDiscard(RequestHead request) {
     if (isComplete) {
@@ -107,37 +110,37 @@
     return !isShort || request.field(Header.Expect.toString()).isPresent();
   }
 
-  /** Whether everything received can be sent again. */
+  /** Whether all received bytes can be sent again. */
   public synchronized boolean isReplayable() {
     return isReplayable;
   }
 
-  /** Whether all of it is held, or as much as may be: its hash can be told then. */
+  /** Whether the complete body, or as much as may be, is buffered; its hash is then known. */
   public synchronized boolean isHeld() {
     return isComplete || isFull();
   }
 
-  /** Whether it is not there yet, or too long to be sent on the chance that it is wanted. */
+  /** Whether the body is incomplete, or too long to send without waiting for 100 (Continue). */
   synchronized boolean needsContinue() {
     return !isComplete || buffered.size() > MAX_BYTES_WITHOUT_CONTINUE;
   }
 
-  /** Whether as much is held as may be. */
+  /** Whether the buffer is full. */
   synchronized boolean isFull() {
     return buffered.size() >= REPLAY_LIMIT_BYTES;
   }
 
-  /** The bytes to send first. */
+  /** The buffered bytes, which an attempt sends first. */
   synchronized byte[] buffered() {
     return buffered.toByteArray();
   }
 
-  /** Whether it is longer than a limit, as far as can be told. */
+  /** Whether the body exceeds a limit by its declared length or the bytes received so far. */
   synchronized boolean exceeds(long limitBytes, RequestHead request) {
     return Math.max(request.contentLength(), received) > limitBytes;
   }
 
-  /** Bytes that have been read. */
+  /** Number of bytes received. */
   public synchronized long received() {
     return received;
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/RequestHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/RequestHandler.java
@@ -9,25 +9,25 @@
 import org.glassfish.grizzly.http.HttpRequestPacket;
 import org.glassfish.grizzly.http.HttpResponsePacket;
 
-/** What one listener does with its requests. Thread-safe. */
+/** Handles the requests of one listener. Thread-safe. */
 public interface RequestHandler {
-  /** The listener, for counting. */
+  /** The listener, for statistics. */
   ProxyStats.Side side();
 
   /**
    * Decides whether and how a request is served, from its head alone.
    *
-   * @param arrivedMillis the earliest moment at which it can have arrived; its time runs since then
+   * @param arrivedMillis the earliest time at which it can have arrived; its timeout starts there
    */
   Either<Refusal, RequestPlan> plan(RequestHead head, long arrivedMillis);
 
   /**
-   * Chooses where the next attempt goes; calls {@link Exchange#sendTo} or {@link Exchange#refuse},
-   * at once or later.
+   * Chooses the origin of the next attempt; calls {@link Exchange#sendTo} or {@link
+   * Exchange#refuse}, now or later.
    */
   void dispatch(Exchange exchange);
 
-  /** Asked right before an attempt is sent: why it is not to be, if there is a reason. */
+  /** Called right before an attempt is sent; returns a refusal if it must not be sent any more. */
   default Optional<Refusal> refusalAtSending(RequestPlan plan, long nowMillis) {
     return plan.deadlineMillis() <= nowMillis
         ? Optional.of(Refusal.notRun(Verdict.Reason.DEADLINE))
@@ -38,46 +38,54 @@
   void addHeaders(Exchange exchange, HttpRequestPacket outgoing, long nowMillis);
 
   /**
-   * Whether a request may run at the same time as others of its caller's connection, and again if
-   * its answer cannot be sent. Others start when those before them have been answered.
+   * Whether a request may run at the same time as others of its client connection, and be repeated
+   * if its response cannot be delivered. Other requests start when those before them have been
+   * answered.
    */
   default boolean mayRunBesideOthers(RequestPlan plan) {
     return false;
   }
 
-  /** Whether answers ask callers to go elsewhere with their next request. */
+  /**
+   * Whether the node is draining: responses then close their connections, so that clients send the
+   * next request to another node.
+   */
   default boolean isLeaving() {
     return false;
   }
 
-  /** The id to send back with the answer, so that the other node can match it; null for none. */
+  /**
+   * The request id to return with the response, so that the requesting node can match it; null for
+   * none.
+   */
   String echoedId(RequestPlan plan);
 
-  /** How refusals are told to the callers of this listener. */
+  /** How refusals are represented to the clients of this listener. */
   default RefusalStyle refusalStyle() {
     return RefusalStyle.WHOLE_SECONDS;
   }
 
   /**
-   * Adds the handler's own headers to an answer or refusal.
+   * Adds the handler's own headers to a response or refusal.
    *
    * @param plan the request's plan, or null if it was refused before there was one
    */
   default void addAnswerHeaders(RequestPlan plan, HttpResponsePacket answer) {}
 
-  /** Looks at an answer's head: a refusal that another node answered, if it is one. */
+  /** Checks the head of a response; returns a refusal if another node refused the request. */
   Optional<Refusal> refusalIn(Exchange exchange, AnswerHead head);
 
   /**
-   * An attempt ended; called once per attempt that {@link Exchange#sendTo} began.
+   * Called once per attempt that {@link Exchange#sendTo} started, when it has ended.
    *
-   * @param refusal how it failed; null if it was answered whole
+   * @param refusal how it failed; null if its response was complete
+   * @param micros duration of the attempt, microseconds
    */
   void attemptEnded(Exchange exchange, String originId, Refusal refusal, long micros);
 
-  /** Whether to dispatch again after an attempt that ended so; takes from the retry budget. */
+  /** Whether to retry after an attempt that ended with this verdict; consumes the retry budget. */
   boolean mayRetry(Exchange exchange, Verdict verdict);
 
-  /** The request has its final outcome. Called without the exchange's lock. */
+  /** Called when the request has its final verdict, without the exchange's lock. */
   void ended(Exchange exchange, Verdict verdict);
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/RequestPlan.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/RequestPlan.java
@@ -4,35 +4,35 @@
 import java.util.Set;
 
 /**
- * What is decided about a request when its head has arrived, from one snapshot, and holds until its
- * end. Each handler has its own kind of plan.
+ * The decisions about a request, made from its head and one configuration snapshot, and valid until
+ * it ends. Each handler has its own implementation.
  */
 public interface RequestPlan {
-  /** Names the request between nodes and in logs. */
+  /** Identifies the request between nodes and in logs. */
   String requestId();
 
-  /** Name of its route. */
+  /** Name of the route. */
   String route();
 
-  /** When its caller gives up at the earliest, on the proxy's clock, milliseconds. */
+  /** The earliest possible deadline of the client, on the proxy's clock, milliseconds. */
   long deadlineMillis();
 
-  /** For how long it may have lain unread at the nodes before this one, milliseconds. */
+  /** How long the request may have been waiting unread at earlier nodes, milliseconds. */
   default long unreadBeforeMillis() {
     return 0;
   }
 
-  /** Whether the origin is asked before a long body is sent to it. */
+  /** Whether a long body is sent only after the origin's 100 (Continue). */
   default boolean asksBeforeBody() {
     return false;
   }
 
-  /** Value of the Authorization header to send in place of the caller's, if any. */
+  /** Value of the Authorization header that replaces the client's, if any. */
   default Optional<String> authorization() {
     return Optional.empty();
   }
 
-  /** Names of headers that are not copied from the caller's request; compared without case. */
+  /** Names of headers that are not copied from the client's request, case-insensitive. */
   default Set<String> replacedHeaders() {
     return Set.of();
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ResponsePipeline.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ResponsePipeline.java
@@ -5,18 +5,21 @@
 import java.util.List;
 import org.glassfish.grizzly.http.HttpContent;
 
-/** The answers that a connection owes, in the order of their requests. Its lock guards them. */
+/**
+ * The pending responses of a connection, in the order of their requests. Guarded by the
+ * connection's lock.
+ */
 final class ResponsePipeline {
-  /** Requests read before the first of them is answered. */
+  /** Most requests that are read before the first of them is answered. */
   private static final int MAX_PIPELINED = 16;
 
-  /** Bytes of answers held for their turn, beyond which nothing more is read. */
+  /** Total size of held messages at which reading stops, bytes. */
   private static final long MAX_HELD_BYTES = 128 * 1024;
 
   private final Deque<PipelinedResponse> responses = new ArrayDeque<>();
   private long heldBytes;
 
-  /** Adds the turn of a request that has just been read. */
+  /** Adds the response of a request that has just been read. */
   void add(PipelinedResponse response) {
     if (responses.isEmpty()) {
       response.makeCurrent();
@@ -40,26 +43,26 @@
     return responses.peekLast() == response;
   }
 
-  /** Whether the request of one more may begin. */
+  /** Whether another request may begin. */
   boolean hasRoom() {
     PipelinedResponse last = responses.peekLast();
     boolean mayBeFollowed = last == null || last.allowsPipelining();
     return mayBeFollowed && responses.size() < MAX_PIPELINED && canHoldMore();
   }
 
-  /** Whether more of an answer may be held for its turn. */
+  /** Whether more messages may be held. */
   boolean canHoldMore() {
     return heldBytes < MAX_HELD_BYTES;
   }
 
-  /** The exchange that a piece of a body belongs to; null if to none. */
+  /** The exchange to which a body part belongs; null if none. */
   Exchange exchangeOf(HttpContent content) {
     PipelinedResponse last = responses.peekLast();
     boolean belongs = last != null && last.request() == content.getHttpHeader();
     return belongs ? last.exchange() : null;
   }
 
-  /** Whether a request may run beside all those that are under way. */
+  /** Whether a request may run at the same time as all requests in flight on the connection. */
   boolean mayStartConcurrently(PipelinedResponse response) {
     return response == responses.peekFirst() || PipelinedResponse.allAllowConcurrency(responses);
   }
@@ -74,7 +77,7 @@
     return response.takeHeld();
   }
 
-  /** Takes all: no answer can be given any more. */
+  /** Removes all responses of a closed connection and returns their exchanges. */
   List<Exchange> takeAll() {
     List<Exchange> open = responses.stream().map(PipelinedResponse::exchange).toList();
     responses.clear();
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ResponseProgress.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ResponseProgress.java
@@ -2,15 +2,15 @@
 
 import io.umberpath.node.proxy.origin.AnswerPart;
 
-/** How far the answer of one exchange has gone out. The exchange's lock guards it. */
+/** Tracks how much of an exchange's response has been forwarded. Guarded by the exchange's lock. */
 final class ResponseProgress {
-  /** Time without a piece after which an answer counts as standing still, milliseconds. */
+  /** Time without a response part after which the response counts as stalled, milliseconds. */
   private static final long STALL_MILLIS = 1_000;
 
   private int status;
   private long lastPartMillis;
 
-  /** A piece is about to go out. */
+  /** Called before a part of the response is forwarded. */
   void onPart(AnswerPart part, long nowMillis) {
     lastPartMillis = nowMillis;
     if (part.first()) {
@@ -18,12 +18,12 @@
     }
   }
 
-  /** Status of the answer; 0 before its first piece. */
+  /** Status of the response; 0 before its first part. */
   int status() {
     return status;
   }
 
-  /** Whether it has begun, and a piece has come lately. */
+  /** Whether the response has started and a part was forwarded recently. */
   boolean isActive(long nowMillis) {
     return status != 0 && nowMillis - lastPartMillis < STALL_MILLIS;
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ResponseWriter.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ResponseWriter.java
@@ -20,12 +20,12 @@
 import org.glassfish.grizzly.memory.Buffers;
 import org.glassfish.grizzly.memory.MemoryManager;
 
-/** Writes the answer of one exchange to its caller. The exchange's lock guards it. */
+/** Writes the response of one exchange to its client. Guarded by the exchange's lock. */
 final class ResponseWriter {
   private static final byte[] CONTINUE =
       "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
 
-  /** What holding a message costs besides its content, bytes. */
+  /** Memory accounted for a held message in addition to its content, bytes. */
   private static final int HELD_MESSAGE_OVERHEAD_BYTES = 1_024;
 
   private static final String CLOSE = "close";
@@ -38,7 +38,7 @@
   private final HttpRequestPacket request;
   private final HttpResponsePacket response;
 
-  /** Whether the body goes out in chunks. */
+  /** Whether the body is sent with chunked transfer coding. */
   private boolean isChunked;
 
   ResponseWriter(PipelinedResponse pipelined, HttpRequestPacket request, RequestHandler handler) {
@@ -48,19 +48,19 @@
     this.response = request.getResponse();
   }
 
-  /** Tells the sender of the request to send its body. */
+  /** Sends 100 (Continue), so that the client sends the request body. */
   void writeContinue() {
     writeInterim(CONTINUE);
   }
 
-  /** Passes an interim answer on; older callers would take it for the final one. */
+  /** Forwards an interim (1xx) response; HTTP/1.0 clients would take it for the final one. */
   void writeInterim(byte[] head) {
     if (isHttp11()) {
       pipelined.write(wrap(head), head.length);
     }
   }
 
-  /** Writes a piece of a back end's answer. */
+  /** Writes a part of an origin's response. */
   void writePart(AnswerPart part, RequestPlan plan) {
     if (part.first()) {
       if (part.last()) {
@@ -105,14 +105,14 @@
     writeVerbatim();
   }
 
-  /** Whether an answer ends with its head, whatever that says (RFC 9112, section 6.3). */
+  /** Whether a response ends with its head, whatever its headers say (RFC 9112, section 6.3). */
   private boolean hasNoBody(int status) {
     return request.isHeadRequest() || status == NO_CONTENT || status == NOT_MODIFIED;
   }
 
   /**
-   * Makes the codec write head and body as they are. Otherwise it would end the connection after
-   * answers of some statuses, without regard to the requests behind them.
+   * Makes the codec write head and body as they are. Otherwise it would close the connection after
+   * responses with certain statuses, even if pipelined requests follow.
    */
   private void writeVerbatim() {
     response.setProtocol(Protocol.HTTP_1_1);
@@ -125,9 +125,10 @@
   }
 
   /**
-   * Writes a refusal as the whole answer.
+   * Writes a refusal as the complete response.
    *
-   * @param endsConnection whether so much of the body is missing that it is not waited for
+   * @param endsConnection whether too much of the request body is missing to read and discard the
+   *     rest
    */
   void writeRefusal(Refusal refusal, RequestPlan plan, boolean endsConnection) {
     String requestId = handler.echoedId(plan);
@@ -139,7 +140,7 @@
     if (requestId != null) {
       response.getHeaders().setValue(ProxyHeaders.REQUEST_ID).setString(requestId);
     } else {
-      // This proxy gives up: nobody further up the chain is to send the request again.
+      // This proxy has given up: no proxy upstream of it should retry.
       response.getHeaders().setValue(ChainBudget.HEADER).setString(ChainBudget.NONE.encode());
     }
     if (refusal.retryAfterMillis() > 0) {
@@ -165,8 +166,9 @@
   }
 
   /**
-   * A node that leaves ends the connection with an answer that is whole in hand. One that has begun
-   * to go out is too early: a request read before its end would run and have no answer.
+   * Closes the connection after this response if the node is draining. This is decided only when
+   * the complete response is available: a request read while a response is being sent would run and
+   * have no response.
    */
   private void endConnectionIfDraining() {
     if (handler.isLeaving()) {
@@ -174,14 +176,17 @@
     }
   }
 
-  /** Not before its turn: until then more requests may be read behind it. */
+  /** Only for the current response: behind a held one, more requests may still be read. */
   private void endConnectionIfLast() {
     if (pipelined.isCurrent() && pipelined.tryMakeLast()) {
       request.getProcessingState().setKeepAlive(false);
     }
   }
 
-  /** An answer that was held whole goes out now: a node that leaves may end the connection. */
+  /**
+   * Called before a response that was held completely is written: a draining node may close the
+   * connection after it.
+   */
   void beforeHeldResponseWritten() {
     if (handler.isLeaving() && !response.isCommitted() && pipelined.tryMakeLast()) {
       request.getProcessingState().setKeepAlive(false);
@@ -191,7 +196,7 @@
     }
   }
 
-  /** Announces that the connection ends with this answer; nothing behind it is begun. */
+  /** Announces that the connection closes after this response; no later request is begun. */
   void closeAfter() {
     pipelined.announceLast();
     request.getProcessingState().setKeepAlive(false);
@@ -211,7 +216,7 @@
 
   private void write(Buffer content, boolean last, HeaderFields trailers) {
     Buffer framed = isChunked ? wrap(ChunkedEncoder.encode(content, last, trailers)) : content;
-    // A piece that is held would keep the whole buffer that it was read into.
+    // A held part would otherwise keep the whole read buffer that it is a slice of in memory.
     Buffer retained =
         isChunked || pipelined.isCurrent() ? framed : wrap(BufferBytes.copyOf(framed));
     int bytes = retained.remaining();
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/SuspendedReads.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/SuspendedReads.java
@@ -7,8 +7,8 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 
 /**
- * Where reading from a connection stands still: at the head of a request that may not begin yet, or
- * within a body of which no more can be taken. Its connection's lock guards it.
+ * Tracks where reading from a connection is suspended: at the head of a request that may not begin
+ * yet, or within a body of which no more can be taken. Guarded by the connection's lock.
  */
 final class SuspendedReads {
   private final Arrival arrival;
@@ -16,7 +16,7 @@
   private FilterChainContext head;
   private FilterChainContext body;
 
-  /** The codec keeps bytes behind the message that it has handed on last. */
+  /** Whether the codec holds bytes behind the message that it decoded last. */
   private boolean hasUndecodedBytes;
 
   SuspendedReads(Connection<?> connection, Arrival arrival) {
@@ -24,13 +24,13 @@
     this.ahead = ReadAhead.accepted(connection, arrival);
   }
 
-  /** Stands still at a head, which is seen again once it is resumed. */
+  /** Suspends reading at a head, which is passed in again when reading resumes. */
   NextAction suspendAtHead(FilterChainContext context) {
     head = context;
     return suspend(context);
   }
 
-  /** Stands still within a body. */
+  /** Suspends reading within a body. */
   NextAction suspendInBody(FilterChainContext context) {
     body = context;
     return suspend(context);
@@ -48,7 +48,7 @@
     return head != null;
   }
 
-  /** Whether bytes behind what was suspended have been read and not been decoded. */
+  /** Whether bytes behind the suspended message have been read but not decoded. */
   boolean hasBufferedBytes() {
     return ahead.isHolding();
   }
@@ -57,30 +57,40 @@
     hasUndecodedBytes = isKept;
   }
 
-  /** Whether something has been read behind the requests that have begun. */
+  /** Whether input has been read behind the requests that have begun. */
   boolean hasInput() {
     return isSuspendedAtHead() || hasBufferedBytes();
   }
 
-  /** The same within a run of the filter chain, which has more in hand and may be late. */
+  /**
+   * Like {@link #hasInput}, but during a run of the filter chain: includes the codec's undecoded
+   * bytes and reads from the socket, since the thread may be late.
+   */
   boolean hasInputNow() {
     return isSuspendedAtHead() || hasUndecodedBytes || ahead.look();
   }
 
-  /** What reads on from the head; does nothing if reading does not stand there. */
+  /**
+   * Returns an action that resumes reading at the head; a no-op if reading is not suspended there.
+   */
   Runnable takeHeadResumption() {
     FilterChainContext context = head;
     head = null;
     return context == null ? () -> {} : () -> resume(context::resume);
   }
 
-  /** What reads on within the body; does nothing if reading does not stand there. */
+  /**
+   * Returns an action that resumes reading within the body; a no-op if reading is not suspended
+   * there.
+   */
   Runnable takeBodyResumption() {
     FilterChainContext waiting = body;
     return waiting == null ? () -> {} : takeBodyResumption(waiting);
   }
 
-  /** The same if reading stands at this context, and nothing otherwise. */
+  /**
+   * Like {@link #takeBodyResumption()}, but a no-op unless reading is suspended with this context.
+   */
   Runnable takeBodyResumption(FilterChainContext context) {
     if (body != context) {
       return () -> {};
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/UnansweredRequests.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/UnansweredRequests.java
@@ -4,34 +4,34 @@
 import java.util.List;
 
 /**
- * Requests that were read from a connection which ended before their answers were out, and what was
- * read behind them.
+ * The requests of a connection that ended before their responses were written, and the input read
+ * behind them.
  *
  * @param side the listener
  * @param end why the connection ended
- * @param requestIds ids of those that were begun; empty for one that has none
- * @param sentOn how many of these were offered to an origin
- * @param input what was read and not begun
+ * @param requestIds ids of the begun requests; empty string for a request without an id
+ * @param sentOn how many of these were sent to an origin
+ * @param input input that belongs to no begun request
  */
 public record UnansweredRequests(
     ProxyStats.Side side, ConnectionEnd end, List<String> requestIds, int sentOn, Input input) {
 
   /**
-   * What was read from a connection and belongs to no request that was begun.
+   * Input of a connection that belongs to no begun request.
    *
-   * @param isHeadUnbegun whether the head of another request has been read
-   * @param droppedBytes bytes that arrived after the end of the output
-   * @param droppedAfterMillis time from that end until the first of them were read, milliseconds
-   * @param peerPort the port from which they came
+   * @param isHeadUnbegun whether the head of another request had been read
+   * @param droppedBytes bytes that arrived after the output had been shut down
+   * @param droppedAfterMillis time from the shutdown to the first of these bytes, milliseconds
+   * @param peerPort the peer's port
    */
   public record Input(
       boolean isHeadUnbegun, long droppedBytes, long droppedAfterMillis, int peerPort) {}
 
   /**
-   * Tells them of a connection.
+   * Collects the unanswered requests of a connection.
    *
-   * @param begun exchanges whose answers are not out
-   * @param input what else was read
+   * @param begun exchanges whose responses were not written
+   * @param input the remaining input
    */
   static UnansweredRequests of(
       ProxyStats.Side side, ConnectionEnd end, List<Exchange> begun, Input input) {
@@ -45,7 +45,7 @@
     return plan == null ? "" : plan.requestId();
   }
 
-  /** Whether there is one. */
+  /** Whether any request, or part of one, was left unanswered. */
   boolean isAny() {
     return !requestIds.isEmpty() || input.isHeadUnbegun() || input.droppedBytes() > 0;
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/package-info.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/package-info.java
@@ -1,2 +1,2 @@
-/** Requests from callers and other nodes: their connections, their exchanges and their answers. */
+/** Inbound requests from clients and other nodes: connections, exchanges and responses. */
 package io.umberpath.node.proxy.inbound;
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/inbound/ExchangeBrokenWriteTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/inbound/ExchangeBrokenWriteTest.java
@@ -35,8 +35,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A connection turns out to be broken by the very write to it, and the transport says so before
- * that write returns.
+ * Writing to a connection finds it broken, and the transport reports the close before the write
+ * returns: the exchange must end exactly once, with the right verdict.
  */
 class ExchangeBrokenWriteTest {
   private static final PeerAddress ORIGIN = new PeerAddress("127.0.0.1", 9);
@@ -99,7 +99,7 @@
     }
   }
 
-  /** A request as the codec hands it over, with the answer to be filled in. */
+  /** A request as the codec decodes it, with an empty response. */
   private static final class ReceivedRequest extends HttpRequestPacket {
     private final ProcessingState state = new ProcessingState();
 
@@ -153,7 +153,7 @@
     assertThat(active.size()).isZero();
   }
 
-  /** An upload's back end resets its connection; the write of the next piece finds out. */
+  /** The backend resets its connection during an upload; the write of the next part finds out. */
   @Test
   void endsOnceWhenWritingABodyPartFailsForTheBackend() {
     HttpRequestPacket request = new ReceivedRequest();
@@ -170,7 +170,7 @@
     assertThat(active.size()).isZero();
   }
 
-  /** The timer holds an exchange's lock at its deadline while the caller's connection closes. */
+  /** The timer holds an exchange's lock at its deadline while the client's connection closes. */
   @Test
   void closingConnectionHoldsNoLockWhileItWaitsForAnExchange() throws InterruptedException {
     Exchange exchange = begin(new ReceivedRequest(), true);
@@ -222,7 +222,7 @@
     opened.completed(origin);
   }
 
-  /** A connection that does nothing but run an action within each write. */
+  /** A connection that only runs an action during each write. */
   private static Connection<?> connection(Runnable onWrite) {
     AttributeHolder attributes = ATTRIBUTES.createSafeAttributeHolder();
     return (Connection<?>)
@@ -236,7 +236,7 @@
                   return attributes;
                 }
                 default -> {
-                  // Nothing else matters here.
+                  // Other methods have no effect.
                 }
               }
               return method.getReturnType() == boolean.class ? Boolean.TRUE : null;
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/inbound/RequestBodyTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/inbound/RequestBodyTest.java
@@ -9,7 +9,9 @@
 import org.glassfish.grizzly.memory.MemoryManager;
 import org.junit.jupiter.api.Test;
 
-/** The hash of a body is the same however it arrives, and whether or not it is kept. */
+/**
+ * The hash of a body does not depend on how it is split into parts or whether it is still buffered.
+ */
 final class RequestBodyTest {
   private static final int PREFIX = RequestFingerprint.BODY_PREFIX_BYTES;
 
