--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/ProxyTransport.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/ProxyTransport.java
@@ -137,7 +137,7 @@
 
   private void checkAfterReading(Runnable check) {
     if (waitingChecks.add(check)) {
-      eventLoop.afterReading(
+      eventLoop.runAfterReading(
           () -> {
             waitingChecks.remove(check);
             check.run();
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/ReadFilter.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/ReadFilter.java
@@ -1,6 +1,6 @@
 package io.umberpath.node.proxy;
 
-import io.umberpath.node.proxy.loop.Arrival;
+import io.umberpath.node.proxy.loop.ArrivalTime;
 import io.umberpath.node.proxy.loop.ReadAhead;
 import java.io.IOException;
 import org.glassfish.grizzly.Buffer;
@@ -38,7 +38,7 @@
     if (buffer == null || buffer.position() == 0) {
       return context.getStopAction();
     }
-    Arrival.noteRead(connection);
+    ArrivalTime.noteRead(connection);
     buffer.trim();
     return passOn(context, buffer);
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/SelectorEventStrategy.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/SelectorEventStrategy.java
@@ -56,7 +56,7 @@
       return acceptAll((TCPNIOServerConnection) connection, isEnabled);
     }
     boolean isReadAhead =
-        event == IOEvent.READ && ReadAhead.handlesRead((Connection<?>) connection);
+        event == IOEvent.READ && ReadAhead.readIfSuspended((Connection<?>) connection);
     return isReadAhead || strategy.executeIoEvent(connection, event, isEnabled);
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/AttemptHistory.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/AttemptHistory.java
@@ -39,7 +39,7 @@
    * it arrived, since it may have been waiting in the socket.
    */
   synchronized void responseComplete() {
-    responseNanos = Math.max(sentNanos, EventLoop.likelyArrivalNanos());
+    responseNanos = Math.max(sentNanos, EventLoop.estimatedArrivalNanos());
     isResponseComplete = true;
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ClientConnection.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ClientConnection.java
@@ -1,7 +1,7 @@
 package io.umberpath.node.proxy.inbound;
 
 import io.umberpath.node.proxy.http.PendingAnswers;
-import io.umberpath.node.proxy.loop.Arrival;
+import io.umberpath.node.proxy.loop.ArrivalTime;
 import io.umberpath.node.proxy.origin.OriginConnection;
 import io.umberpath.node.proxy.origin.OwnTurn;
 import io.umberpath.node.proxy.stats.ProxyStats;
@@ -31,7 +31,7 @@
   private final IdleTimer idleTimer;
   private final ResponsePipeline pipeline = new ResponsePipeline();
   private final ExchangeCanceller canceller = new ExchangeCanceller();
-  private final Arrival arrival;
+  private final ArrivalTime arrivalTime;
   private final SuspendedReads reads;
   private final DroppedInput droppedInput = new DroppedInput();
   private ConnectionState state = ConnectionState.OPEN;
@@ -55,8 +55,8 @@
     this.side = side;
     this.log = environment.connectionLog();
     this.idleTimer = new IdleTimer(environment.clockMillis());
-    this.arrival = Arrival.accepted(connection);
-    this.reads = new SuspendedReads(connection, arrival);
+    this.arrivalTime = ArrivalTime.attachTo(connection);
+    this.reads = new SuspendedReads(connection, arrivalTime);
     ATTRIBUTE.set(connection, this);
     PendingAnswers.attach(connection, this);
   }
@@ -71,7 +71,7 @@
 
   /** The earliest time at which the last input can have arrived, on {@link System#nanoTime}. */
   long earliestArrivalNanos() {
-    return arrival.earliestNanos();
+    return arrivalTime.earliestNanos();
   }
 
   /** The exchange to which this content belongs; null if it starts one or is to be discarded. */
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/SuspendedReads.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/SuspendedReads.java
@@ -1,6 +1,6 @@
 package io.umberpath.node.proxy.inbound;
 
-import io.umberpath.node.proxy.loop.Arrival;
+import io.umberpath.node.proxy.loop.ArrivalTime;
 import io.umberpath.node.proxy.loop.ReadAhead;
 import org.glassfish.grizzly.Connection;
 import org.glassfish.grizzly.filterchain.FilterChainContext;
@@ -11,17 +11,17 @@
  * yet, or within a body of which no more can be taken. Guarded by the connection's lock.
  */
 final class SuspendedReads {
-  private final Arrival arrival;
-  private final ReadAhead ahead;
+  private final ArrivalTime arrivalTime;
+  private final ReadAhead readAhead;
   private FilterChainContext head;
   private FilterChainContext body;
 
   /** Whether the codec holds bytes behind the message that it decoded last. */
   private boolean hasUndecodedBytes;
 
-  SuspendedReads(Connection<?> connection, Arrival arrival) {
-    this.arrival = arrival;
-    this.ahead = ReadAhead.accepted(connection, arrival);
+  SuspendedReads(Connection<?> connection, ArrivalTime arrivalTime) {
+    this.arrivalTime = arrivalTime;
+    this.readAhead = ReadAhead.attachTo(connection, arrivalTime);
   }
 
   /** Suspends reading at a head, which is passed in again when reading resumes. */
@@ -37,10 +37,10 @@
   }
 
   private NextAction suspend(FilterChainContext context) {
-    arrival.readingStops();
+    arrivalTime.onReadingSuspended();
     NextAction action = context.getSuspendAction();
     context.suspend();
-    ahead.suspended(context);
+    readAhead.onSuspended(context);
     return action;
   }
 
@@ -50,7 +50,7 @@
 
   /** Whether bytes behind the suspended message have been read but not decoded. */
   boolean hasBufferedBytes() {
-    return ahead.isHolding();
+    return readAhead.hasBufferedBytes();
   }
 
   void keepsUndecoded(boolean isKept) {
@@ -67,7 +67,7 @@
    * bytes and reads from the socket, since the thread may be late.
    */
   boolean hasInputNow() {
-    return isSuspendedAtHead() || hasUndecodedBytes || ahead.look();
+    return isSuspendedAtHead() || hasUndecodedBytes || readAhead.readNow();
   }
 
   /**
@@ -100,7 +100,7 @@
   }
 
   private void resume(Runnable resumption) {
-    arrival.readingResumes();
+    arrivalTime.onReadingResumed();
     resumption.run();
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/loop/DeferredTasks.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/loop/DeferredTasks.java
@@ -9,41 +9,41 @@
 
   private final Queue<Entry> entries = new ArrayDeque<>();
   private long iteration;
-  private boolean running;
+  private boolean isRunning;
 
   void add(Runnable task) {
     entries.add(new Entry(task, iteration));
   }
 
   /** Whether there is any. */
-  boolean isWaiting() {
+  boolean hasTasks() {
     return !entries.isEmpty();
   }
 
   /** Whether it is called from one of them. */
   boolean isRunning() {
-    return running;
+    return isRunning;
   }
 
   /** Sockets have been selected, and are read next. */
-  void iterationBegins() {
+  void onIterationStart() {
     iteration++;
   }
 
   /** Runs those that were added before the last iteration, for so long. */
   void run(long sliceNanos) {
     long startNanos = System.nanoTime();
-    running = true;
+    isRunning = true;
     try {
-      while (isNextDue() && System.nanoTime() - startNanos < sliceNanos) {
+      while (isNextTaskDue() && System.nanoTime() - startNanos < sliceNanos) {
         runGuarded(entries.remove().task());
       }
     } finally {
-      running = false;
+      isRunning = false;
     }
   }
 
-  private boolean isNextDue() {
+  private boolean isNextTaskDue() {
     Entry next = entries.peek();
     return next != null && next.iteration() < iteration;
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/loop/EventLoop.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/loop/EventLoop.java
@@ -30,15 +30,15 @@
   private static final long SHORT_ITERATION_NANOS = 5_000_000;
 
   /** Delay of reading from which on work waits for another iteration. */
-  private static final long LATE_NANOS = 20_000_000;
+  private static final long LATE_THRESHOLD_NANOS = 20_000_000;
 
   /**
    * Least time for work between two iterations of reading; up to the most, as long as the reading.
    */
-  private static final long SLICE_NANOS = 20_000_000;
+  private static final long MIN_SLICE_NANOS = 20_000_000;
 
   /** Most time for work between two iterations of reading; what was read is old after that. */
-  private static final long LONGEST_SLICE_NANOS = 100_000_000;
+  private static final long MAX_SLICE_NANOS = 100_000_000;
 
   private static final long NANOS_PER_MICRO = 1_000;
   private static final ThreadLocal<Iteration> ITERATION = new ThreadLocal<>();
@@ -70,7 +70,7 @@
   }
 
   /** Whether the calling thread is the one that selects a connection. */
-  static boolean isOwnThread(Connection<?> connection) {
+  static boolean isSelectorThreadOf(Connection<?> connection) {
     Iteration iteration = ITERATION.get();
     return iteration != null
         && connection instanceof NIOConnection nio
@@ -87,7 +87,7 @@
    * The middle of the time in which what this thread reads in its present iteration has arrived, on
    * {@link System#nanoTime}; now if it is no selector thread.
    */
-  public static long likelyArrivalNanos() {
+  public static long estimatedArrivalNanos() {
     long earliestNanos = earliestArrivalNanos();
     return earliestNanos + (selectedNanos() - earliestNanos) / 2;
   }
@@ -115,11 +115,11 @@
    *
    * @param failure what the log says then
    */
-  public static void runGuarded(Runnable task, String failure) {
+  public static void runGuarded(Runnable task, String failureMessage) {
     try {
       task.run();
     } catch (RuntimeException | Error fault) {
-      logger.atSevere().withCause(fault).log("%s", failure);
+      logger.atSevere().withCause(fault).log("%s", failureMessage);
     }
   }
 
@@ -137,23 +137,24 @@
    * Runs a task once each thread has read what has arrived before this call. With several threads
    * it runs on the last of them.
    */
-  public void afterReading(Runnable task) {
+  public void runAfterReading(Runnable task) {
     if (iterations.isEmpty()) {
       task.run();
       return;
     }
-    AtomicInteger reading = new AtomicInteger(iterations.size());
+    AtomicInteger threadsLeft = new AtomicInteger(iterations.size());
     for (Iteration iteration : iterations) {
-      enque(iteration.runner, () -> afterNextIteration(iteration, reading, task), null);
+      enque(iteration.runner, () -> runAfterNextIteration(iteration, threadsLeft, task), null);
     }
   }
 
-  private boolean afterNextIteration(Iteration iteration, AtomicInteger reading, Runnable task) {
+  private boolean runAfterNextIteration(
+      Iteration iteration, AtomicInteger threadsLeft, Runnable task) {
     // From its own thread a task is put off until after the next iteration.
     enque(
         iteration.runner,
         () -> {
-          if (reading.decrementAndGet() == 0) {
+          if (threadsLeft.decrementAndGet() == 0) {
             DeferredTasks.runGuarded(task);
           }
           return true;
@@ -164,12 +165,12 @@
 
   @Override
   public boolean preSelect(SelectorRunner runner) throws IOException {
-    boolean goesOn = super.preSelect(runner);
+    boolean shouldContinue = super.preSelect(runner);
     Iteration iteration = ITERATION.get();
     if (iteration != null) {
       iteration.runDeferred();
     }
-    return goesOn;
+    return shouldContinue;
   }
 
   @Override
@@ -180,14 +181,14 @@
       ITERATION.set(iteration);
       iterations.add(iteration);
     }
-    long lastedNanos = System.nanoTime() - iteration.selectedNanos;
-    boolean wasLong = lastedNanos >= SHORT_ITERATION_NANOS;
+    long durationNanos = System.nanoTime() - iteration.selectedNanos;
+    boolean wasLong = durationNanos >= SHORT_ITERATION_NANOS;
     if (wasLong) {
-      listener.iterationEnded(lastedNanos / NANOS_PER_MICRO, iteration.sockets);
+      listener.iterationEnded(durationNanos / NANOS_PER_MICRO, iteration.sockets);
     }
     Selector selector = runner.getSelector();
     iteration.isSelecting = true;
-    if (selector == null || !wasLong && !iteration.deferred.isWaiting()) {
+    if (selector == null || !wasLong && !iteration.deferred.hasTasks()) {
       return iteration.begin(super.select(runner), false);
     }
     if (selector.selectNow() > 0) {
@@ -212,7 +213,7 @@
     }
 
     boolean isBusyTooLong() {
-      return !isSelecting && System.nanoTime() - earliestArrivalNanos >= LATE_NANOS;
+      return !isSelecting && System.nanoTime() - earliestArrivalNanos >= LATE_THRESHOLD_NANOS;
     }
 
     Set<SelectionKey> begin(Set<SelectionKey> selected, boolean isWaiting) {
@@ -221,18 +222,19 @@
       isSelecting = false;
       earliestArrivalNanos = isWaiting ? lastSelectedNanos : selectedNanos;
       sockets = selected.size();
-      deferred.iterationBegins();
+      deferred.onIterationStart();
       return selected;
     }
 
     boolean isLate() {
       return !deferred.isRunning()
-          && (deferred.isWaiting() || System.nanoTime() - earliestArrivalNanos >= LATE_NANOS);
+          && (deferred.hasTasks()
+              || System.nanoTime() - earliestArrivalNanos >= LATE_THRESHOLD_NANOS);
     }
 
     void runDeferred() {
       long readingNanos = System.nanoTime() - selectedNanos;
-      deferred.run(Math.min(LONGEST_SLICE_NANOS, Math.max(SLICE_NANOS, readingNanos)));
+      deferred.run(Math.min(MAX_SLICE_NANOS, Math.max(MIN_SLICE_NANOS, readingNanos)));
     }
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/loop/ReadAhead.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/loop/ReadAhead.java
@@ -21,60 +21,60 @@
       AttributeBuilder.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("umberpath.readAhead");
 
   private static final int MAX_BYTES = 32 * 1024;
-  private static final byte[] NOTHING = {};
+  private static final byte[] EMPTY = {};
 
   private final Connection<?> connection;
-  private final Arrival arrival;
+  private final ArrivalTime arrivalTime;
   private boolean isSuspended;
-  private byte[] held = NOTHING;
+  private byte[] buffered = EMPTY;
 
-  private ReadAhead(Connection<?> connection, Arrival arrival) {
+  private ReadAhead(Connection<?> connection, ArrivalTime arrivalTime) {
     this.connection = connection;
-    this.arrival = arrival;
+    this.arrivalTime = arrivalTime;
   }
 
   /** Reads ahead from a connection that has just been accepted. */
-  public static ReadAhead accepted(Connection<?> connection, Arrival arrival) {
-    ReadAhead ahead = new ReadAhead(connection, arrival);
-    ATTRIBUTE.set(connection, ahead);
-    return ahead;
+  public static ReadAhead attachTo(Connection<?> connection, ArrivalTime arrivalTime) {
+    ReadAhead readAhead = new ReadAhead(connection, arrivalTime);
+    ATTRIBUTE.set(connection, readAhead);
+    return readAhead;
   }
 
   /** Handles that bytes can be read; false if the filter chain is to read them. */
-  public static boolean handlesRead(Connection<?> connection) {
-    ReadAhead ahead = ATTRIBUTE.get(connection);
-    return ahead != null && ahead.readIfSuspended();
+  public static boolean readIfSuspended(Connection<?> connection) {
+    ReadAhead readAhead = ATTRIBUTE.get(connection);
+    return readAhead != null && readAhead.readOrTerminate();
   }
 
   /** Takes what has been read ahead, for the filter chain; empty if nothing has. */
   public static byte[] take(Connection<?> connection) {
-    ReadAhead ahead = ATTRIBUTE.get(connection);
-    return ahead == null ? NOTHING : ahead.takeHeld();
+    ReadAhead readAhead = ATTRIBUTE.get(connection);
+    return readAhead == null ? EMPTY : readAhead.takeBuffered();
   }
 
   /** The filter chain is suspended, or again before it has completed. */
-  public synchronized void suspended(FilterChainContext context) {
+  public synchronized void onSuspended(FilterChainContext context) {
     if (!isSuspended) {
       isSuspended = true;
       // A chain that is resumed on another thread still reads nothing until it has completed.
-      context.addCompletionListener(completed -> completed());
+      context.addCompletionListener(completed -> onCompleted());
     }
-    if (held.length < MAX_BYTES) {
+    if (buffered.length < MAX_BYTES) {
       selectReads(true);
     }
   }
 
-  private synchronized void completed() {
+  private synchronized void onCompleted() {
     isSuspended = false;
-    if (held.length > 0) {
+    if (buffered.length > 0) {
       // The socket may be empty, so that no selection would have them read.
       simulateRead();
     }
   }
 
   /** Whether bytes have been read ahead that the filter chain has not taken. */
-  public synchronized boolean isHolding() {
-    return held.length > 0;
+  public synchronized boolean hasBufferedBytes() {
+    return buffered.length > 0;
   }
 
   /**
@@ -83,36 +83,36 @@
    *
    * @return whether bytes have been read that the filter chain has not taken
    */
-  public synchronized boolean look() {
-    if (held.length == 0 && !isSuspended && EventLoop.isOwnThread(connection)) {
-      lookNow();
+  public synchronized boolean readNow() {
+    if (buffered.length == 0 && !isSuspended && EventLoop.isSelectorThreadOf(connection)) {
+      readAndRedispatch();
     }
-    return held.length > 0;
+    return buffered.length > 0;
   }
 
-  private void lookNow() {
+  private void readAndRedispatch() {
     try {
       read();
     } catch (IOException ended) {
       // The next selection finds the end again, and reports it.
       return;
     }
-    if (held.length > 0) {
-      arrival.readingStops();
+    if (buffered.length > 0) {
+      arrivalTime.onReadingSuspended();
       simulateRead();
     }
   }
 
-  private synchronized byte[] takeHeld() {
-    if (held.length > 0) {
-      arrival.takesReadAhead();
+  private synchronized byte[] takeBuffered() {
+    if (buffered.length > 0) {
+      arrivalTime.onReadAheadTaken();
     }
-    byte[] taken = held;
-    held = NOTHING;
-    return taken;
+    byte[] bytes = buffered;
+    buffered = EMPTY;
+    return bytes;
   }
 
-  private boolean readIfSuspended() {
+  private boolean readOrTerminate() {
     try {
       return readUnderLock();
     } catch (IOException ended) {
@@ -129,19 +129,19 @@
   }
 
   private void read() throws IOException {
-    ByteBuffer room = ByteBuffer.allocate(MAX_BYTES);
-    room.put(held);
+    ByteBuffer buffer = ByteBuffer.allocate(MAX_BYTES);
+    buffer.put(buffered);
     SocketChannel channel = (SocketChannel) ((NIOConnection) connection).getChannel();
-    int count = room.hasRemaining() ? channel.read(room) : 0;
+    int count = buffer.hasRemaining() ? channel.read(buffer) : 0;
     if (count < 0) {
       throw new EOFException("the peer has ended the connection");
     }
-    if (!room.hasRemaining()) {
+    if (!buffer.hasRemaining()) {
       selectReads(false);
     }
     if (count > 0) {
-      held = new byte[room.position()];
-      room.flip().get(held);
+      buffered = new byte[buffer.position()];
+      buffer.flip().get(buffered);
     }
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/stats/MeterRegistryStats.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/stats/MeterRegistryStats.java
@@ -37,7 +37,7 @@
     this.inFlight = inFlight;
     for (Side side : Side.values()) {
       requests.put(side, new ConcurrentHashMap<>());
-      registry.gauge(IN_FLIGHT, tags("side", lower(side)), inFlight.get(side));
+      registry.gauge(IN_FLIGHT, tags("side", lowerCaseName(side)), inFlight.get(side));
     }
   }
 
@@ -67,14 +67,14 @@
     return registry.timer(
         REQUESTS,
         io.micrometer.core.instrument.Tags.of(
-            "side", lower(side), "verdict", VerdictHeader.format(verdict)));
+            "side", lowerCaseName(side), "verdict", VerdictHeader.format(verdict)));
   }
 
   private static Iterable<io.micrometer.core.instrument.Tag> tags(String key, String value) {
     return io.micrometer.core.instrument.Tags.of(key, value);
   }
 
-  private static String lower(Side side) {
+  private static String lowerCaseName(Side side) {
     return side.name().toLowerCase(Locale.ROOT);
   }
 }
