--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/EdgeHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/EdgeHandler.java
@@ -44,36 +44,36 @@
   private final ControlService control;
   private final OriginManager origins;
   private final LoadBalancer balancer;
-  private final Map<Tier, RetryPolicy> retries;
+  private final Map<Tier, RetryPolicy> retryPolicies;
   private final LongSupplier clockMillis;
-  private final String idPrefix;
-  private final AtomicLong lastId = new AtomicLong();
+  private final String requestIdPrefix;
+  private final AtomicLong lastRequestId = new AtomicLong();
   private volatile CachedTable cachedTable;
-  private volatile boolean draining;
+  private volatile boolean isDraining;
   private Map<String, ObservedBackend> lastObserved = Map.of();
 
   EdgeHandler(
       ControlService control,
       OriginManager origins,
       LoadBalancer balancer,
-      Map<Tier, RetryPolicy> retries,
+      Map<Tier, RetryPolicy> retryPolicies,
       LongSupplier clockMillis) {
     this.control = control;
     this.origins = origins;
     this.balancer = balancer;
-    this.retries = retries;
+    this.retryPolicies = retryPolicies;
     this.clockMillis = clockMillis;
-    this.idPrefix = Long.toHexString(ThreadLocalRandom.current().nextLong()) + "-";
+    this.requestIdPrefix = Long.toHexString(ThreadLocalRandom.current().nextLong()) + "-";
     this.cachedTable = new CachedTable(ProxySnapshot.EMPTY, RouteTable.of(ProxySnapshot.EMPTY));
   }
 
   /** From now on new requests are refused. */
   void drain() {
-    draining = true;
+    isDraining = true;
   }
 
   /** Passes news of the back ends to the balancer. */
-  void observe(long nowMillis) {
+  void updateObserved(long nowMillis) {
     Map<String, ObservedBackend> observed = control.observed();
     if (!observed.equals(lastObserved)) {
       lastObserved = Map.copyOf(observed);
@@ -90,7 +90,7 @@
 
   @Override
   public Either<Refusal, RequestPlan> plan(RequestHead head, long arrivedMillis) {
-    if (draining) {
+    if (isDraining) {
       return Either.left(Refusal.notRun(Verdict.Reason.DRAINING));
     }
     ProxySnapshot snapshot = control.snapshot();
@@ -105,16 +105,17 @@
     if (route.isEmpty()) {
       return Either.left(Refusal.notRun(Verdict.Reason.NO_ROUTE));
     }
-    Either<String, Optional<Long>> stated = Headers.deadlineMillis(head);
-    if (stated.isLeft()) {
+    Either<String, Optional<Long>> requestedMillis = Headers.deadlineMillis(head);
+    if (requestedMillis.isLeft()) {
       return Either.left(Refusal.notRun(Verdict.Reason.BAD_REQUEST));
     }
-    long timeout = Math.min(route.get().timeoutMillis(), stated.get().orElse(Long.MAX_VALUE));
-    if (timeout <= 0) {
+    long timeoutMillis =
+        Math.min(route.get().timeoutMillis(), requestedMillis.get().orElse(Long.MAX_VALUE));
+    if (timeoutMillis <= 0) {
       return Either.left(Refusal.notRun(Verdict.Reason.DEADLINE));
     }
-    PoolRequestPlan plan = plan(head, snapshot, route.get(), arrivedMillis + timeout);
-    RetryPolicy policy = retries.get(plan.tier());
+    PoolRequestPlan plan = plan(head, snapshot, route.get(), arrivedMillis + timeoutMillis);
+    RetryPolicy policy = retryPolicies.get(plan.tier());
     synchronized (policy) {
       policy.requestStarted(clockMillis.getAsLong(), plan.chain());
     }
@@ -124,7 +125,7 @@
   private PoolRequestPlan plan(
       RequestHead head, ProxySnapshot snapshot, Route route, long deadlineMillis) {
     return new PoolRequestPlan(
-        idPrefix + lastId.incrementAndGet(),
+        requestIdPrefix + lastRequestId.incrementAndGet(),
         route.name(),
         route.tenant(),
         route.tier(),
@@ -155,31 +156,31 @@
   @Override
   public void dispatch(Exchange exchange) {
     long now = clockMillis.getAsLong();
-    Either<Verdict.Reason, ProxySnapshot.BackendView> choice;
+    Either<Verdict.Reason, ProxySnapshot.BackendView> picked;
     synchronized (balancer) {
-      choice =
+      picked =
           balancer.pick(
               now,
               planOf(exchange).pool().orElseThrow(),
               planOf(exchange).tier(),
               ThreadLocalRandom.current().nextLong(),
               exchange.history().triedOrigins());
-      if (choice.isRight()) {
-        balancer.started(now, choice.get().address().id());
+      if (picked.isRight()) {
+        balancer.started(now, picked.get().address().id());
       }
     }
-    if (choice.isRight()) {
-      send(exchange, choice.get().address(), now);
+    if (picked.isRight()) {
+      send(exchange, picked.get().address(), now);
     } else {
       exchange.refuse(
           exchange
               .history()
               .lastRefusal()
-              .orElseGet(() -> noneLeft(exchange, choice.getLeft(), now)));
+              .orElseGet(() -> noBackendRefusal(exchange, picked.getLeft(), now)));
     }
   }
 
-  private Refusal noneLeft(Exchange exchange, Verdict.Reason reason, long nowMillis) {
+  private Refusal noBackendRefusal(Exchange exchange, Verdict.Reason reason, long nowMillis) {
     PoolRequestPlan plan = planOf(exchange);
     long retryAfterMillis;
     synchronized (balancer) {
@@ -203,8 +204,8 @@
   @Override
   public void addHeaders(Exchange exchange, HttpRequestPacket outgoing, long nowMillis) {
     PoolRequestPlan plan = planOf(exchange);
-    long left = plan.deadlineMillis() - nowMillis;
-    set(outgoing, ProxyHeaders.DEADLINE, Long.toString(left));
+    long remainingMillis = plan.deadlineMillis() - nowMillis;
+    set(outgoing, ProxyHeaders.DEADLINE, Long.toString(remainingMillis));
     Headers.addUnread(exchange, outgoing);
     set(outgoing, ProxyHeaders.REQUEST_ID, attemptId(exchange));
     set(outgoing, ProxyHeaders.ATTEMPT, Integer.toString(exchange.history().count()));
@@ -259,16 +260,16 @@
             exchange.history().count(),
             exchange.body().isReplayable(),
             plan.deadlineMillis());
-    RetryPolicy policy = retries.get(plan.tier());
+    RetryPolicy policy = retryPolicies.get(plan.tier());
     synchronized (policy) {
-      return policy.mayRetry(clockMillis.getAsLong(), failed, chainLeft(exchange));
+      return policy.mayRetry(clockMillis.getAsLong(), failed, remainingChainBudget(exchange));
     }
   }
 
   /** What is left of the request's chain budget after the retries made here. */
-  private static ChainBudget chainLeft(Exchange exchange) {
-    int made = exchange.history().count() - 1;
-    return new ChainBudget(Math.max(0, planOf(exchange).chain().retriesLeft() - made));
+  private static ChainBudget remainingChainBudget(Exchange exchange) {
+    int retriesMade = exchange.history().count() - 1;
+    return new ChainBudget(Math.max(0, planOf(exchange).chain().retriesLeft() - retriesMade));
   }
 
   @Override
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/HopHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/HopHandler.java
@@ -37,26 +37,26 @@
   private final NodeSettings.Backend backend;
   private final ConnectionPool pool;
   private final SlotGate gate;
-  private final BackendStatus status;
+  private final BackendStatus backendStatus;
   private final LongSupplier clockMillis;
 
   HopHandler(
       NodeSettings.Backend backend,
       ConnectionPool pool,
       AdmissionController admission,
-      BackendStatus status,
+      BackendStatus backendStatus,
       LongSupplier clockMillis) {
     this.backend = backend;
     this.pool = pool;
     this.gate =
         new SlotGate(admission, exchange -> exchange.sendTo(pool, backend.id()), clockMillis);
-    this.status = status;
+    this.backendStatus = backendStatus;
     this.clockMillis = clockMillis;
   }
 
   /** From now on new requests are refused, and queued ones too. */
   void drain() {
-    status.nodeDrains();
+    backendStatus.nodeDrains();
     gate.drain();
   }
 
@@ -66,7 +66,7 @@
   }
 
   /** Requests running or queued over slots, in percent. */
-  int load() {
+  int loadPercent() {
     return (gate.running() + gate.queued()) * 100 / backend.slots();
   }
 
@@ -78,19 +78,19 @@
   @Override
   public Either<Refusal, RequestPlan> plan(RequestHead head, long arrivedMillis) {
     Optional<String> requestId = head.field(ProxyHeaders.REQUEST_ID);
-    Either<String, Optional<Long>> stated = Headers.deadlineMillis(head);
-    if (requestId.isEmpty() || stated.isLeft()) {
+    Either<String, Optional<Long>> requestedMillis = Headers.deadlineMillis(head);
+    if (requestId.isEmpty() || requestedMillis.isLeft()) {
       return Either.left(Refusal.notRun(Verdict.Reason.BAD_REQUEST));
     }
-    long timeout = stated.get().orElse(DEFAULT_TIMEOUT_MILLIS);
+    long timeoutMillis = requestedMillis.get().orElse(DEFAULT_TIMEOUT_MILLIS);
     PoolRequestPlan plan =
         new PoolRequestPlan(
             requestId.get(),
             head.field(ProxyHeaders.ROUTE).orElse(""),
             head.field(ProxyHeaders.TENANT).orElse(""),
-            tier(head),
+            tierOf(head),
             false,
-            arrivedMillis + timeout,
+            arrivedMillis + timeoutMillis,
             Headers.unreadMillis(head),
             Optional.empty(),
             Optional.empty(),
@@ -98,7 +98,7 @@
     return Either.right(plan);
   }
 
-  private static Tier tier(RequestHead head) {
+  private static Tier tierOf(RequestHead head) {
     String name = head.field(ProxyHeaders.TIER).orElse("");
     for (Tier tier : Tier.values()) {
       if (tier.name().equals(name)) {
@@ -110,14 +110,14 @@
 
   @Override
   public void dispatch(Exchange exchange) {
-    if (status.isDraining()) {
+    if (backendStatus.isDraining()) {
       exchange.refuse(Refusal.notRun(Verdict.Reason.DRAINING));
       return;
     }
-    long shedding = status.sheddingMillis(clockMillis.getAsLong());
-    if (shedding > 0) {
+    long sheddingMillis = backendStatus.sheddingMillis(clockMillis.getAsLong());
+    if (sheddingMillis > 0) {
       Verdict verdict = new Verdict.NotRun(Verdict.Reason.OVERLOADED);
-      exchange.refuse(new Refusal(verdict, shedding));
+      exchange.refuse(new Refusal(verdict, sheddingMillis));
       return;
     }
     PoolRequestPlan plan = planOf(exchange);
@@ -129,8 +129,8 @@
   @Override
   public void addHeaders(Exchange exchange, HttpRequestPacket outgoing, long nowMillis) {
     PoolRequestPlan plan = planOf(exchange);
-    long left = plan.deadlineMillis() - nowMillis;
-    outgoing.getHeaders().addValue(ProxyHeaders.DEADLINE).setString(Long.toString(left));
+    long remainingMillis = plan.deadlineMillis() - nowMillis;
+    outgoing.getHeaders().addValue(ProxyHeaders.DEADLINE).setString(Long.toString(remainingMillis));
     outgoing.getHeaders().addValue(ProxyHeaders.REQUEST_ID).setString(plan.requestId());
     outgoing.getHeaders().addValue(ChainBudget.HEADER).setString(plan.chain().encode());
   }
@@ -142,17 +142,17 @@
 
   @Override
   public Optional<Refusal> refusalIn(Exchange exchange, AnswerHead head) {
-    Optional<String> named = head.field(ProxyHeaders.REQUEST_ID);
-    if (named.isPresent() && !named.get().equals(planOf(exchange).requestId())) {
+    Optional<String> echoedId = head.field(ProxyHeaders.REQUEST_ID);
+    if (echoedId.isPresent() && !echoedId.get().equals(planOf(exchange).requestId())) {
       return Optional.of(Refusal.mayHaveRun(Verdict.Reason.BAD_ANSWER));
     }
-    boolean draining =
+    boolean isDraining =
         head.field(ProxyHeaders.DRAINING).filter("true"::equalsIgnoreCase).isPresent();
-    Optional<Long> retryAfter =
+    Optional<Long> retryAfterMillis =
         head.field(Header.RetryAfter.toString())
             .flatMap(Headers::number)
             .map(seconds -> seconds * MILLIS_PER_SECOND);
-    status.answered(head.status(), draining, retryAfter, clockMillis.getAsLong());
+    backendStatus.answered(head.status(), isDraining, retryAfterMillis, clockMillis.getAsLong());
     return Optional.empty();
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/Listener.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/Listener.java
@@ -13,7 +13,7 @@
 
   private final TCPNIOServerConnection server;
   private final InboundFilter filter;
-  private final AtomicBoolean closing = new AtomicBoolean();
+  private final AtomicBoolean isClosing = new AtomicBoolean();
 
   Listener(TCPNIOServerConnection server, InboundFilter filter) {
     this.server = server;
@@ -30,21 +30,21 @@
    * a listener closes are reset.
    */
   public void closeWhenEmpty() {
-    if (closing.compareAndSet(false, true)) {
-      round(filter.accepted(), MAX_ROUNDS);
+    if (isClosing.compareAndSet(false, true)) {
+      checkAfterRound(filter.accepted(), MAX_ROUNDS);
     }
   }
 
-  private void round(long acceptedBefore, int roundsLeft) {
-    OwnTurn.run(server, () -> OwnTurn.run(server, () -> closeOrGoOn(acceptedBefore, roundsLeft)));
+  private void checkAfterRound(long acceptedBefore, int roundsLeft) {
+    OwnTurn.run(server, () -> OwnTurn.run(server, () -> closeOrRepeat(acceptedBefore, roundsLeft)));
   }
 
-  private void closeOrGoOn(long acceptedBefore, int roundsLeft) {
+  private void closeOrRepeat(long acceptedBefore, int roundsLeft) {
     long accepted = filter.accepted();
     if (accepted == acceptedBefore || roundsLeft == 0) {
       server.closeSilently();
     } else {
-      round(accepted, roundsLeft - 1);
+      checkAfterRound(accepted, roundsLeft - 1);
     }
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/ProxyServer.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/ProxyServer.java
@@ -43,21 +43,21 @@
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
   private static final int NO_PORT = -1;
   private static final long DEADLINE_TICK_MILLIS = 10;
-  private static final long STATE_TICK_MILLIS = 50;
-  private static final long SWEEP_MILLIS = 1_000;
+  private static final long BACKEND_STATE_TICK_MILLIS = 50;
+  private static final long IDLE_CHECK_MILLIS = 1_000;
   private static final long IDLE_ORIGIN_MILLIS = 30_000;
-  private static final long IDLE_CALLER_MILLIS = 60_000;
+  private static final long IDLE_CLIENT_MILLIS = 60_000;
   private static final long LINGER_MILLIS = 2_000;
 
-  private static final long QUIET_MILLIS = 200;
-  private static final int MAX_QUIET_ROUNDS = 10;
+  private static final long DRAIN_QUIET_MILLIS = 200;
+  private static final int MAX_DRAIN_ROUNDS = 10;
   private static final long NANOS_PER_MILLI = 1_000_000;
 
   private final NodeSettings.Proxy settings;
   private final LongSupplier clockMillis;
   private final ProxyTransport transport;
   private final OriginManager origins;
-  private final ActiveExchanges active = new ActiveExchanges();
+  private final ActiveExchanges activeExchanges = new ActiveExchanges();
   private final ExchangeEnvironment environment;
   private final EdgeHandler edge;
   private final Optional<HopHandler> hop;
@@ -96,7 +96,7 @@
             stats,
             new AttemptLog(),
             ConnectionLog.NONE,
-            active,
+            activeExchanges,
             settings::maxBodyBytes);
     this.edge =
         new EdgeHandler(
@@ -105,10 +105,10 @@
             LoadBalancers.create(BalancerSettings.of(UUID.randomUUID().toString(), zone)),
             RetryPolicies.createPerTier(RetrySettings.DEFAULT),
             clockMillis);
-    this.backendPool = settings.backend().map(this::poolOf);
+    this.backendPool = settings.backend().map(this::createPool);
     BackendStatus status = new BackendStatus();
-    this.hop = settings.backend().map(backend -> hopHandler(backend, status));
-    this.monitor = settings.backend().map(backend -> monitor(backend, control, status));
+    this.hop = settings.backend().map(backend -> createHopHandler(backend, status));
+    this.monitor = settings.backend().map(backend -> createMonitor(backend, control, status));
     this.timer =
         Executors.newSingleThreadScheduledExecutor(
             task -> {
@@ -118,27 +118,32 @@
             });
   }
 
-  private ConnectionPool poolOf(NodeSettings.Backend backend) {
+  private ConnectionPool createPool(NodeSettings.Backend backend) {
     PeerAddress address = HopHandler.addressOf(backend);
     return new ConnectionPool(address, transport, backend.connections(), clockMillis);
   }
 
-  private BackendMonitor monitor(
+  private BackendMonitor createMonitor(
       NodeSettings.Backend backend, ControlService control, BackendStatus status) {
     return new BackendMonitor(
-        backend, backendPool.orElseThrow(), control, status, hop.orElseThrow()::load, clockMillis);
+        backend,
+        backendPool.orElseThrow(),
+        control,
+        status,
+        hop.orElseThrow()::loadPercent,
+        clockMillis);
   }
 
-  private HopHandler hopHandler(NodeSettings.Backend backend, BackendStatus status) {
+  private HopHandler createHopHandler(NodeSettings.Backend backend, BackendStatus status) {
     return new HopHandler(
         backend,
         backendPool.orElseThrow(),
-        AdmissionControllers.create(admission(backend)),
+        AdmissionControllers.create(admissionSettings(backend)),
         status,
         clockMillis);
   }
 
-  private AdmissionSettings admission(NodeSettings.Backend backend) {
+  private AdmissionSettings admissionSettings(NodeSettings.Backend backend) {
     AdmissionSettings defaults = AdmissionSettings.forSlots(backend.slots());
     return new AdmissionSettings(
         backend.slots(),
@@ -162,9 +167,9 @@
     if (settings.hopPort() != NO_PORT && hop.isPresent()) {
       hopPort = listen(settings.hopPort(), new InboundFilter(hop.get(), environment));
     }
-    every(DEADLINE_TICK_MILLIS, this::keepDeadlines);
-    every(STATE_TICK_MILLIS, this::exchangeState);
-    every(SWEEP_MILLIS, this::sweep);
+    scheduleEvery(DEADLINE_TICK_MILLIS, this::expireRequests);
+    scheduleEvery(BACKEND_STATE_TICK_MILLIS, this::updateBackendState);
+    scheduleEvery(IDLE_CHECK_MILLIS, this::expireConnections);
   }
 
   private int listen(int port, InboundFilter filter) throws IOException {
@@ -174,7 +179,7 @@
     return listener.port();
   }
 
-  private void every(long millis, Runnable task) {
+  private void scheduleEvery(long millis, Runnable task) {
     // A task that throws would not be run again, and deadlines would no longer be kept.
     Runnable guarded = () -> Try.run(task::run).onFailure(ProxyServer::logFault);
     timer.scheduleWithFixedDelay(guarded, millis, millis, TimeUnit.MILLISECONDS);
@@ -184,24 +189,24 @@
     logger.atSevere().withCause(fault).log("proxy timer task failed");
   }
 
-  private void keepDeadlines() {
-    if (active.size() == 0) {
+  private void expireRequests() {
+    if (activeExchanges.size() == 0) {
       return;
     }
     long now = clockMillis.getAsLong();
-    active.expire(now);
+    activeExchanges.expire(now);
     hop.ifPresent(handler -> handler.tick(now));
   }
 
-  private void exchangeState() {
+  private void updateBackendState() {
     monitor.ifPresent(BackendMonitor::tick);
-    edge.observe(clockMillis.getAsLong());
+    edge.updateObserved(clockMillis.getAsLong());
   }
 
-  private void sweep() {
+  private void expireConnections() {
     origins.expire(IDLE_ORIGIN_MILLIS);
     backendPool.ifPresent(pool -> pool.expire(IDLE_ORIGIN_MILLIS));
-    filters.forEach(filter -> filter.expire(IDLE_CALLER_MILLIS, LINGER_MILLIS));
+    filters.forEach(filter -> filter.expire(IDLE_CLIENT_MILLIS, LINGER_MILLIS));
   }
 
   /** Port for callers, or -1. */
@@ -221,24 +226,24 @@
    * @param bound longest wait; what is in flight then is cut off, each request logged
    * @return whether every request finished
    */
-  public boolean drain(Duration bound) throws InterruptedException {
+  public boolean drain(Duration timeout) throws InterruptedException {
     edge.drain();
     hop.ifPresent(HopHandler::drain);
-    long endNanos = System.nanoTime() + bound.toNanos();
-    for (int round = 0; round < MAX_QUIET_ROUNDS; round++) {
-      long arrivals = active.arrivals();
-      if (!active.awaitNone((endNanos - System.nanoTime()) / NANOS_PER_MILLI)) {
-        active.abortAll();
+    long endNanos = System.nanoTime() + timeout.toNanos();
+    for (int round = 0; round < MAX_DRAIN_ROUNDS; round++) {
+      long arrivals = activeExchanges.arrivals();
+      if (!activeExchanges.awaitNone((endNanos - System.nanoTime()) / NANOS_PER_MILLI)) {
+        activeExchanges.abortAll();
         return false;
       }
-      Thread.sleep(QUIET_MILLIS);
-      if (active.arrivals() == arrivals) {
+      Thread.sleep(DRAIN_QUIET_MILLIS);
+      if (activeExchanges.arrivals() == arrivals) {
         break;
       }
     }
     listeners.forEach(Listener::closeWhenEmpty);
-    long leftMillis = (endNanos - System.nanoTime()) / NANOS_PER_MILLI;
-    new ConnectionDrain(filters, clockMillis).run(clockMillis.getAsLong() + leftMillis);
+    long remainingMillis = (endNanos - System.nanoTime()) / NANOS_PER_MILLI;
+    new ConnectionDrain(filters, clockMillis).run(clockMillis.getAsLong() + remainingMillis);
     return true;
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/ProxyTransport.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/ProxyTransport.java
@@ -38,7 +38,7 @@
   private final TCPNIOTransport transport;
   private final TCPNIOConnectorHandler connector;
   private final EventLoop eventLoop;
-  private final Set<Runnable> waitingChecks = ConcurrentHashMap.newKeySet();
+  private final Set<Runnable> pendingChecks = ConcurrentHashMap.newKeySet();
   private final int maxHeaderBytes;
 
   ProxyTransport(int maxHeaderBytes, Consumer<OriginConnection> onReusable) {
@@ -61,9 +61,9 @@
       int maxHeaderBytes,
       Consumer<OriginConnection> onReusable,
       int threads,
-      IterationListener lateIterations) {
+      IterationListener iterationListener) {
     this.maxHeaderBytes = maxHeaderBytes;
-    this.eventLoop = new EventLoop(lateIterations);
+    this.eventLoop = new EventLoop(iterationListener);
     SelectorEventStrategy strategy = new SelectorEventStrategy(BACKLOG);
     this.transport =
         TCPNIOTransportBuilder.newInstance()
@@ -86,11 +86,11 @@
   }
 
   private FilterChain clientChain(Consumer<OriginConnection> onReusable) {
-    OriginFilter last = new OriginFilter(onReusable);
+    OriginFilter originFilter = new OriginFilter(onReusable);
     return FilterChainBuilder.stateless()
         .add(new ReadFilter())
-        .add(new ClientCodecFilter(maxHeaderBytes, last))
-        .add(last)
+        .add(new ClientCodecFilter(maxHeaderBytes, originFilter))
+        .add(originFilter)
         .build();
   }
 
@@ -104,12 +104,13 @@
    *
    * @param last takes the decoded requests
    */
-  public TCPNIOServerConnection listen(String host, int port, Filter last) throws IOException {
+  public TCPNIOServerConnection listen(String host, int port, Filter requestFilter)
+      throws IOException {
     FilterChain chain =
         FilterChainBuilder.stateless()
             .add(new ReadFilter())
             .add(new ServerCodecFilter(maxHeaderBytes))
-            .add(last)
+            .add(requestFilter)
             .build();
     return TCPNIOBindingHandler.builder(transport)
         .processor(chain)
@@ -136,18 +137,18 @@
   }
 
   private void checkAfterReading(Runnable check) {
-    if (waitingChecks.add(check)) {
+    if (pendingChecks.add(check)) {
       eventLoop.runAfterReading(
           () -> {
-            waitingChecks.remove(check);
+            pendingChecks.remove(check);
             check.run();
           });
     }
   }
 
   /** Listens for connections that can be ended in order. */
-  public Listener listen(String host, int port, InboundFilter last) throws IOException {
-    return new Listener(listen(host, port, (Filter) last), last);
+  public Listener listen(String host, int port, InboundFilter requestFilter) throws IOException {
+    return new Listener(listen(host, port, (Filter) requestFilter), requestFilter);
   }
 
   @Override
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/SelectorEventStrategy.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/SelectorEventStrategy.java
@@ -24,16 +24,16 @@
   private static final Attribute<Long> ACCEPTED =
       Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("umberpath.accepted", 0L);
 
-  private final IOStrategy strategy = SameThreadIOStrategy.getInstance();
-  private final int mostInIteration;
+  private final IOStrategy delegate = SameThreadIOStrategy.getInstance();
+  private final int maxAcceptsPerIteration;
 
   /**
    * Creates a strategy.
    *
    * @param mostInIteration connections of one listener that are accepted in one iteration
    */
-  SelectorEventStrategy(int mostInIteration) {
-    this.mostInIteration = mostInIteration;
+  SelectorEventStrategy(int maxAcceptsPerIteration) {
+    this.maxAcceptsPerIteration = maxAcceptsPerIteration;
   }
 
   @Override
@@ -57,28 +57,28 @@
     }
     boolean isReadAhead =
         event == IOEvent.READ && ReadAhead.readIfSuspended((Connection<?>) connection);
-    return isReadAhead || strategy.executeIoEvent(connection, event, isEnabled);
+    return isReadAhead || delegate.executeIoEvent(connection, event, isEnabled);
   }
 
   private boolean acceptAll(TCPNIOServerConnection server, boolean isEnabled) throws IOException {
-    boolean goesOn = true;
+    boolean shouldContinue = true;
     boolean hasAccepted = true;
-    for (int count = 0; goesOn && hasAccepted && count < mostInIteration; count++) {
+    for (int count = 0; shouldContinue && hasAccepted && count < maxAcceptsPerIteration; count++) {
       long before = ACCEPTED.get(server);
-      goesOn = strategy.executeIoEvent(server, IOEvent.SERVER_ACCEPT, isEnabled);
+      shouldContinue = delegate.executeIoEvent(server, IOEvent.SERVER_ACCEPT, isEnabled);
       hasAccepted = ACCEPTED.get(server) > before;
     }
-    return goesOn;
+    return shouldContinue;
   }
 
   @Override
   @SuppressWarnings("rawtypes") // Grizzly's own signature
   public Executor getThreadPoolFor(Connection connection, IOEvent event) {
-    return strategy.getThreadPoolFor(connection, event);
+    return delegate.getThreadPoolFor(connection, event);
   }
 
   @Override
   public ThreadPoolConfig createDefaultWorkerPoolConfig(Transport transport) {
-    return strategy.createDefaultWorkerPoolConfig(transport);
+    return delegate.createDefaultWorkerPoolConfig(transport);
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/SlotGate.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/SlotGate.java
@@ -27,11 +27,11 @@
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
   /** A request that asked for a slot. */
-  private record Waiting(long id, Exchange exchange, AtomicReference<Standing> standing) {}
+  private record SlotRequest(long id, Exchange exchange, AtomicReference<SlotState> state) {}
 
   /** Where a request stands; settles the race between its admission and its end. */
-  private enum Standing {
-    ASKED,
+  private enum SlotState {
+    REQUESTED,
     ADMITTED,
     ENDED
   }
@@ -40,9 +40,9 @@
   private final Predicate<Exchange> send;
   private final LongSupplier clockMillis;
   private final AtomicLong lastId = new AtomicLong();
-  private final Map<Long, Waiting> byId = new ConcurrentHashMap<>();
-  private final Map<Exchange, Waiting> byExchange = new ConcurrentHashMap<>();
-  private final ThreadLocal<Deque<Decision>> decisionsUnderWay = new ThreadLocal<>();
+  private final Map<Long, SlotRequest> byId = new ConcurrentHashMap<>();
+  private final Map<Exchange, SlotRequest> byExchange = new ConcurrentHashMap<>();
+  private final ThreadLocal<Deque<Decision>> pendingDecisions = new ThreadLocal<>();
 
   /**
    * Creates a gate with every slot free.
@@ -58,17 +58,18 @@
   }
 
   /** Asks for a slot; the exchange is sent or refused, now or later. */
-  public void ask(Exchange exchange, LongFunction<AdmissionRequest> askOfId) {
-    Waiting waiting =
-        new Waiting(lastId.incrementAndGet(), exchange, new AtomicReference<>(Standing.ASKED));
-    byId.put(waiting.id(), waiting);
-    byExchange.put(exchange, waiting);
-    AdmissionRequest ask = askOfId.apply(waiting.id());
+  public void ask(Exchange exchange, LongFunction<AdmissionRequest> requestFactory) {
+    SlotRequest request =
+        new SlotRequest(
+            lastId.incrementAndGet(), exchange, new AtomicReference<>(SlotState.REQUESTED));
+    byId.put(request.id(), request);
+    byExchange.put(exchange, request);
+    AdmissionRequest admissionRequest = requestFactory.apply(request.id());
     List<Decision> decisions;
     synchronized (admission) {
-      decisions = admission.ask(clockMillis.getAsLong(), ask);
+      decisions = admission.ask(clockMillis.getAsLong(), admissionRequest);
     }
-    carryOut(decisions);
+    apply(decisions);
   }
 
   /** Lets time pass: refuses what can no longer be met. */
@@ -77,7 +78,7 @@
     synchronized (admission) {
       decisions = admission.tick(nowMillis);
     }
-    carryOut(decisions);
+    apply(decisions);
   }
 
   /** From now on refuses new requests, and queued ones too. */
@@ -86,17 +87,17 @@
     synchronized (admission) {
       decisions = admission.drain(clockMillis.getAsLong());
     }
-    carryOut(decisions);
+    apply(decisions);
   }
 
   /** Refuses what waits for a slot as not run, so that it goes elsewhere at once. */
   public void handBackWaiting() {
-    for (Waiting waiting : byExchange.values()) {
+    for (SlotRequest request : byExchange.values()) {
       // Only what has not been admitted in this moment: the refusal says that it did not run.
-      if (waiting.standing().compareAndSet(Standing.ASKED, Standing.ENDED)) {
-        forget(waiting);
-        cancel(waiting.id());
-        waiting.exchange().refuse(Refusal.notRun(Verdict.Reason.DRAINING));
+      if (request.state().compareAndSet(SlotState.REQUESTED, SlotState.ENDED)) {
+        forget(request);
+        cancel(request.id());
+        request.exchange().refuse(Refusal.notRun(Verdict.Reason.DRAINING));
       }
     }
   }
@@ -107,7 +108,7 @@
     synchronized (admission) {
       decisions = admission.resize(clockMillis.getAsLong(), slots);
     }
-    carryOut(decisions);
+    apply(decisions);
   }
 
   /** Requests that hold a slot. */
@@ -134,9 +135,9 @@
   /** The exchanges that hold a slot. */
   public List<Exchange> runningExchanges() {
     List<Exchange> running = new ArrayList<>();
-    for (Waiting waiting : byExchange.values()) {
-      if (waiting.standing().get() == Standing.ADMITTED) {
-        running.add(waiting.exchange());
+    for (SlotRequest request : byExchange.values()) {
+      if (request.state().get() == SlotState.ADMITTED) {
+        running.add(request.exchange());
       }
     }
     return running;
@@ -144,16 +145,16 @@
 
   /** The exchange is over: gives its slot or its place in the queue back. */
   public void ended(Exchange exchange) {
-    Waiting waiting = byExchange.get(exchange);
-    if (waiting == null) {
+    SlotRequest request = byExchange.get(exchange);
+    if (request == null) {
       return;
     }
-    forget(waiting);
-    if (waiting.standing().getAndSet(Standing.ENDED) == Standing.ADMITTED) {
-      release(waiting.id(), exchange.history().sinceSentMicros());
+    forget(request);
+    if (request.state().getAndSet(SlotState.ENDED) == SlotState.ADMITTED) {
+      release(request.id(), exchange.history().sinceSentMicros());
       return;
     }
-    cancel(waiting.id());
+    cancel(request.id());
   }
 
   private void cancel(long id) {
@@ -161,65 +162,66 @@
     synchronized (admission) {
       decisions = admission.cancel(clockMillis.getAsLong(), id);
     }
-    carryOut(decisions);
+    apply(decisions);
   }
 
   /**
    * Carries decisions out one after the other. What one of them leads to on the same thread comes
    * after it: an admitted request that ends at once lets the next in, and so on through the queue.
    */
-  private void carryOut(List<Decision> decisions) {
+  private void apply(List<Decision> decisions) {
     if (decisions.isEmpty()) {
       return;
     }
-    Deque<Decision> underWay = decisionsUnderWay.get();
-    if (underWay != null) {
-      underWay.addAll(decisions);
+    Deque<Decision> pending = pendingDecisions.get();
+    if (pending != null) {
+      pending.addAll(decisions);
       return;
     }
     Deque<Decision> queue = new ArrayDeque<>(decisions);
-    decisionsUnderWay.set(queue);
+    pendingDecisions.set(queue);
     try {
       while (!queue.isEmpty()) {
-        carryOutGuarded(queue.remove());
+        applyGuarded(queue.remove());
       }
     } finally {
-      decisionsUnderWay.remove();
+      pendingDecisions.remove();
     }
   }
 
   /** A fault ends its own exchange, which gives the slot back, and not the decisions behind. */
-  private void carryOutGuarded(Decision decision) {
-    Waiting waiting = byId.get(decision.id());
+  private void applyGuarded(Decision decision) {
+    SlotRequest request = byId.get(decision.id());
     try {
-      carryOut(decision, waiting);
+      apply(decision, request);
     } catch (RuntimeException fault) {
       logger.atSevere().withCause(fault).log("a decision of the gate was not carried out");
-      if (waiting != null) {
-        waiting.exchange().refuse(Refusal.notRun(Verdict.Reason.INTERNAL));
+      if (request != null) {
+        request.exchange().refuse(Refusal.notRun(Verdict.Reason.INTERNAL));
       }
     }
   }
 
-  private void carryOut(Decision decision, Waiting waiting) {
+  private void apply(Decision decision, SlotRequest request) {
     if (decision instanceof Decision.Admitted) {
-      admit(decision.id(), waiting);
-    } else if (decision instanceof Decision.Refused refused && waiting != null) {
-      forget(waiting);
+      admit(decision.id(), request);
+    } else if (decision instanceof Decision.Refused refused && request != null) {
+      forget(request);
       long retryAfter = refused.retryAfterMillis();
-      waiting.exchange().refuse(new Refusal(new Verdict.NotRun(refused.reason()), retryAfter));
+      request.exchange().refuse(new Refusal(new Verdict.NotRun(refused.reason()), retryAfter));
     }
   }
 
-  private void admit(long id, Waiting waiting) {
-    if (waiting == null || !waiting.standing().compareAndSet(Standing.ASKED, Standing.ADMITTED)) {
+  private void admit(long id, SlotRequest request) {
+    if (request == null
+        || !request.state().compareAndSet(SlotState.REQUESTED, SlotState.ADMITTED)) {
       release(id, 0);
       return;
     }
-    boolean sent = send.test(waiting.exchange());
-    if (!sent && waiting.standing().getAndSet(Standing.ENDED) == Standing.ADMITTED) {
+    boolean sent = send.test(request.exchange());
+    if (!sent && request.state().getAndSet(SlotState.ENDED) == SlotState.ADMITTED) {
       // The request had ended before it asked, so that its end gave no slot back.
-      forget(waiting);
+      forget(request);
       release(id, 0);
     }
   }
@@ -229,11 +231,11 @@
     synchronized (admission) {
       decisions = admission.release(clockMillis.getAsLong(), id, serviceMicros);
     }
-    carryOut(decisions);
+    apply(decisions);
   }
 
-  private void forget(Waiting waiting) {
-    byId.remove(waiting.id());
-    byExchange.remove(waiting.exchange());
+  private void forget(SlotRequest request) {
+    byId.remove(request.id());
+    byExchange.remove(request.exchange());
   }
 }
