--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/loop/ArrivalTime.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/loop/ArrivalTime.java
@@ -5,9 +5,9 @@
 import org.glassfish.grizzly.attributes.AttributeBuilder;
 
 /**
- * When what was last read from a connection can have arrived at the earliest, on {@link
- * System#nanoTime}: in the iteration in which it was read, or while nothing was read from the
- * connection. Thread-safe.
+ * The earliest time at which the last bytes read from a connection can have arrived, on {@link
+ * System#nanoTime}: during the event loop iteration in which they were read, or, if reading was
+ * suspended before, since the suspension. Thread-safe.
  */
 public final class ArrivalTime {
   private static final Attribute<ArrivalTime> ATTRIBUTE =
@@ -19,14 +19,14 @@
 
   private ArrivalTime() {}
 
-  /** Begins with a connection that is accepted in the present iteration. */
+  /** Creates the arrival time of a connection that is accepted in the current iteration. */
   public static ArrivalTime attachTo(Connection<?> connection) {
     ArrivalTime arrivalTime = new ArrivalTime();
     ATTRIBUTE.set(connection, arrivalTime);
     return arrivalTime;
   }
 
-  /** Notes that something has been read from the connection, if its arrivals are kept. */
+  /** Records a read from the connection, if its arrival time is tracked. */
   public static void noteRead(Connection<?> connection) {
     ArrivalTime arrivalTime = ATTRIBUTE.get(connection);
     if (arrivalTime != null) {
@@ -35,33 +35,34 @@
   }
 
   private synchronized void onRead() {
-    // Later selections would have shown before what had arrived before.
+    // A selection after reading resumed, and before this one, would have reported bytes that
+    // arrived earlier.
     boolean isFirstSelection = readableSinceNanos - EventLoop.lastSelectedNanos() >= 0;
     earliestNanos = isFirstSelection ? unreadSinceNanos : EventLoop.earliestArrivalNanos();
   }
 
-  /** The filter chain takes what was read ahead while nothing else was. */
+  /** Called when the filter chain takes bytes that were read ahead. */
   synchronized void onReadAheadTaken() {
     earliestNanos = unreadSinceNanos;
-    // What is left in the socket may have arrived as early.
+    // Bytes left in the socket may have arrived as early.
     readableSinceNanos = System.nanoTime();
   }
 
-  /** Nothing more is read for a while. */
+  /** Called when reading is suspended. */
   public synchronized void onReadingSuspended() {
-    // Nothing can have been read since reading was resumed in this iteration.
+    // If reading was resumed in this iteration, nothing can have been read since.
     boolean isStillUnread = readableSinceNanos - EventLoop.selectedNanos() >= 0;
     if (!isStillUnread) {
       unreadSinceNanos = EventLoop.earliestArrivalNanos();
     }
   }
 
-  /** What arrives is read again. */
+  /** Called when reading is resumed. */
   public synchronized void onReadingResumed() {
     readableSinceNanos = System.nanoTime();
   }
 
-  /** The earliest moment at which what was last read can have arrived. */
+  /** The earliest time at which the last bytes read can have arrived. */
   public synchronized long earliestNanos() {
     return earliestNanos;
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/loop/DeferredTasks.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/loop/DeferredTasks.java
@@ -3,7 +3,9 @@
 import java.util.ArrayDeque;
 import java.util.Queue;
 
-/** Tasks of one event loop that wait until a whole iteration of reading has followed them. */
+/**
+ * Tasks of one event loop that wait until a complete read iteration has followed their submission.
+ */
 final class DeferredTasks {
   private record Entry(Runnable task, long iteration) {}
 
@@ -15,22 +17,22 @@
     entries.add(new Entry(task, iteration));
   }
 
-  /** Whether there is any. */
+  /** Whether any task is waiting. */
   boolean hasTasks() {
     return !entries.isEmpty();
   }
 
-  /** Whether it is called from one of them. */
+  /** Whether the caller is one of the tasks. */
   boolean isRunning() {
     return isRunning;
   }
 
-  /** Sockets have been selected, and are read next. */
+  /** Called when sockets have been selected and are about to be read. */
   void onIterationStart() {
     iteration++;
   }
 
-  /** Runs those that were added before the last iteration, for so long. */
+  /** Runs the tasks that were added before the last iteration, for at most about the given time. */
   void run(long sliceNanos) {
     long startNanos = System.nanoTime();
     isRunning = true;
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/loop/EventLoop.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/loop/EventLoop.java
@@ -13,31 +13,33 @@
 import org.glassfish.grizzly.nio.SelectorRunner;
 
 /**
- * The event loop of a transport: selects, and has each iteration read before it begins work.
+ * The event loop of a transport. It tracks how late reads are, and reads input before it starts
+ * work in a late iteration.
  *
- * <p>For each selector thread it keeps since when what is read in the present iteration may have
- * been waiting: the sockets that were ready before were read in the iteration before, so that what
- * is read now arrived after that one's sockets had been selected.
+ * <p>For each selector thread it keeps the earliest time at which the input read in the current
+ * iteration can have arrived: sockets that were ready earlier were read in the previous iteration,
+ * so this input arrived after the previous selection.
  *
- * <p>Work that begins in a late iteration ({@link #runOrDefer}) waits until all that has arrived
- * meanwhile has been read: the end of its caller may be among it. It then runs in slices, with an
- * iteration of reading between them.
+ * <p>Work submitted in a late iteration ({@link #runOrDefer}) waits until all input that has
+ * arrived meanwhile has been read, since this may include the client's close. It then runs in time
+ * slices, with a read iteration between them.
  */
 public final class EventLoop extends DefaultSelectorHandler {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  /** Iterations that end sooner keep nothing waiting for long enough to matter. */
+  /** Iterations shorter than this do not delay input noticeably. */
   private static final long SHORT_ITERATION_NANOS = 5_000_000;
 
-  /** Delay of reading from which on work waits for another iteration. */
+  /** Read delay from which work is deferred by an iteration. */
   private static final long LATE_THRESHOLD_NANOS = 20_000_000;
 
   /**
-   * Least time for work between two iterations of reading; up to the most, as long as the reading.
+   * Shortest time slice for deferred work between two read iterations; the slice is as long as the
+   * last read phase, within the two limits.
    */
   private static final long MIN_SLICE_NANOS = 20_000_000;
 
-  /** Most time for work between two iterations of reading; what was read is old after that. */
+  /** Longest time slice for deferred work; after that, the input read before is stale. */
   private static final long MAX_SLICE_NANOS = 100_000_000;
 
   private static final long NANOS_PER_MICRO = 1_000;
@@ -47,29 +49,29 @@
   private final Set<Iteration> iterations = ConcurrentHashMap.newKeySet();
 
   /**
-   * Creates a handler for one transport.
+   * Creates the event loop of one transport.
    *
-   * @param listener hears of iterations that were not short
+   * @param listener is notified of iterations that were not short
    */
   public EventLoop(IterationListener listener) {
     this.listener = listener;
   }
 
   /**
-   * The earliest moment at which what this thread reads in its present iteration can have arrived,
-   * on {@link System#nanoTime}; now if it is no selector thread.
+   * The earliest time at which the input that this thread reads in the current iteration can have
+   * arrived, on {@link System#nanoTime}; the current time on other threads.
    */
   public static long earliestArrivalNanos() {
     Iteration iteration = ITERATION.get();
     return iteration == null ? System.nanoTime() : iteration.earliestArrivalNanos;
   }
 
-  /** Whether the calling thread selects, for any transport. */
+  /** Whether the calling thread is a selector thread of any transport. */
   public static boolean isSelectorThread() {
     return ITERATION.get() != null;
   }
 
-  /** Whether the calling thread is the one that selects a connection. */
+  /** Whether the calling thread is the selector thread of a connection. */
   static boolean isSelectorThreadOf(Connection<?> connection) {
     Iteration iteration = ITERATION.get();
     return iteration != null
@@ -77,30 +79,30 @@
         && nio.getSelectorRunner() == iteration.runner;
   }
 
-  /** When the present iteration's selection was made; now if the caller is no selector thread. */
+  /** The time of the current iteration's selection; the current time on other threads. */
   static long selectedNanos() {
     Iteration iteration = ITERATION.get();
     return iteration == null ? System.nanoTime() : iteration.selectedNanos;
   }
 
   /**
-   * The middle of the time in which what this thread reads in its present iteration has arrived, on
-   * {@link System#nanoTime}; now if it is no selector thread.
+   * The middle of the interval in which the input that this thread reads in the current iteration
+   * has arrived, on {@link System#nanoTime}; the current time on other threads.
    */
   public static long estimatedArrivalNanos() {
     long earliestNanos = earliestArrivalNanos();
     return earliestNanos + (selectedNanos() - earliestNanos) / 2;
   }
 
-  /**
-   * When the selection before the present iteration's was made; now if it is no selector thread.
-   */
+  /** The time of the previous iteration's selection; the current time on other threads. */
   static long lastSelectedNanos() {
     Iteration iteration = ITERATION.get();
     return iteration == null ? System.nanoTime() : iteration.lastSelectedNanos;
   }
 
-  /** Runs work at once, or if this thread is late, after it has read what has arrived. */
+  /**
+   * Runs work at once, or, if this thread is late, after it has read the input that has arrived.
+   */
   public static void runOrDefer(Runnable work) {
     Iteration iteration = ITERATION.get();
     if (iteration == null || !iteration.isLate()) {
@@ -111,9 +113,10 @@
   }
 
   /**
-   * Runs a task that must not end its selector thread, nor what waits behind it, if it throws.
+   * Runs a task and logs what it throws, so that neither the selector thread nor later tasks are
+   * affected.
    *
-   * @param failure what the log says then
+   * @param failureMessage the log message
    */
   public static void runGuarded(Runnable task, String failureMessage) {
     try {
@@ -123,7 +126,7 @@
     }
   }
 
-  /** Whether a thread has been busy for so long that what has arrived may lie unread. */
+  /** Whether a selector thread has been busy for so long that input may be waiting unread. */
   public boolean isBehind() {
     for (Iteration iteration : iterations) {
       if (iteration.isBusyTooLong()) {
@@ -134,8 +137,8 @@
   }
 
   /**
-   * Runs a task once each thread has read what has arrived before this call. With several threads
-   * it runs on the last of them.
+   * Runs a task once every selector thread has read the input that arrived before this call. With
+   * several threads it runs on the last of them.
    */
   public void runAfterReading(Runnable task) {
     if (iterations.isEmpty()) {
@@ -150,7 +153,7 @@
 
   private boolean runAfterNextIteration(
       Iteration iteration, AtomicInteger threadsLeft, Runnable task) {
-    // From its own thread a task is put off until after the next iteration.
+    // A task enqueued from the selector thread itself runs after the next iteration.
     enque(
         iteration.runner,
         () -> {
@@ -194,11 +197,12 @@
     if (selector.selectNow() > 0) {
       return iteration.begin(selector.selectedKeys(), true);
     }
-    // Nothing has been waiting. The look has also taken a wake-up, whose task comes first now.
+    // No socket was ready. The non-blocking selection also consumed any wake-up, whose task must
+    // run first.
     return iteration.begin(Set.of(), false);
   }
 
-  /** The present iteration of one selector thread. */
+  /** The current iteration of one selector thread. */
   private static final class Iteration {
     private final DeferredTasks deferred = new DeferredTasks();
     private final SelectorRunner runner;
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/loop/IterationListener.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/loop/IterationListener.java
@@ -1,16 +1,16 @@
 package io.umberpath.node.proxy.loop;
 
-/** Hears of iterations of a selector thread that kept what had arrived waiting. */
+/** Is notified of selector thread iterations that delayed the reading of input. */
 @FunctionalInterface
 public interface IterationListener {
-  /** Hears nothing. */
+  /** Ignores all notifications. */
   IterationListener NONE = (micros, sockets) -> {};
 
   /**
-   * An iteration has ended; what arrived meanwhile is read only now.
+   * Called when an iteration has ended; input that arrived during it is only read now.
    *
-   * @param micros how long it took, microseconds
-   * @param sockets sockets that it served
+   * @param micros duration of the iteration, microseconds
+   * @param sockets number of sockets that it served
    */
   void iterationEnded(long micros, int sockets);
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/loop/ReadAhead.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/loop/ReadAhead.java
@@ -12,8 +12,8 @@
 import org.glassfish.grizzly.nio.NIOConnection;
 
 /**
- * Reads from a connection whose filter chain is suspended, up to a bound, so that the peer's end is
- * noticed meanwhile. The chain gets these bytes before any later ones once it has completed.
+ * Reads from a connection while its filter chain is suspended, up to a limit, so that the peer's
+ * close is noticed. After the chain has completed, it gets these bytes before any later ones.
  * Thread-safe.
  */
 public final class ReadAhead {
@@ -33,30 +33,30 @@
     this.arrivalTime = arrivalTime;
   }
 
-  /** Reads ahead from a connection that has just been accepted. */
+  /** Creates the read-ahead buffer of a connection that has just been accepted. */
   public static ReadAhead attachTo(Connection<?> connection, ArrivalTime arrivalTime) {
     ReadAhead readAhead = new ReadAhead(connection, arrivalTime);
     ATTRIBUTE.set(connection, readAhead);
     return readAhead;
   }
 
-  /** Handles that bytes can be read; false if the filter chain is to read them. */
+  /** Handles a read event; false if the filter chain is to read. */
   public static boolean readIfSuspended(Connection<?> connection) {
     ReadAhead readAhead = ATTRIBUTE.get(connection);
     return readAhead != null && readAhead.readOrTerminate();
   }
 
-  /** Takes what has been read ahead, for the filter chain; empty if nothing has. */
+  /** Removes and returns the bytes read ahead, for the filter chain; empty if there are none. */
   public static byte[] take(Connection<?> connection) {
     ReadAhead readAhead = ATTRIBUTE.get(connection);
     return readAhead == null ? EMPTY : readAhead.takeBuffered();
   }
 
-  /** The filter chain is suspended, or again before it has completed. */
+  /** Called when the filter chain is suspended, also repeatedly before it has completed. */
   public synchronized void onSuspended(FilterChainContext context) {
     if (!isSuspended) {
       isSuspended = true;
-      // A chain that is resumed on another thread still reads nothing until it has completed.
+      // A chain that is resumed on another thread reads nothing until it has completed.
       context.addCompletionListener(completed -> onCompleted());
     }
     if (buffered.length < MAX_BYTES) {
@@ -67,7 +67,7 @@
   private synchronized void onCompleted() {
     isSuspended = false;
     if (buffered.length > 0) {
-      // The socket may be empty, so that no selection would have them read.
+      // The socket may be empty, so that no selection would trigger reading the buffered bytes.
       simulateRead();
     }
   }
@@ -78,10 +78,10 @@
   }
 
   /**
-   * Reads what has arrived, for the filter chain to take next. Does nothing on another thread than
-   * the connection's own, which may be reading.
+   * Reads the available input into the buffer. Does nothing if called on a thread other than the
+   * connection's selector thread, which may be reading.
    *
-   * @return whether bytes have been read that the filter chain has not taken
+   * @return whether there are bytes that the filter chain has not taken
    */
   public synchronized boolean readNow() {
     if (buffered.length == 0 && !isSuspended && EventLoop.isSelectorThreadOf(connection)) {
@@ -94,7 +94,7 @@
     try {
       read();
     } catch (IOException ended) {
-      // The next selection finds the end again, and reports it.
+      // The next selection finds the end of the connection again and reports it.
       return;
     }
     if (buffered.length > 0) {
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/loop/package-info.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/loop/package-info.java
@@ -1,2 +1,2 @@
-/** How late the selector threads read, and so how old what they read may be. */
+/** The event loop of the proxy, and how late it reads its input. */
 package io.umberpath.node.proxy.loop;
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/stats/InFlightCounts.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/stats/InFlightCounts.java
@@ -5,23 +5,23 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Requests in flight at each side of a proxy. Thread-safe. */
+/** Numbers of requests in flight per listener side. Thread-safe. */
 public final class InFlightCounts {
   private final Map<Side, AtomicInteger> counts = new EnumMap<>(Side.class);
 
-  /** Creates counts of a proxy that has just begun. */
+  /** Creates counts of a proxy without requests. */
   public InFlightCounts() {
     for (Side side : Side.values()) {
       counts.put(side, new AtomicInteger());
     }
   }
 
-  /** A request began or ended. */
+  /** Changes the count of a side when a request begins or ends. */
   public void add(Side side, int change) {
     counts.get(side).addAndGet(change);
   }
 
-  /** Those of a side, as they change. */
+  /** The live count of a side. */
   Number get(Side side) {
     return counts.get(side);
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/stats/MeterRegistryStats.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/stats/MeterRegistryStats.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 
-/** Publishes the counts to a meter registry. */
+/** Publishes the statistics to a meter registry. */
 public final class MeterRegistryStats implements ProxyStats {
   private static final String REQUESTS = "umberpath.proxy.requests";
   private static final String RETRIES = "umberpath.proxy.retries";
@@ -22,15 +22,15 @@
   private final InFlightCounts inFlight;
   private final Map<Verdict, Counter> retries = new ConcurrentHashMap<>();
 
-  /** Registers the meters of a process that has just begun. */
+  /** Registers the meters of a process without requests. */
   public MeterRegistryStats(MeterRegistry registry) {
     this(registry, new InFlightCounts());
   }
 
   /**
-   * Registers the meters of a process that has run.
+   * Registers the meters of a process that already has requests.
    *
-   * @param inFlight requests in flight, which have been counted from the beginning
+   * @param inFlight requests in flight, counted since the start of the process
    */
   public MeterRegistryStats(MeterRegistry registry, InFlightCounts inFlight) {
     this.registry = registry;
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/stats/ProxyStats.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/stats/ProxyStats.java
@@ -2,26 +2,30 @@
 
 import io.umberpath.model.Verdict;
 
-/** Counts what happens on the request path. Thread-safe and fast. */
+/** Records statistics of the request path. Thread-safe; must be fast. */
 public interface ProxyStats {
-  /** Which listener a request came in on. */
+  /** The listener at which a request arrived. */
   enum Side {
-    /** From callers. */
+    /** Requests of clients. */
     EDGE,
     /** From other nodes. */
     HOP
   }
 
-  /** A request has its final outcome. */
+  /**
+   * Called when a request has its final verdict.
+   *
+   * @param micros duration of the request, microseconds
+   */
   void requestEnded(Side side, Verdict verdict, long micros);
 
-  /** An attempt failed and the request was sent again. */
+  /** Called when an attempt failed and the request is retried. */
   void retried(Verdict verdict);
 
-  /** Requests in flight. */
+  /** Changes the number of requests in flight. */
   void inFlight(Side side, int change);
 
-  /** Counts nothing. */
+  /** Records nothing. */
   ProxyStats NONE =
       new ProxyStats() {
         @Override
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/stats/package-info.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/stats/package-info.java
@@ -1,2 +1,2 @@
-/** Counters of the request path. */
+/** Statistics of the request path. */
 package io.umberpath.node.proxy.stats;
