--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/EdgeHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/EdgeHandler.java
@@ -37,7 +37,9 @@
 import org.glassfish.grizzly.http.HttpRequestPacket;
 import org.glassfish.grizzly.http.util.Header;
 
-/** Requests of callers: finds the route, picks a back end, sends to the node beside it. */
+/**
+ * Handles requests of clients: finds the route, picks a backend and forwards to the node beside it.
+ */
 final class EdgeHandler implements RequestHandler {
   private record CachedTable(ProxySnapshot snapshot, RouteTable table) {}
 
@@ -67,12 +69,12 @@
     this.cachedTable = new CachedTable(ProxySnapshot.EMPTY, RouteTable.of(ProxySnapshot.EMPTY));
   }
 
-  /** From now on new requests are refused. */
+  /** Refuses new requests from now on. */
   void drain() {
     isDraining = true;
   }
 
-  /** Passes news of the back ends to the balancer. */
+  /** Passes changes of the observed backends to the load balancer. */
   void updateObserved(long nowMillis) {
     Map<String, ObservedBackend> observed = control.observed();
     if (!observed.equals(lastObserved)) {
@@ -194,7 +196,7 @@
   private void send(Exchange exchange, BackendAddress backend, long nowMillis) {
     PeerAddress address = new PeerAddress(backend.nodeHost(), backend.nodeHopPort());
     if (!exchange.sendTo(origins.poolOf(address), backend.id())) {
-      // The request ended while its back end was being chosen.
+      // The request ended while its backend was being picked.
       synchronized (balancer) {
         balancer.finished(nowMillis, backend.id(), new Verdict.NotRun(Verdict.Reason.CANCELLED), 0);
       }
@@ -266,7 +268,7 @@
     }
   }
 
-  /** What is left of the request's chain budget after the retries made here. */
+  /** The request's remaining chain budget after the retries made here. */
   private static ChainBudget remainingChainBudget(Exchange exchange) {
     int retriesMade = exchange.history().count() - 1;
     return new ChainBudget(Math.max(0, planOf(exchange).chain().retriesLeft() - retriesMade));
@@ -274,7 +276,7 @@
 
   @Override
   public void ended(Exchange exchange, Verdict verdict) {
-    // Nothing is held for a request at the edge.
+    // An edge holds no resources for a request.
   }
 
   private static PoolRequestPlan planOf(Exchange exchange) {
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/HopHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/HopHandler.java
@@ -27,8 +27,8 @@
 import org.glassfish.grizzly.http.util.Header;
 
 /**
- * Requests of other nodes for the back end beside this one: admits or refuses them. A refusal
- * before the back end's connection is written to is a firm "not run".
+ * Handles requests of other nodes for the backend beside this node: admits or refuses them. A
+ * request that is refused before the backend's connection is written to certainly did not run.
  */
 final class HopHandler implements RequestHandler {
   private static final long MILLIS_PER_SECOND = 1_000;
@@ -54,18 +54,18 @@
     this.clockMillis = clockMillis;
   }
 
-  /** From now on new requests are refused, and queued ones too. */
+  /** Refuses new and queued requests from now on. */
   void drain() {
     backendStatus.nodeDrains();
     gate.drain();
   }
 
-  /** Lets time pass. */
+  /** Refuses queued requests whose deadline can no longer be met. */
   void tick(long nowMillis) {
     gate.tick(nowMillis);
   }
 
-  /** Requests running or queued over slots, in percent. */
+  /** Running and queued requests in relation to the slots, in percent. */
   int loadPercent() {
     return (gate.running() + gate.queued()) * 100 / backend.slots();
   }
@@ -158,7 +158,7 @@
 
   @Override
   public void attemptEnded(Exchange exchange, String originId, Refusal refusal, long micros) {
-    // The slot is given back when the request ends; there is one attempt.
+    // The slot is released when the request ends; there is only one attempt.
   }
 
   @Override
@@ -171,7 +171,7 @@
     gate.ended(exchange);
   }
 
-  /** Where the back end listens. */
+  /** The address of the backend. */
   static PeerAddress addressOf(NodeSettings.Backend backend) {
     return new PeerAddress(backend.host(), backend.port());
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/Listener.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/Listener.java
@@ -6,9 +6,9 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.glassfish.grizzly.nio.transport.TCPNIOServerConnection;
 
-/** An open listener whose connections a filter takes. */
+/** A listening socket whose connections are handled by an {@link InboundFilter}. */
 public final class Listener {
-  /** Rounds of accepting after which it closes though connections still come. */
+  /** Accept rounds after which the socket is closed even if connections still arrive. */
   private static final int MAX_ROUNDS = 200;
 
   private final TCPNIOServerConnection server;
@@ -20,14 +20,14 @@
     this.filter = filter;
   }
 
-  /** The port that it is bound to. */
+  /** The port it is bound to. */
   public int port() {
     return ((InetSocketAddress) server.getLocalAddress()).getPort();
   }
 
   /**
-   * Closes soon: once a round of accepting has found no connection that waits. Those that wait when
-   * a listener closes are reset.
+   * Closes the socket once an accept round has found no waiting connection: connections that wait
+   * in the accept queue when the socket is closed are reset.
    */
   public void closeWhenEmpty() {
     if (isClosing.compareAndSet(false, true)) {
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/ProxyServer.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/ProxyServer.java
@@ -35,9 +35,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * The request path of a node. The edge port takes callers' requests and sends each to the node
- * beside a back end; the hop port takes requests of other nodes and hands them to the back end
- * beside this node. Thread-safe; {@link #start} is called once.
+ * The request path of a node. The edge port accepts requests of clients and forwards each to the
+ * node beside a backend; the hop port accepts requests of other nodes and forwards them to the
+ * backend beside this node. Thread-safe; {@link #start} must be called once.
  */
 public final class ProxyServer implements AutoCloseable {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -72,14 +72,14 @@
   /**
    * Creates a proxy that is not listening yet.
    *
-   * @param zone zone of this node, for the choice of near back ends
+   * @param zone zone of this node, for locality-aware load balancing
    */
   public ProxyServer(
       NodeSettings.Proxy settings, String zone, ControlService control, ProxyStats stats) {
     this(settings, zone, control, stats, () -> System.nanoTime() / NANOS_PER_MILLI);
   }
 
-  /** Creates one on a given clock, rising milliseconds. */
+  /** Creates a proxy on a given monotonic clock, milliseconds. */
   ProxyServer(
       NodeSettings.Proxy settings,
       String zone,
@@ -155,7 +155,7 @@
   }
 
   /**
-   * Opens the listeners.
+   * Opens the listeners and starts the timers.
    *
    * @throws IOException if a port cannot be bound
    */
@@ -180,7 +180,7 @@
   }
 
   private void scheduleEvery(long millis, Runnable task) {
-    // A task that throws would not be run again, and deadlines would no longer be kept.
+    // A task that throws would not be scheduled again, and deadlines would no longer be enforced.
     Runnable guarded = () -> Try.run(task::run).onFailure(ProxyServer::logFault);
     timer.scheduleWithFixedDelay(guarded, millis, millis, TimeUnit.MILLISECONDS);
   }
@@ -209,7 +209,7 @@
     filters.forEach(filter -> filter.expire(IDLE_CLIENT_MILLIS, LINGER_MILLIS));
   }
 
-  /** Port for callers, or -1. */
+  /** Port for clients, or -1. */
   public int edgePort() {
     return edgePort;
   }
@@ -221,9 +221,9 @@
 
   /**
    * Refuses new requests as not run and waits for those in flight. Once none has been in flight,
-   * nor has a new one come, for a short while, it ends the listeners and connections.
+   * and no new one has arrived, for a short time, it closes the listeners and connections.
    *
-   * @param bound longest wait; what is in flight then is cut off, each request logged
+   * @param timeout longest wait; requests still in flight then are aborted and logged
    * @return whether every request finished
    */
   public boolean drain(Duration timeout) throws InterruptedException {
@@ -247,7 +247,7 @@
     return true;
   }
 
-  /** Stops at once; call {@link #drain} first to finish what is in flight. */
+  /** Stops at once; call {@link #drain} first to finish the requests in flight. */
   @Override
   public void close() {
     timer.shutdownNow();
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/ProxyTransport.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/ProxyTransport.java
@@ -26,8 +26,8 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransportBuilder;
 
 /**
- * Grizzly's TCP transport with the proxy's filter chains. Everything runs on the selector threads,
- * without hand-over to a worker: no filter blocks.
+ * Grizzly's TCP transport with the proxy's filter chains. Filters run on the selector threads,
+ * without a worker pool, and must not block.
  */
 public final class ProxyTransport implements Connector {
   private static final int MAX_SELECTOR_THREADS = 4;
@@ -52,10 +52,10 @@
   /**
    * Creates a transport that is not started yet.
    *
-   * @param maxHeaderBytes largest head of a message
-   * @param onReusable takes a connection whose attempt left it in order
-   * @param threads selector threads
-   * @param lateIterations hears of iterations of these threads that kept arrivals waiting
+   * @param maxHeaderBytes largest message head, bytes
+   * @param onReusable receives a connection that can be reused after its attempt
+   * @param threads number of selector threads
+   * @param iterationListener is notified of event loop iterations that delayed input
    */
   public ProxyTransport(
       int maxHeaderBytes,
@@ -100,9 +100,9 @@
   }
 
   /**
-   * Listens.
+   * Listens on a port.
    *
-   * @param last takes the decoded requests
+   * @param requestFilter handles the decoded requests
    */
   public TCPNIOServerConnection listen(String host, int port, Filter requestFilter)
       throws IOException {
@@ -119,12 +119,12 @@
   }
 
   /**
-   * Checks time-outs: at once, or if reading is behind, after that. A selector thread that had no
-   * processor may have the answer, or the connection, that a timer misses. The same check does not
-   * wait twice.
+   * Runs a timeout check at once, or, if reading is behind, after the pending input has been read:
+   * a selector thread that got no CPU may have unread the response, or the opened connection, that
+   * the timer misses. A check that is already pending is not queued again.
    *
-   * @param isTimerLate whether the caller itself had no processor
-   * @return whether it was made at once
+   * @param isTimerLate whether the calling timer itself got no CPU
+   * @return whether the check ran at once
    */
   public boolean checkTimeouts(Runnable check, boolean isTimerLate) {
     boolean isBehind = isTimerLate || eventLoop.isBehind();
@@ -146,7 +146,7 @@
     }
   }
 
-  /** Listens for connections that can be ended in order. */
+  /** Listens on a port; its connections can be shut down in order. */
   public Listener listen(String host, int port, InboundFilter requestFilter) throws IOException {
     return new Listener(listen(host, port, (Filter) requestFilter), requestFilter);
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/ReadFilter.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/ReadFilter.java
@@ -12,11 +12,12 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOUtils;
 
 /**
- * Reads from a connection, and keeps apart how it ended: Grizzly's transport reports a reset and an
- * orderly end alike, but an answer without a stated length is whole only after an orderly end.
+ * Reads from a connection and preserves how it ended: Grizzly's transport reports a reset and an
+ * orderly close alike, but a response without a declared length is complete only after an orderly
+ * close.
  *
- * <p>What was read is left to the garbage collector. The codec hands out parts of one buffer as
- * pieces of several messages, and the transport releases the whole buffer once one of these has
+ * <p>Read buffers are left to the garbage collector. The codec hands out slices of one buffer as
+ * parts of several messages, and the transport would release the whole buffer once one of them has
  * been written.
  */
 final class ReadFilter extends TransportFilter {
@@ -31,7 +32,7 @@
     try {
       buffer = TCPNIOUtils.allocateAndReadBuffer(connection);
     } catch (IOException ended) {
-      // EOFException after an orderly end, another one after a reset.
+      // EOFException after an orderly close, another IOException after a reset.
       connection.terminateWithReason(ended);
       throw ended;
     }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/SelectorEventStrategy.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/SelectorEventStrategy.java
@@ -15,10 +15,10 @@
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
 /**
- * Handles events on the selector thread. It differs from the transport's own way in two points: it
- * accepts all connections that wait, not one in each iteration; and it reads ahead where the filter
- * chain of a connection is suspended, whose state belongs to the suspended run. It has to be a
- * probe of the transport's connections, too.
+ * Handles events on the selector thread. It differs from the transport's default strategy in two
+ * points: it accepts all waiting connections, not one per iteration; and it reads ahead while the
+ * filter chain of a connection is suspended, since the chain's state belongs to the suspended run.
+ * It must also be registered as a probe of the transport's connections.
  */
 final class SelectorEventStrategy extends ConnectionProbe.Adapter implements IOStrategy {
   private static final Attribute<Long> ACCEPTED =
@@ -30,7 +30,7 @@
   /**
    * Creates a strategy.
    *
-   * @param mostInIteration connections of one listener that are accepted in one iteration
+   * @param maxAcceptsPerIteration most connections accepted per listener and iteration
    */
   SelectorEventStrategy(int maxAcceptsPerIteration) {
     this.maxAcceptsPerIteration = maxAcceptsPerIteration;
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/SlotGate.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/SlotGate.java
@@ -20,16 +20,16 @@
 import java.util.function.Predicate;
 
 /**
- * Gives the slots of the back end beside this node to exchanges. A refusal here is a firm "not
- * run": nothing of the request has been sent. Thread-safe.
+ * Assigns the concurrency slots of the backend beside this node to exchanges. A request that is
+ * refused here certainly did not run: nothing of it has been sent. Thread-safe.
  */
 public final class SlotGate {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  /** A request that asked for a slot. */
+  /** An exchange that has requested a slot. */
   private record SlotRequest(long id, Exchange exchange, AtomicReference<SlotState> state) {}
 
-  /** Where a request stands; settles the race between its admission and its end. */
+  /** The state of a slot request; decides the race between its admission and its end. */
   private enum SlotState {
     REQUESTED,
     ADMITTED,
@@ -45,10 +45,10 @@
   private final ThreadLocal<Deque<Decision>> pendingDecisions = new ThreadLocal<>();
 
   /**
-   * Creates a gate with every slot free.
+   * Creates a gate with all slots free.
    *
-   * @param send sends an admitted exchange to the back end; false if the exchange has ended
-   * @param clockMillis rising clock, milliseconds
+   * @param send sends an admitted exchange to the backend; false if the exchange has ended
+   * @param clockMillis monotonic clock, milliseconds
    */
   public SlotGate(
       AdmissionController admission, Predicate<Exchange> send, LongSupplier clockMillis) {
@@ -57,7 +57,11 @@
     this.clockMillis = clockMillis;
   }
 
-  /** Asks for a slot; the exchange is sent or refused, now or later. */
+  /**
+   * Requests a slot; the exchange is sent or refused, now or later.
+   *
+   * @param requestFactory creates the admission request with the given id
+   */
   public void ask(Exchange exchange, LongFunction<AdmissionRequest> requestFactory) {
     SlotRequest request =
         new SlotRequest(
@@ -72,7 +76,7 @@
     apply(decisions);
   }
 
-  /** Lets time pass: refuses what can no longer be met. */
+  /** Refuses queued requests whose deadline can no longer be met. */
   public void tick(long nowMillis) {
     List<Decision> decisions;
     synchronized (admission) {
@@ -81,7 +85,7 @@
     apply(decisions);
   }
 
-  /** From now on refuses new requests, and queued ones too. */
+  /** Refuses new and queued requests from now on. */
   public void drain() {
     List<Decision> decisions;
     synchronized (admission) {
@@ -90,10 +94,10 @@
     apply(decisions);
   }
 
-  /** Refuses what waits for a slot as not run, so that it goes elsewhere at once. */
+  /** Refuses all queued requests as not run, so that they are sent elsewhere at once. */
   public void handBackWaiting() {
     for (SlotRequest request : byExchange.values()) {
-      // Only what has not been admitted in this moment: the refusal says that it did not run.
+      // Only requests that are not admitted at this moment: the refusal says that they did not run.
       if (request.state().compareAndSet(SlotState.REQUESTED, SlotState.ENDED)) {
         forget(request);
         cancel(request.id());
@@ -102,7 +106,7 @@
     }
   }
 
-  /** Changes the number of slots; running requests are not touched. */
+  /** Changes the number of slots; running requests are not affected. */
   public void resize(int slots) {
     List<Decision> decisions;
     synchronized (admission) {
@@ -111,21 +115,21 @@
     apply(decisions);
   }
 
-  /** Requests that hold a slot. */
+  /** Number of requests that hold a slot. */
   public int running() {
     synchronized (admission) {
       return admission.running();
     }
   }
 
-  /** Requests that wait. */
+  /** Number of queued requests. */
   public int queued() {
     synchronized (admission) {
       return admission.queued();
     }
   }
 
-  /** Mean time that a request holds its slot, microseconds. */
+  /** Mean time for which a request holds its slot, microseconds. */
   public long meanServiceMicros() {
     synchronized (admission) {
       return admission.meanServiceMicros();
@@ -143,7 +147,7 @@
     return running;
   }
 
-  /** The exchange is over: gives its slot or its place in the queue back. */
+  /** Releases the slot, or the queue position, of an exchange that has ended. */
   public void ended(Exchange exchange) {
     SlotRequest request = byExchange.get(exchange);
     if (request == null) {
@@ -166,8 +170,9 @@
   }
 
   /**
-   * Carries decisions out one after the other. What one of them leads to on the same thread comes
-   * after it: an admitted request that ends at once lets the next in, and so on through the queue.
+   * Applies decisions one after the other. Decisions that result from one of them on the same
+   * thread are queued behind it: otherwise an admitted request that ends at once would admit the
+   * next one recursively, and so on through the queue.
    */
   private void apply(List<Decision> decisions) {
     if (decisions.isEmpty()) {
@@ -189,13 +194,13 @@
     }
   }
 
-  /** A fault ends its own exchange, which gives the slot back, and not the decisions behind. */
+  /** Applies a decision; if this throws, only its own exchange fails, which releases the slot. */
   private void applyGuarded(Decision decision) {
     SlotRequest request = byId.get(decision.id());
     try {
       apply(decision, request);
     } catch (RuntimeException fault) {
-      logger.atSevere().withCause(fault).log("a decision of the gate was not carried out");
+      logger.atSevere().withCause(fault).log("admission decision failed");
       if (request != null) {
         request.exchange().refuse(Refusal.notRun(Verdict.Reason.INTERNAL));
       }
@@ -220,7 +225,7 @@
     }
     boolean sent = send.test(request.exchange());
     if (!sent && request.state().getAndSet(SlotState.ENDED) == SlotState.ADMITTED) {
-      // The request had ended before it asked, so that its end gave no slot back.
+      // The request had ended before it requested the slot, so that its end released none.
       forget(request);
       release(id, 0);
     }
