--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/AcceptQueueTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/AcceptQueueTest.java
@@ -16,29 +16,29 @@
 
   /** Each connection waited for a turn of the selector of its own, and its request as long. */
   @Test
-  void requestsOfWaitingConnectionsAreReadWithinFewIterations() throws Exception {
-    List<RawConnection> callers = new ArrayList<>();
+  void requestsOfQueuedConnectionsAreReadWithinFewIterations() throws Exception {
+    List<RawConnection> clients = new ArrayList<>();
     try (InboundFixture fixture = new InboundFixture()) {
-      fixture.blockReading();
+      fixture.blockSelector();
       for (int index = 0; index < CONNECTIONS; index++) {
-        RawConnection caller = fixture.connect();
-        callers.add(caller);
-        caller.send(InboundFixture.REFUSED);
+        RawConnection client = fixture.connect();
+        clients.add(client);
+        client.send(InboundFixture.REFUSED);
       }
-      fixture.readOnLate();
-      for (RawConnection caller : callers) {
-        assertThat(caller.read().status()).isEqualTo(404);
+      fixture.unblockSelectorLate();
+      for (RawConnection client : clients) {
+        assertThat(client.read().status()).isEqualTo(404);
       }
 
       assertThat(fixture.iterations()).isLessThanOrEqualTo(MAX_ITERATIONS);
     } finally {
-      closeAll(callers);
+      closeAll(clients);
     }
   }
 
-  private static void closeAll(List<RawConnection> callers) throws IOException {
-    for (RawConnection caller : callers) {
-      caller.close();
+  private static void closeAll(List<RawConnection> clients) throws IOException {
+    for (RawConnection client : clients) {
+      client.close();
     }
   }
 }
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/FaultTableTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/BackendFaultTest.java
@@ -16,7 +16,7 @@
  * was handed to a back end, and what the caller gets. Two back ends share one script in which the
  * first request meets the fault and every later one is answered, so that a second delivery shows.
  */
-class FaultTableTest {
+class BackendFaultTest {
   private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
   private static final long DEADLINE_MILLIS = 20_000;
   private static final String BODY = "0123456789";
@@ -46,9 +46,9 @@
   private static final class Script implements ScriptedBackend.Script {
     final AtomicInteger deliveries = new AtomicInteger();
     final AtomicInteger runs = new AtomicInteger();
-    final CountDownLatch silent = new CountDownLatch(1);
-    final CountDownLatch callerIsAnswered = new CountDownLatch(1);
-    final CountDownLatch faultIsOver = new CountDownLatch(1);
+    final CountDownLatch silenceStarted = new CountDownLatch(1);
+    final CountDownLatch clientAnswered = new CountDownLatch(1);
+    final CountDownLatch faultOver = new CountDownLatch(1);
     private final Point point;
     private final Fault fault;
 
@@ -64,7 +64,7 @@
         return;
       }
       if (deliveries.incrementAndGet() > 1) {
-        answerAll(connection);
+        respondToAll(connection);
         return;
       }
       if (point != Point.CONNECTED) {
@@ -80,11 +80,11 @@
       try {
         fail(connection);
       } finally {
-        faultIsOver.countDown();
+        faultOver.countDown();
       }
     }
 
-    private void answerAll(RawConnection connection) throws IOException {
+    private void respondToAll(RawConnection connection) throws IOException {
       connection.readHead();
       connection.input().readNBytes(BODY.length());
       runs.incrementAndGet();
@@ -121,8 +121,8 @@
           connection.endsNow();
         }
         case SILENCE -> {
-          silent.countDown();
-          await(callerIsAnswered);
+          silenceStarted.countDown();
+          await(clientAnswered);
           connection.send("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate");
           connection.endsNow();
         }
@@ -184,40 +184,40 @@
         "AFTER_ANSWER        | GARBAGE | POST | 200 |                                      | 1",
         "AFTER_ANSWER        | OTHER_ANSWER | POST | 200 |                                 | 1",
       })
-  void answersTruthfully(
+  void reportsTheRightVerdict(
       Point point, Fault fault, String method, int status, String verdict, int deliveries)
       throws IOException {
     Script script = new Script(point, fault);
     try (ScriptedBackend one = new ScriptedBackend(script);
         ScriptedBackend other = new ScriptedBackend(script);
         ProxyFixture fixture = new ProxyFixture(one, other);
-        RawConnection caller = fixture.connect()) {
-      caller.send(request(method, DEADLINE_MILLIS));
+        RawConnection client = fixture.connect()) {
+      client.send(request(method, DEADLINE_MILLIS));
       boolean answeredFirst = point == Point.AFTER_ANSWER;
-      RawConnection.Message answer = answeredFirst ? caller.read() : null;
+      RawConnection.Message response = answeredFirst ? client.read() : null;
       if (fault == Fault.SILENCE) {
-        await(script.silent);
+        await(script.silenceStarted);
         fixture.advance(DEADLINE_MILLIS);
       }
-      answer = answeredFirst ? answer : caller.read();
-      assertThat(answer.status()).isEqualTo(status);
-      assertThat(answer.header("Umberpath-Verdict")).isEqualTo(verdict);
-      assertThat(answer.body()).isEqualTo(status == 200 ? "ok" : verdict + "\n");
+      response = answeredFirst ? response : client.read();
+      assertThat(response.status()).isEqualTo(status);
+      assertThat(response.header("Umberpath-Verdict")).isEqualTo(verdict);
+      assertThat(response.body()).isEqualTo(status == 200 ? "ok" : verdict + "\n");
       assertThat(script.deliveries).hasValue(deliveries);
       assertThat(script.runs.get()).isLessThanOrEqualTo(deliveries);
-      script.callerIsAnswered.countDown();
+      script.clientAnswered.countDown();
       // Without an id an answer that comes after the next request was sent cannot be told from its
       // own; refusesAnAnswerThatNamesAnotherRequest covers that order.
-      await(script.faultIsOver);
-      assertNextRequestIsItsOwn(caller);
+      await(script.faultOver);
+      assertNextResponseIsItsOwn(client);
     }
   }
 
   /** Method, status, body, deliveries after the first request. */
   @ParameterizedTest
   @CsvSource({"POST, 502, may-have-run; reason=bad-answer, 1", "PUT, 200, own, 2"})
-  void refusesAnAnswerThatNamesAnotherRequest(
-      String method, int status, String body, int deliveries) throws IOException {
+  void refusesResponseWithAnotherRequestId(String method, int status, String body, int deliveries)
+      throws IOException {
     AtomicInteger delivered = new AtomicInteger();
     AtomicReference<String> firstId = new AtomicReference<>();
     ScriptedBackend.Script script =
@@ -229,24 +229,24 @@
             int number = delivered.getAndIncrement();
             firstId.compareAndSet(null, id);
             connection.send(
-                number == 1 ? answerNaming(firstId.get(), "late") : answerNaming(id, "own"));
+                number == 1 ? responseWithId(firstId.get(), "late") : responseWithId(id, "own"));
           }
         };
     try (ScriptedBackend one = new ScriptedBackend(script);
         ScriptedBackend other = new ScriptedBackend(script);
         ProxyFixture fixture = new ProxyFixture(one, other);
-        RawConnection caller = fixture.connect()) {
-      caller.send(request("PUT", DEADLINE_MILLIS));
-      assertThat(caller.read().body()).isEqualTo("own");
-      caller.send(request(method, DEADLINE_MILLIS));
-      RawConnection.Message answer = caller.read();
-      assertThat(answer.status()).isEqualTo(status);
-      assertThat(answer.body().strip()).isEqualTo(body);
+        RawConnection client = fixture.connect()) {
+      client.send(request("PUT", DEADLINE_MILLIS));
+      assertThat(client.read().body()).isEqualTo("own");
+      client.send(request(method, DEADLINE_MILLIS));
+      RawConnection.Message response = client.read();
+      assertThat(response.status()).isEqualTo(status);
+      assertThat(response.body().strip()).isEqualTo(body);
       assertThat(delivered).hasValue(1 + deliveries);
     }
   }
 
-  private static String answerNaming(String id, String body) {
+  private static String responseWithId(String id, String body) {
     return "HTTP/1.1 200 OK\r\nUmberpath-Request-Id: "
         + id
         + "\r\nContent-Length: "
@@ -255,9 +255,9 @@
         + body;
   }
 
-  private static void assertNextRequestIsItsOwn(RawConnection caller) throws IOException {
-    caller.send(request("PUT", DEADLINE_MILLIS));
-    RawConnection.Message next = caller.read();
+  private static void assertNextResponseIsItsOwn(RawConnection client) throws IOException {
+    client.send(request("PUT", DEADLINE_MILLIS));
+    RawConnection.Message next = client.read();
     assertThat(next.status()).isEqualTo(200);
     assertThat(next.body()).isEqualTo("ok");
   }
@@ -274,57 +274,57 @@
     "HALF_CHUNKED_ANSWER, GARBAGE",
     "HALF_CHUNKED_ANSWER, OTHER_ANSWER",
   })
-  void cutsOffAnswersThatCannotBeFinished(Point point, Fault fault) throws IOException {
+  void truncatesResponsesThatCannotBeCompleted(Point point, Fault fault) throws IOException {
     Script script = new Script(point, fault);
     try (ScriptedBackend one = new ScriptedBackend(script);
         ScriptedBackend other = new ScriptedBackend(script);
         ProxyFixture fixture = new ProxyFixture(one, other);
-        RawConnection caller = fixture.connect()) {
-      caller.send(request("PUT", DEADLINE_MILLIS));
+        RawConnection client = fixture.connect()) {
+      client.send(request("PUT", DEADLINE_MILLIS));
       String begun = "";
       if (fault == Fault.SILENCE) {
         // The back end has sent the beginning, but until the proxy has passed it on the deadline
         // ends the request with a whole 504, and rightly so.
-        begun = readUntil(caller, "01234");
+        begun = readUntil(client, "01234");
         fixture.advance(DEADLINE_MILLIS);
       }
-      String received = begun + readUntilCut(caller);
+      String received = begun + readUntilTruncated(client);
       assertThat(received).doesNotContain("stray").doesNotContain("late").doesNotContain("\r\n0\r");
       assertThat(script.deliveries).hasValue(1);
-      script.callerIsAnswered.countDown();
+      script.clientAnswered.countDown();
     }
   }
 
   /** Nothing of it has gone out, so that the request is sent again where it may be. */
   @ParameterizedTest
   @CsvSource({"PUT, RESET, 200", "PUT, CLOSE, 200", "POST, RESET, 502", "POST, CLOSE, 502"})
-  void aShortAnswerThatBreaksOffFailsAlone(String method, Fault fault, int status)
+  void truncatedShortResponseFailsOnlyItsRequest(String method, Fault fault, int status)
       throws IOException {
     Script script = new Script(Point.HALF_SHORT_ANSWER, fault);
     try (ScriptedBackend one = new ScriptedBackend(script);
         ScriptedBackend other = new ScriptedBackend(script);
         ProxyFixture fixture = new ProxyFixture(one, other);
-        RawConnection caller = fixture.connect()) {
-      caller.send(request(method, DEADLINE_MILLIS));
-      assertThat(caller.read().status()).isEqualTo(status);
-      assertNextRequestIsItsOwn(caller);
+        RawConnection client = fixture.connect()) {
+      client.send(request(method, DEADLINE_MILLIS));
+      assertThat(client.read().status()).isEqualTo(status);
+      assertNextResponseIsItsOwn(client);
     }
   }
 
-  private static String readUntil(RawConnection caller, String end) throws IOException {
+  private static String readUntil(RawConnection client, String end) throws IOException {
     StringBuilder received = new StringBuilder();
     while (received.indexOf(end) < 0) {
-      int value = caller.input().read();
+      int value = client.input().read();
       assertThat(value).as("after " + received).isNotNegative();
       received.append((char) value);
     }
     return received.toString();
   }
 
-  private static String readUntilCut(RawConnection caller) {
+  private static String readUntilTruncated(RawConnection client) {
     StringBuilder received = new StringBuilder();
     try {
-      for (int value = caller.input().read(); value >= 0; value = caller.input().read()) {
+      for (int value = client.input().read(); value >= 0; value = client.input().read()) {
         received.append((char) value);
       }
     } catch (java.net.SocketException reset) {
@@ -336,22 +336,22 @@
   }
 
   @Test
-  void sendsNonRepeatableRequestsElsewhereOnlyAfterAFirmRefusal() throws IOException {
-    ScriptedBackend gone = new ScriptedBackend(ScriptedBackend.answering(OK));
+  void retriesNonIdempotentRequestsOnlyIfTheyDidNotRun() throws IOException {
+    ScriptedBackend gone = new ScriptedBackend(ScriptedBackend.respondingWith(OK));
     gone.close();
-    try (ScriptedBackend healthy = new ScriptedBackend(ScriptedBackend.answering(OK));
+    try (ScriptedBackend healthy = new ScriptedBackend(ScriptedBackend.respondingWith(OK));
         ProxyFixture fixture = new ProxyFixture(gone, healthy);
-        RawConnection caller = fixture.connect()) {
+        RawConnection client = fixture.connect()) {
       for (int round = 0; round < 4; round++) {
-        caller.send(request("POST", DEADLINE_MILLIS));
-        assertThat(caller.read().status()).isEqualTo(200);
+        client.send(request("POST", DEADLINE_MILLIS));
+        assertThat(client.read().status()).isEqualTo(200);
       }
       assertThat(healthy.runs).hasValue(4);
     }
   }
 
   @Test
-  void carriesTheCallersDepartureToTheBackEnd() throws Exception {
+  void propagatesClientCloseToTheBackend() throws Exception {
     CountDownLatch running = new CountDownLatch(1);
     CountDownLatch ended = new CountDownLatch(1);
     ScriptedBackend.Script slow =
@@ -364,25 +364,25 @@
         };
     try (ScriptedBackend backend = new ScriptedBackend(slow);
         ProxyFixture fixture = new ProxyFixture(backend)) {
-      RawConnection caller = fixture.connect();
-      caller.send(request("POST", 60_000));
+      RawConnection client = fixture.connect();
+      client.send(request("POST", 60_000));
       assertThat(running.await(20, TimeUnit.SECONDS)).isTrue();
-      caller.close();
+      client.close();
       assertThat(ended.await(20, TimeUnit.SECONDS)).isTrue();
     }
   }
 
   @Test
-  void shrinksTheDeadlineAtEachHop() throws IOException {
-    try (ScriptedBackend backend = new ScriptedBackend(ScriptedBackend.answering(OK));
+  void reducesTheDeadlineAtEachHop() throws IOException {
+    try (ScriptedBackend backend = new ScriptedBackend(ScriptedBackend.respondingWith(OK));
         ProxyFixture fixture = new ProxyFixture(backend);
-        RawConnection caller = fixture.connect()) {
-      caller.send(request("POST", 1_234));
-      assertThat(caller.read().status()).isEqualTo(200);
+        RawConnection client = fixture.connect()) {
+      client.send(request("POST", 1_234));
+      assertThat(client.read().status()).isEqualTo(200);
       String left = backend.requests.remove().header("Umberpath-Deadline-Ms");
       assertThat(Integer.parseInt(left)).isBetween(1, 1_234);
-      caller.send(request("POST", 99_999_999));
-      assertThat(caller.read().status()).isEqualTo(200);
+      client.send(request("POST", 99_999_999));
+      assertThat(client.read().status()).isEqualTo(200);
       left = backend.requests.remove().header("Umberpath-Deadline-Ms");
       assertThat(Integer.parseInt(left)).isBetween(1, (int) ProxyFixture.TIMEOUT_MILLIS);
     }
@@ -394,15 +394,15 @@
     "x, 400, not-run; reason=bad-request",
     "-5, 400, not-run; reason=bad-request"
   })
-  void refusesDeadlinesItCannotMeetOrRead(String deadline, int status, String verdict)
+  void refusesExpiredOrMalformedDeadlines(String deadline, int status, String verdict)
       throws IOException {
-    try (ScriptedBackend backend = new ScriptedBackend(ScriptedBackend.answering(OK));
+    try (ScriptedBackend backend = new ScriptedBackend(ScriptedBackend.respondingWith(OK));
         ProxyFixture fixture = new ProxyFixture(backend);
-        RawConnection caller = fixture.connect()) {
-      caller.send("GET / HTTP/1.1\r\nHost: a\r\nUmberpath-Deadline-Ms: " + deadline + "\r\n\r\n");
-      RawConnection.Message answer = caller.read();
-      assertThat(answer.status()).isEqualTo(status);
-      assertThat(answer.header("Umberpath-Verdict")).isEqualTo(verdict);
+        RawConnection client = fixture.connect()) {
+      client.send("GET / HTTP/1.1\r\nHost: a\r\nUmberpath-Deadline-Ms: " + deadline + "\r\n\r\n");
+      RawConnection.Message response = client.read();
+      assertThat(response.status()).isEqualTo(status);
+      assertThat(response.header("Umberpath-Verdict")).isEqualTo(verdict);
       assertThat(backend.connections).hasValue(0);
     }
   }
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/BackendMonitorTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/BackendMonitorTest.java
@@ -25,9 +25,9 @@
         "HTTP/1.1 200 OK~Umberpath-Draining: true~Content-Length: 2~~ok | DRAINING",
         "HTTP/1.1 200 OK~Content-Length: 7~~warming | WARMING",
       })
-  void publishesThePhaseTheBackEndReports(String answer, Phase phase) throws IOException {
-    String raw = answer.strip().replace("~", "\r\n");
-    try (ScriptedBackend backend = new ScriptedBackend(ScriptedBackend.answering(raw));
+  void publishesThePhaseTheBackendReports(String response, Phase phase) throws IOException {
+    String raw = response.strip().replace("~", "\r\n");
+    try (ScriptedBackend backend = new ScriptedBackend(ScriptedBackend.respondingWith(raw));
         ProxyFixture fixture = new ProxyFixture(10, backend.port())) {
       await(() -> backend.runs.get() >= 3);
       await(() -> last(fixture).phase() == phase);
@@ -36,8 +36,8 @@
   }
 
   @Test
-  void publishesOnlyChangesAndFollowsTheBackEnd() throws IOException {
-    try (ScriptedBackend backend = new ScriptedBackend(ScriptedBackend.answering(READY));
+  void publishesOnlyChangesOfThePhase() throws IOException {
+    try (ScriptedBackend backend = new ScriptedBackend(ScriptedBackend.respondingWith(READY));
         ProxyFixture fixture = new ProxyFixture(5, backend.port())) {
       await(() -> last(fixture).phase() == Phase.READY);
       await(() -> backend.connections.get() >= 6);
@@ -54,15 +54,15 @@
   }
 
   @Test
-  void refusesAsNotRunWhileTheBackEndDrains() throws IOException {
+  void refusesAsNotRunWhileTheBackendDrains() throws IOException {
     String draining = "HTTP/1.1 200 OK\r\nUmberpath-Draining: true\r\nContent-Length: 2\r\n\r\nok";
-    try (ScriptedBackend backend = new ScriptedBackend(ScriptedBackend.answering(draining));
+    try (ScriptedBackend backend = new ScriptedBackend(ScriptedBackend.respondingWith(draining));
         ProxyFixture fixture = new ProxyFixture(backend);
-        RawConnection caller = fixture.connect()) {
-      caller.send(post());
-      assertThat(caller.read().status()).isEqualTo(200);
-      caller.send(post());
-      RawConnection.Message refusal = caller.read();
+        RawConnection client = fixture.connect()) {
+      client.send(post());
+      assertThat(client.read().status()).isEqualTo(200);
+      client.send(post());
+      RawConnection.Message refusal = client.read();
       assertThat(refusal.status()).isEqualTo(503);
       assertThat(refusal.header("Umberpath-Verdict")).startsWith("not-run; reason=");
       assertThat(backend.runs).hasValue(1);
@@ -70,44 +70,44 @@
   }
 
   @Test
-  void leavesASheddingBackEndAloneAsLongAsItAsked() throws IOException {
+  void sendsNothingToASheddingBackendDuringRetryAfter() throws IOException {
     String shedding = "HTTP/1.1 503 Busy\r\nRetry-After: 7\r\nContent-Length: 0\r\n\r\n";
-    try (ScriptedBackend backend = new ScriptedBackend(ScriptedBackend.answering(shedding));
+    try (ScriptedBackend backend = new ScriptedBackend(ScriptedBackend.respondingWith(shedding));
         ProxyFixture fixture = new ProxyFixture(backend);
-        RawConnection caller = fixture.connect()) {
-      caller.send(post());
-      RawConnection.Message first = caller.read();
+        RawConnection client = fixture.connect()) {
+      client.send(post());
+      RawConnection.Message first = client.read();
       assertThat(first.status()).isEqualTo(503);
       assertThat(first.header("Umberpath-Verdict")).isNull();
-      caller.send(post());
-      RawConnection.Message second = caller.read();
+      client.send(post());
+      RawConnection.Message second = client.read();
       assertThat(second.header("Umberpath-Verdict")).isEqualTo("not-run; reason=overloaded");
       assertThat(Integer.parseInt(second.header("Retry-After"))).isBetween(1, 7);
       assertThat(backend.runs).hasValue(1);
       fixture.advance(7_000);
-      caller.send(post());
-      assertThat(caller.read().header("Umberpath-Verdict")).isNull();
+      client.send(post());
+      assertThat(client.read().header("Umberpath-Verdict")).isNull();
       assertThat(backend.runs).hasValue(2);
     }
   }
 
   /** Whole seconds would leave a back end of few slots idle; callers see only those. */
   @Test
-  void tellsOtherNodesToStayAwayInMilliseconds() throws IOException {
+  void sendsRetryAfterToOtherNodesInMilliseconds() throws IOException {
     String shedding = "HTTP/1.1 503 Busy\r\nRetry-After: 7\r\nContent-Length: 0\r\n\r\n";
-    try (ScriptedBackend backend = new ScriptedBackend(ScriptedBackend.answering(shedding));
+    try (ScriptedBackend backend = new ScriptedBackend(ScriptedBackend.respondingWith(shedding));
         ProxyFixture fixture = new ProxyFixture(backend);
-        RawConnection caller = fixture.connect();
-        RawConnection node = new RawConnection(fixture.hops.get(0).hopPort())) {
-      caller.send(post());
-      caller.read();
+        RawConnection client = fixture.connect();
+        RawConnection hopConnection = new RawConnection(fixture.hops.get(0).hopPort())) {
+      client.send(post());
+      client.read();
       fixture.advance(6_500);
-      node.send(post().replace("\r\n\r\n", "\r\nUmberpath-Request-Id: a.1\r\n\r\n"));
-      RawConnection.Message refusal = node.read();
+      hopConnection.send(post().replace("\r\n\r\n", "\r\nUmberpath-Request-Id: a.1\r\n\r\n"));
+      RawConnection.Message refusal = hopConnection.read();
       assertThat(refusal.header("Umberpath-Verdict")).isEqualTo("not-run; reason=overloaded");
       assertThat(Long.parseLong(refusal.header("Umberpath-Retry-After-Ms"))).isBetween(1L, 500L);
-      caller.send(post());
-      assertThat(caller.read().header("Umberpath-Retry-After-Ms")).isNull();
+      client.send(post());
+      assertThat(client.read().header("Umberpath-Retry-After-Ms")).isNull();
     }
   }
 
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/BrokenQueuedWriteTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/BrokenQueuedWriteTest.java
@@ -61,80 +61,80 @@
     return Integer.toHexString(bytes) + "\r\n" + "x".repeat(bytes) + "\r\n";
   }
 
-  private static void assertRefused(RawConnection caller) throws IOException {
-    String head = caller.readHead();
+  private static void assertRefused(RawConnection client) throws IOException {
+    String head = client.readHead();
     assertThat(head).startsWith("HTTP/1.1 502 Bad Gateway\r\n").contains("connection-lost");
     int length = Integer.parseInt(new Message(head, "").header("Content-Length"));
-    byte[] body = caller.input().readNBytes(length);
+    byte[] body = client.input().readNBytes(length);
     assertThat(new String(body)).isEqualTo("may-have-run; reason=connection-lost\n");
   }
 
   /** The connection carries on, and nothing but the answer has been written to it. */
-  private static void assertKept(RawConnection caller) throws IOException {
-    caller.send("GET /refused HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
-    assertThat(caller.readHead()).startsWith("HTTP/1.1 404 Not Found\r\n");
-    assertThat(new String(caller.input().readAllBytes())).isEqualTo("not-run; reason=no-route\n");
+  private static void assertConnectionReusable(RawConnection client) throws IOException {
+    client.send("GET /refused HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
+    assertThat(client.readHead()).startsWith("HTTP/1.1 404 Not Found\r\n");
+    assertThat(new String(client.input().readAllBytes())).isEqualTo("not-run; reason=no-route\n");
   }
 
   @Test
-  void callerReadsTheRefusalAlone() throws Exception {
-    try (RawConnection caller = fixture.connect()) {
-      fixture.sendPieces(caller, 0, upload("/upload") + BODY, END);
+  void clientReadsOnlyTheRefusal() throws Exception {
+    try (RawConnection client = fixture.connect()) {
+      fixture.sendParts(client, 0, upload("/upload") + BODY, END);
 
       fixture.breakOrigin(0);
 
-      assertRefused(caller);
-      assertKept(caller);
+      assertRefused(client);
+      assertConnectionReusable(client);
     }
   }
 
   @Test
-  void callerOfAnUploadInChunksReadsTheRefusalAlone() throws Exception {
-    try (RawConnection caller = fixture.connect()) {
-      fixture.sendPieces(caller, 0, chunkedUpload("/upload") + chunk(BODY_BYTES), "0\r\n\r\n");
+  void clientOfAChunkedUploadReadsOnlyTheRefusal() throws Exception {
+    try (RawConnection client = fixture.connect()) {
+      fixture.sendParts(client, 0, chunkedUpload("/upload") + chunk(BODY_BYTES), "0\r\n\r\n");
 
       fixture.breakOrigin(0);
 
-      assertRefused(caller);
-      assertKept(caller);
+      assertRefused(client);
+      assertConnectionReusable(client);
     }
   }
 
   /** Its short rest is read and dropped; then the connection carries on. */
   @Test
-  void callerOfAnUnfinishedUploadReadsTheRefusalAlone() throws Exception {
-    try (RawConnection caller = fixture.connect()) {
-      fixture.sendPieces(caller, 0, upload("/upload") + BODY, END.substring(1));
+  void clientOfAnUnfinishedUploadReadsOnlyTheRefusal() throws Exception {
+    try (RawConnection client = fixture.connect()) {
+      fixture.sendParts(client, 0, upload("/upload") + BODY, END.substring(1));
 
       fixture.breakOrigin(0);
 
-      assertRefused(caller);
-      caller.send("x");
-      assertKept(caller);
+      assertRefused(client);
+      client.send("x");
+      assertConnectionReusable(client);
     }
   }
 
   /** Its rest is read and dropped, across the borders of chunks; then the connection ends. */
   @Test
-  void callerOfAnUnfinishedUploadInChunksReadsTheRefusalAlone() throws Exception {
-    try (RawConnection caller = fixture.connect()) {
-      fixture.sendPieces(caller, 0, chunkedUpload("/upload") + chunk(BODY_BYTES), "5\r\nxx");
+  void clientOfAnUnfinishedChunkedUploadReadsOnlyTheRefusal() throws Exception {
+    try (RawConnection client = fixture.connect()) {
+      fixture.sendParts(client, 0, chunkedUpload("/upload") + chunk(BODY_BYTES), "5\r\nxx");
 
       fixture.breakOrigin(0);
 
-      assertRefused(caller);
-      caller.send("xxx\r\n" + chunk(BODY_BYTES) + "0\r\nTrailer: x\r\n\r\n");
-      assertThat(caller.endsNow()).isTrue();
+      assertRefused(client);
+      client.send("xxx\r\n" + chunk(BODY_BYTES) + "0\r\nTrailer: x\r\n\r\n");
+      assertThat(client.endsNow()).isTrue();
     }
   }
 
   /** The request goes to another origin over a connection that rests. */
   @Test
-  void nextOriginReadsTheRequestAlone() throws Exception {
-    try (RawConnection caller = fixture.connect()) {
-      RawConnection next = fixture.restingOrigin(1, caller);
+  void retriedOriginReadsOnlyTheRequest() throws Exception {
+    try (RawConnection client = fixture.connect()) {
+      RawConnection next = fixture.idleOriginConnection(1, client);
       fixture.permitRetry();
-      fixture.sendPieces(caller, 0, upload("/upload") + BODY, END);
+      fixture.sendParts(client, 0, upload("/upload") + BODY, END);
 
       fixture.breakOrigin(0);
 
@@ -142,33 +142,33 @@
       assertThat(request.head()).startsWith("PUT /upload HTTP/1.1\r\n");
       assertThat(request.body()).isEqualTo(BODY + END);
       next.send("HTTP/1.1 204 No Content\r\n\r\n");
-      assertThat(caller.read().status()).isEqualTo(204);
-      assertKept(caller);
+      assertThat(client.read().status()).isEqualTo(204);
+      assertConnectionReusable(client);
     }
   }
 
   /** A caller breaks while its answer waits in the queue; its end lets another request in. */
   @Test
-  void originOfTheRequestLetInAfterABrokenCallerReadsItAlone() throws Exception {
+  void originOfTheRequestAdmittedAfterABrokenClientReadsOnlyIt() throws Exception {
     try (RawConnection gone = fixture.connectNarrow();
-        RawConnection caller = fixture.connect()) {
-      RawConnection next = fixture.restingOrigin(1, caller);
+        RawConnection client = fixture.connect()) {
+      RawConnection next = fixture.idleOriginConnection(1, client);
       gone.send("GET /answered HTTP/1.1\r\nHost: a\r\n\r\n");
       RawConnection origin = fixture.acceptOrigin(0);
       origin.readHead();
-      caller.send("PUT /after HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\nhello");
-      fixture.awaitHeldBack();
+      client.send("PUT /after HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\nhello");
+      fixture.awaitHeldExchange();
       String head = "HTTP/1.1 200 OK\r\n" + LENGTH + "\r\n\r\n";
-      fixture.answerInPieces(origin, head + BODY, END.substring(1));
+      fixture.respondInParts(origin, head + BODY, END.substring(1));
 
-      fixture.breakCaller(gone);
+      fixture.breakClient(gone);
 
       Message request = next.read();
       assertThat(request.head()).startsWith("PUT /after HTTP/1.1\r\n");
       assertThat(request.body()).isEqualTo("hello");
       next.send("HTTP/1.1 204 No Content\r\n\r\n");
-      assertThat(caller.read().status()).isEqualTo(204);
-      assertKept(caller);
+      assertThat(client.read().status()).isEqualTo(204);
+      assertConnectionReusable(client);
     }
   }
 }
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/FakeControl.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/FakeControlService.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /** A control side whose snapshot and observations a test sets. */
-final class FakeControl implements ControlService {
+final class FakeControlService implements ControlService {
   final Map<String, ObservedBackend> observed = new ConcurrentHashMap<>();
   final List<ObservedBackend> published = new CopyOnWriteArrayList<>();
   volatile ProxySnapshot snapshot = ProxySnapshot.EMPTY;
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/InboundFixture.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/InboundFixture.java
@@ -43,28 +43,28 @@
   /** A request whose handling fails once it has been begun. */
   static final String FAULTY = "GET /faulty HTTP/1.1\r\nHost: a\r\n\r\n";
 
-  private static final String FAULT = "/faulty";
+  private static final String FAULTY_PATH = "/faulty";
   private static final long TIMEOUT_MILLIS = 10_000;
   private static final long NO_DEADLINE_MILLIS = 3_600_000;
-  private static final String HELD_BACK = "/held-back";
+  private static final String HELD_PATH = "/held-back";
   private static final Set<String> REFUSED_PATHS = Set.of("/refused", "/block");
   private static final int MAX_ORIGIN_CONNECTIONS = 8;
 
   private final ProxyTransport transport =
       new ProxyTransport(ProxyFixture.MAX_HEADER_BYTES, ConnectionPool::giveBack, 1);
   private final ActiveExchanges active = new ActiveExchanges();
-  private final BlockingQueue<UnansweredRequests> ended = new LinkedBlockingQueue<>();
+  private final BlockingQueue<UnansweredRequests> unanswered = new LinkedBlockingQueue<>();
   private final AtomicLong clockMillis = new AtomicLong();
   private final InboundFilter filter;
   private final Listener listener;
   private final int port;
-  private final ReadingBlock block = new ReadingBlock();
+  private final SelectorBlock selectorBlock = new SelectorBlock();
   private final ServerSocket origin = new ServerSocket(0, 0, InetAddress.getLoopbackAddress());
   private final ConnectionPool pool;
   private final Set<Long> iterations = ConcurrentHashMap.newKeySet();
-  private final BlockingQueue<Long> workMicros = new LinkedBlockingQueue<>();
-  private final BlockingQueue<Exchange> heldBack = new LinkedBlockingQueue<>();
-  private volatile boolean isLeaving;
+  private final BlockingQueue<Long> serviceMicros = new LinkedBlockingQueue<>();
+  private final BlockingQueue<Exchange> heldExchanges = new LinkedBlockingQueue<>();
+  private volatile boolean isDraining;
 
   InboundFixture() throws IOException {
     ExchangeEnvironment environment =
@@ -72,7 +72,7 @@
             clockMillis::get,
             ProxyStats.NONE,
             AttemptLog.CUT_OFF_ONLY,
-            ended::add,
+            unanswered::add,
             active,
             () -> Long.MAX_VALUE);
     filter = new InboundFilter(new Handler(), environment);
@@ -102,8 +102,8 @@
   }
 
   /** From now on each answer is the last of its connection, if nothing is behind it. */
-  void leave() {
-    isLeaving = true;
+  void startDraining() {
+    isDraining = true;
   }
 
   /** Returns once a connection has been accepted. */
@@ -125,13 +125,13 @@
   }
 
   /** The origin's end of a connection that has served a request and rests. */
-  RawConnection restingOrigin() throws IOException {
-    try (RawConnection caller = connect()) {
-      caller.send(get("/rest"));
+  RawConnection idleOriginConnection() throws IOException {
+    try (RawConnection client = connect()) {
+      client.send(get("/rest"));
       RawConnection accepted = acceptOrigin();
       accepted.readHead();
       accepted.send("HTTP/1.1 204 No Content\r\n\r\n");
-      assertThat(caller.read().status()).isEqualTo(204);
+      assertThat(client.read().status()).isEqualTo(204);
       return accepted;
     }
   }
@@ -144,16 +144,16 @@
   }
 
   /** Sends a request that waits until another one has ended. */
-  void sendHeldBack(RawConnection caller) throws IOException, InterruptedException {
-    caller.send(get(HELD_BACK));
-    while (heldBack.isEmpty()) {
+  void sendHeldRequest(RawConnection client) throws IOException, InterruptedException {
+    client.send(get(HELD_PATH));
+    while (heldExchanges.isEmpty()) {
       Thread.sleep(1);
     }
   }
 
   /** What the next request that is answered by the origin says of the time it took there. */
-  long awaitWorkMicros() throws InterruptedException {
-    return workMicros.take();
+  long awaitServiceMicros() throws InterruptedException {
+    return serviceMicros.take();
   }
 
   /** Iterations of the event loop in which requests were decided on. */
@@ -162,15 +162,15 @@
   }
 
   /** Sends a request and reads its answer; returns once the node knows that it is answered. */
-  void exchange(RawConnection caller) throws IOException, InterruptedException {
-    caller.send(REFUSED);
-    assertThat(caller.read().status()).isEqualTo(404);
+  void exchange(RawConnection client) throws IOException, InterruptedException {
+    client.send(REFUSED);
+    assertThat(client.read().status()).isEqualTo(404);
     assertThat(active.awaitNone(TIMEOUT_MILLIS)).isTrue();
   }
 
   /** The next connection that ends with requests unanswered; null if none does in time. */
-  UnansweredRequests awaitEnded() throws InterruptedException {
-    return ended.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+  UnansweredRequests awaitUnanswered() throws InterruptedException {
+    return unanswered.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   void advance(long millis) {
@@ -183,43 +183,43 @@
   }
 
   /** What the timer of a node does, here on the calling thread. */
-  void keepDeadlines() {
+  void expireRequests() {
     transport.checkTimeouts(() -> active.expire(clockMillis.get()), false);
   }
 
   /** The same for connections that do not open. */
-  void giveUpLateConnections() {
+  void expireConnectionAttempts() {
     transport.checkTimeouts(pool::giveUpLate, false);
   }
 
   /** Returns once the thread that reads stands still. */
-  void blockReading() throws IOException, InterruptedException {
-    block.begin(connect());
+  void blockSelector() throws IOException, InterruptedException {
+    selectorBlock.block(connect());
   }
 
   /** The same, in the turn in which it has read a request of the caller. */
-  void blockReadingBehind(RawConnection caller, String request)
+  void blockSelectorBehind(RawConnection client, String request)
       throws IOException, InterruptedException {
-    block.beginBehind(caller, request);
+    selectorBlock.blockBehind(client, request);
   }
 
   /** Returns once the thread that stands still is late. */
-  void standLate() throws InterruptedException {
-    block.standLate();
+  void awaitLateness() throws InterruptedException {
+    selectorBlock.awaitLateness();
   }
 
-  void readOn() {
-    block.readOn();
+  void unblockSelector() {
+    selectorBlock.release();
   }
 
-  /** Reads on once the thread is late by {@link ReadingBlock#LATE_MILLIS}. */
-  void readOnLate() throws InterruptedException {
-    block.readOnLate();
+  /** Reads on once the thread is late by {@link SelectorBlock#LATE_MILLIS}. */
+  void unblockSelectorLate() throws InterruptedException {
+    selectorBlock.releaseLate();
   }
 
   @Override
   public void close() throws IOException {
-    block.close();
+    selectorBlock.close();
     transport.stop();
     origin.close();
   }
@@ -241,7 +241,7 @@
     @Override
     public Either<Refusal, RequestPlan> plan(RequestHead head, long nowMillis) {
       iterations.add(EventLoop.earliestArrivalNanos());
-      block.pass(head.path());
+      selectorBlock.blockIfRequested(head.path());
       if (!REFUSED_PATHS.contains(head.path())) {
         long deadline = Headers.deadlineMillis(head).get().orElse(NO_DEADLINE_MILLIS);
         return Either.right(new Plan(head.path(), nowMillis + deadline));
@@ -251,16 +251,16 @@
 
     @Override
     public boolean isLeaving() {
-      return isLeaving;
+      return isDraining;
     }
 
     @Override
     public void dispatch(Exchange exchange) {
       String path = ((Plan) exchange.plan()).path();
-      if (path.equals(FAULT)) {
+      if (path.equals(FAULTY_PATH)) {
         throw new AssertionError("the handling of this request fails");
-      } else if (path.equals(HELD_BACK)) {
-        heldBack.add(exchange);
+      } else if (path.equals(HELD_PATH)) {
+        heldExchanges.add(exchange);
       } else {
         exchange.sendTo(pool, "backend");
       }
@@ -276,9 +276,9 @@
     @Override
     public void ended(Exchange exchange, Verdict verdict) {
       if (verdict instanceof Verdict.Completed) {
-        workMicros.add(exchange.history().sinceSentMicros());
+        serviceMicros.add(exchange.history().sinceSentMicros());
       }
-      Exchange next = heldBack.poll();
+      Exchange next = heldExchanges.poll();
       if (next != null && next != exchange) {
         next.sendTo(pool, "backend");
       }
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/LateConnectionTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/LateConnectionTest.java
@@ -13,41 +13,41 @@
 
   /** The deadline is looked at where the request is written, not only by a timer. */
   @Test
-  void aRequestWhoseConnectionOpensAfterItsDeadlineIsNotSentOn() throws Exception {
+  void requestIsNotSentIfItsConnectionOpensAfterTheDeadline() throws Exception {
     try (QueuedWriteFixture fixture = new QueuedWriteFixture();
-        RawConnection caller = fixture.connect();
+        RawConnection client = fixture.connect();
         RawConnection next = fixture.connect()) {
       fixture.holdOpenings(0);
-      caller.send("GET /short HTTP/1.1\r\nHost: a\r\n\r\n");
+      client.send("GET /short HTTP/1.1\r\nHost: a\r\n\r\n");
       fixture.awaitHeldOpening();
       fixture.advance(QueuedWriteFixture.SHORT_DEADLINE_MILLIS);
       fixture.releaseOpening();
       try (RawConnection origin = fixture.acceptOrigin(0)) {
-        fixture.awaitRead();
+        fixture.awaitAllRead();
         next.send("GET /next HTTP/1.1\r\nHost: a\r\n\r\n");
         assertThat(origin.readHead()).startsWith("GET /next ");
       }
-      Message answer = caller.read();
-      assertThat(answer.status()).isEqualTo(504);
-      assertThat(answer.header(ProxyHeaders.VERDICT)).isEqualTo("not-run; reason=deadline");
+      Message response = client.read();
+      assertThat(response.status()).isEqualTo(504);
+      assertThat(response.header(ProxyHeaders.VERDICT)).isEqualTo("not-run; reason=deadline");
     }
   }
 
   /** The connection opens in the turn in which the end of its caller is read. */
   @Test
-  void aRequestWhoseConnectionOpensWhenItsCallersEndIsUnreadIsNotSentOn() throws Exception {
+  void requestIsNotSentIfItsConnectionOpensWithTheClientsCloseUnread() throws Exception {
     try (QueuedWriteFixture fixture = new QueuedWriteFixture();
-        RawConnection caller = fixture.connect();
+        RawConnection client = fixture.connect();
         RawConnection next = fixture.connect()) {
       fixture.holdOpenings(0);
-      caller.send("GET /left HTTP/1.1\r\nHost: a\r\n\r\n");
+      client.send("GET /left HTTP/1.1\r\nHost: a\r\n\r\n");
       fixture.awaitHeldOpening();
-      fixture.blockReading();
-      caller.socket.close();
+      fixture.blockSelector();
+      client.socket.close();
       fixture.releaseOpening();
       try (RawConnection origin = fixture.acceptOrigin(0)) {
-        fixture.readOnLate();
-        fixture.awaitRead();
+        fixture.unblockSelectorLate();
+        fixture.awaitAllRead();
         next.send("GET /next HTTP/1.1\r\nHost: a\r\n\r\n");
         assertThat(origin.readHead()).startsWith("GET /next ");
       }
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/LateReadTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/LateReadTest.java
@@ -19,145 +19,145 @@
 
   /** Its caller's end lies unread behind it in the same socket. */
   @Test
-  void aRequestReadTogetherWithItsCallersEndIsNotSentOn() throws Exception {
-    try (RawConnection origin = fixture.restingOrigin();
-        RawConnection caller = fixture.connect()) {
-      fixture.exchange(caller);
-      fixture.blockReading();
-      caller.send(InboundFixture.get("/left"));
-      caller.socket.close();
-      fixture.readOnLate();
-
-      assertNextIsSentOn(origin);
+  void requestReadTogetherWithItsClientsCloseIsNotSent() throws Exception {
+    try (RawConnection origin = fixture.idleOriginConnection();
+        RawConnection client = fixture.connect()) {
+      fixture.exchange(client);
+      fixture.blockSelector();
+      client.send(InboundFixture.get("/left"));
+      client.socket.close();
+      fixture.unblockSelectorLate();
+
+      assertNextRequestIsFirstAtOrigin(origin);
     }
   }
 
   /** The slot becomes free in the turn in which the end of its caller is read. */
   @Test
-  void aRequestThatWaitedIsNotSentOnWhenItsCallersEndIsUnread() throws Exception {
-    try (RawConnection busy = fixture.restingOrigin();
+  void queuedRequestIsNotSentWhileItsClientsCloseIsUnread() throws Exception {
+    try (RawConnection busy = fixture.idleOriginConnection();
         RawConnection first = fixture.connect();
-        RawConnection caller = fixture.connect()) {
+        RawConnection client = fixture.connect()) {
       first.send(InboundFixture.get("/first"));
       assertThat(busy.readHead()).startsWith("GET /first ");
-      try (RawConnection resting = fixture.restingOrigin()) {
-        fixture.sendHeldBack(caller);
-        fixture.blockReading();
-        caller.socket.close();
+      try (RawConnection resting = fixture.idleOriginConnection()) {
+        fixture.sendHeldRequest(client);
+        fixture.blockSelector();
+        client.socket.close();
         busy.send(NO_CONTENT);
-        fixture.readOnLate();
+        fixture.unblockSelectorLate();
         assertThat(first.read().status()).isEqualTo(204);
         first.send(InboundFixture.get("/next"));
 
-        assertNextIsSentOn(resting);
+        assertNextRequestIsFirstAtOrigin(resting);
       }
     }
   }
 
   /** The time in the socket counts towards the deadline. */
   @Test
-  void aRequestUnreadForLongerThanItsDeadlineIsNotSentOn() throws Exception {
-    try (RawConnection origin = fixture.restingOrigin();
-        RawConnection caller = fixture.connect()) {
-      fixture.exchange(caller);
-      sendUnread(caller, InboundFixture.get("/late", SHORT_DEADLINE_MILLIS));
-
-      assertNextIsSentOn(origin);
-      Message answer = caller.read();
-      assertThat(answer.status()).isEqualTo(504);
-      assertThat(answer.header(ProxyHeaders.VERDICT)).isEqualTo("not-run; reason=deadline");
+  void requestUnreadForLongerThanItsDeadlineIsNotSent() throws Exception {
+    try (RawConnection origin = fixture.idleOriginConnection();
+        RawConnection client = fixture.connect()) {
+      fixture.exchange(client);
+      sendWhileSelectorIsBlocked(client, InboundFixture.get("/late", SHORT_DEADLINE_MILLIS));
+
+      assertNextRequestIsFirstAtOrigin(origin);
+      Message response = client.read();
+      assertThat(response.status()).isEqualTo(504);
+      assertThat(response.header(ProxyHeaders.VERDICT)).isEqualTo("not-run; reason=deadline");
     }
   }
 
   /** The next node would begin the deadline anew. */
   @Test
-  void aRequestUnreadForAPartOfItsDeadlineIsSentOnWithTheRest() throws Exception {
-    try (RawConnection origin = fixture.restingOrigin();
-        RawConnection caller = fixture.connect()) {
-      fixture.exchange(caller);
-      sendUnread(caller, InboundFixture.get("/in-time", LONG_DEADLINE_MILLIS));
+  void requestUnreadForPartOfItsDeadlineIsSentWithTheRemainder() throws Exception {
+    try (RawConnection origin = fixture.idleOriginConnection();
+        RawConnection client = fixture.connect()) {
+      fixture.exchange(client);
+      sendWhileSelectorIsBlocked(client, InboundFixture.get("/in-time", LONG_DEADLINE_MILLIS));
 
       Message sentOn = origin.read();
       assertThat(sentOn.head()).startsWith("GET /in-time ");
       assertThat(Long.parseLong(sentOn.header(ProxyHeaders.DEADLINE)))
-          .isBetween(1L, LONG_DEADLINE_MILLIS - ReadingBlock.LATE_MILLIS);
+          .isBetween(1L, LONG_DEADLINE_MILLIS - SelectorBlock.LATE_MILLIS);
     }
   }
 
   /** The caller may have sent it late in the time for which it lay unread, and waits on. */
   @Test
-  void workIsNotBrokenOffBeforeItsCallersDeadlineHasSurelyPassed() throws Exception {
-    try (RawConnection origin = fixture.restingOrigin();
-        RawConnection caller = fixture.connect()) {
-      keepDeadlinesAtWork(caller, origin, LONG_DEADLINE_MILLIS - 1);
+  void requestIsNotAbortedBeforeItsLatestPossibleDeadline() throws Exception {
+    try (RawConnection origin = fixture.idleOriginConnection();
+        RawConnection client = fixture.connect()) {
+      expireRequestInService(client, origin, LONG_DEADLINE_MILLIS - 1);
       origin.send(NO_CONTENT);
 
-      assertThat(caller.read().status()).isEqualTo(204);
+      assertThat(client.read().status()).isEqualTo(204);
     }
   }
 
   /** Whoever waits on holds a slot of its origin. */
   @Test
-  void workIsBrokenOffOnceItsCallersDeadlineHasSurelyPassed() throws Exception {
-    try (RawConnection origin = fixture.restingOrigin();
-        RawConnection caller = fixture.connect()) {
-      keepDeadlinesAtWork(caller, origin, LONG_DEADLINE_MILLIS);
+  void requestIsAbortedAtItsLatestPossibleDeadline() throws Exception {
+    try (RawConnection origin = fixture.idleOriginConnection();
+        RawConnection client = fixture.connect()) {
+      expireRequestInService(client, origin, LONG_DEADLINE_MILLIS);
 
-      assertThat(caller.read().status()).isEqualTo(504);
+      assertThat(client.read().status()).isEqualTo(504);
     }
   }
 
   /** Estimates of service times would make a back end look slow whose node is. */
   @Test
-  void theTimeForWhichAnAnswerLayUnreadIsNotWorkOfItsOrigin() throws Exception {
-    try (RawConnection origin = fixture.restingOrigin();
-        RawConnection caller = fixture.connect()) {
-      fixture.awaitWorkMicros();
+  void serviceTimeExcludesTheTimeAResponseWasUnread() throws Exception {
+    try (RawConnection origin = fixture.idleOriginConnection();
+        RawConnection client = fixture.connect()) {
+      fixture.awaitServiceMicros();
       final long startNanos = System.nanoTime();
-      caller.send(InboundFixture.get("/worked-on"));
+      client.send(InboundFixture.get("/worked-on"));
       assertThat(origin.readHead()).startsWith("GET /worked-on ");
-      fixture.blockReading();
+      fixture.blockSelector();
       origin.send(NO_CONTENT);
-      fixture.readOnLate();
-      assertThat(caller.read().status()).isEqualTo(204);
+      fixture.unblockSelectorLate();
+      assertThat(client.read().status()).isEqualTo(204);
 
-      long wholeMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
-      long workMillis = TimeUnit.MICROSECONDS.toMillis(fixture.awaitWorkMicros());
-      assertThat(wholeMillis - workMillis).isGreaterThan(ReadingBlock.LATE_MILLIS / 3);
+      long totalMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
+      long serviceMillis = TimeUnit.MICROSECONDS.toMillis(fixture.awaitServiceMicros());
+      assertThat(totalMillis - serviceMillis).isGreaterThan(SelectorBlock.LATE_MILLIS / 3);
     }
   }
 
   /** Reading stands still at the head of one request too many. */
   @Test
-  void theEndOfACallerIsNoticedWhileReadingIsSuspended() throws Exception {
-    try (RawConnection origin = fixture.restingOrigin();
-        RawConnection caller = fixture.connect()) {
-      caller.send(InboundFixture.get("/abandoned").repeat(MAX_PIPELINED + 1));
+  void clientCloseIsNoticedWhileReadingIsSuspended() throws Exception {
+    try (RawConnection origin = fixture.idleOriginConnection();
+        RawConnection client = fixture.connect()) {
+      client.send(InboundFixture.get("/abandoned").repeat(MAX_PIPELINED + 1));
       assertThat(origin.readHead()).startsWith("GET /abandoned ");
-      caller.socket.close();
+      client.socket.close();
 
       assertThat(origin.endsNow()).isTrue();
     }
   }
 
   /** Its origin works on a request that lay unread, and time goes on. */
-  private void keepDeadlinesAtWork(RawConnection caller, RawConnection origin, long millis)
+  private void expireRequestInService(RawConnection client, RawConnection origin, long millis)
       throws Exception {
-    fixture.exchange(caller);
-    sendUnread(caller, InboundFixture.get("/late", LONG_DEADLINE_MILLIS));
+    fixture.exchange(client);
+    sendWhileSelectorIsBlocked(client, InboundFixture.get("/late", LONG_DEADLINE_MILLIS));
     assertThat(origin.readHead()).startsWith("GET /late ");
     fixture.advance(millis);
-    fixture.keepDeadlines();
+    fixture.expireRequests();
   }
 
-  private void sendUnread(RawConnection caller, String request) throws Exception {
-    fixture.blockReading();
-    caller.send(request);
-    fixture.readOnLate();
+  private void sendWhileSelectorIsBlocked(RawConnection client, String request) throws Exception {
+    fixture.blockSelector();
+    client.send(request);
+    fixture.unblockSelectorLate();
   }
 
   /** Nothing has been sent on the origin's connection before. */
-  private void assertNextIsSentOn(RawConnection origin) throws IOException {
+  private void assertNextRequestIsFirstAtOrigin(RawConnection origin) throws IOException {
     try (RawConnection next = fixture.connect()) {
       next.send(InboundFixture.get("/next"));
       assertThat(origin.readHead()).startsWith("GET /next ");
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/LateTimerTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/LateTimerTest.java
@@ -14,43 +14,43 @@
 
   /** The answer has arrived before the deadline and lies unread behind it. */
   @Test
-  void anAnswerThatLiesUnreadAtItsDeadlineIsDelivered() throws Exception {
-    try (RawConnection origin = fixture.restingOrigin();
-        RawConnection caller = fixture.connect()) {
-      caller.send(InboundFixture.get("/answered", DEADLINE_MILLIS));
+  void responseUnreadAtItsDeadlineIsDelivered() throws Exception {
+    try (RawConnection origin = fixture.idleOriginConnection();
+        RawConnection client = fixture.connect()) {
+      client.send(InboundFixture.get("/answered", DEADLINE_MILLIS));
       assertThat(origin.readHead()).startsWith("GET /answered ");
-      fixture.blockReading();
+      fixture.blockSelector();
       origin.send("HTTP/1.1 204 No Content\r\n\r\n");
-      fixture.standLate();
+      fixture.awaitLateness();
       fixture.advance(DEADLINE_MILLIS);
-      fixture.keepDeadlines();
-      fixture.readOn();
+      fixture.expireRequests();
+      fixture.unblockSelector();
 
-      assertThat(caller.read().status()).isEqualTo(204);
+      assertThat(client.read().status()).isEqualTo(204);
     }
   }
 
   /** The task comes from another thread while the selector thread is busy for long. */
   @Test
-  void aCheckThatWaitsForReadingIsMadeThoughNothingArrives() throws Exception {
-    fixture.blockReading();
-    fixture.standLate();
+  void deferredTimeoutCheckRunsWithoutFurtherInput() throws Exception {
+    fixture.blockSelector();
+    fixture.awaitLateness();
     CountDownLatch checked = new CountDownLatch(1);
     fixture.checkTimeouts(checked::countDown);
-    fixture.readOn();
+    fixture.unblockSelector();
 
     assertThat(checked.await(20, TimeUnit.SECONDS)).isTrue();
   }
 
   /** The connection has opened, and the thread that is to hear of it stands still. */
   @Test
-  void aConnectionThatHasOpenedUnreadIsNotGivenUp() throws Exception {
-    try (RawConnection caller = fixture.connect()) {
-      fixture.blockReadingBehind(caller, InboundFixture.get("/connecting", DEADLINE_MILLIS));
-      fixture.standLate();
+  void openedConnectionIsKeptThoughItsEventIsUnread() throws Exception {
+    try (RawConnection client = fixture.connect()) {
+      fixture.blockSelectorBehind(client, InboundFixture.get("/connecting", DEADLINE_MILLIS));
+      fixture.awaitLateness();
       fixture.advance(DEADLINE_MILLIS / 2);
-      fixture.giveUpLateConnections();
-      fixture.readOn();
+      fixture.expireConnectionAttempts();
+      fixture.unblockSelector();
 
       try (RawConnection origin = fixture.acceptOrigin()) {
         assertThat(origin.readHead()).startsWith("GET /connecting ");
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/LatencyTrial.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/LatencyBenchmark.java
@@ -22,7 +22,7 @@
  *
  * <p>Arguments: calls a second of each kind, seconds, caller threads of each kind.
  */
-final class LatencyTrial {
+final class LatencyBenchmark {
   private static final byte[] ANSWER =
       "HTTP/1.1 200 OK\r\nContent-Length: 64\r\nContent-Type: text/plain\r\n\r\n"
           .concat("x".repeat(64))
@@ -33,7 +33,7 @@
           .getBytes(StandardCharsets.US_ASCII);
   private static final long WARM_UP_SECONDS = 6;
 
-  private LatencyTrial() {}
+  private LatencyBenchmark() {}
 
   /** Runs the trial and prints percentiles in microseconds. */
   public static void main(String[] arguments) throws Exception {
@@ -74,15 +74,15 @@
       throws InterruptedException {
     long start = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(300);
     long end = start + TimeUnit.SECONDS.toNanos(WARM_UP_SECONDS + seconds);
-    List<Thread> callers = new ArrayList<>();
+    List<Thread> clients = new ArrayList<>();
     for (int index = 0; index < threads; index++) {
       long interval = TimeUnit.SECONDS.toNanos(1) * threads / rate;
       long first = start + interval * index / threads;
-      callers.add(daemon(() -> call(directPort, first, interval, end, direct)));
-      callers.add(daemon(() -> call(edge, first + interval / 2, interval, end, via)));
+      clients.add(daemon(() -> call(directPort, first, interval, end, direct)));
+      clients.add(daemon(() -> call(edge, first + interval / 2, interval, end, via)));
     }
-    for (Thread caller : callers) {
-      caller.join();
+    for (Thread client : clients) {
+      client.join();
     }
   }
 
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/MessageOwnershipTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/MessageOwnershipTest.java
@@ -29,7 +29,7 @@
   }
 
   /** Reads enough on the selector thread that released memory is handed out again. */
-  private void readAnUpload(RawConnection origin) throws Exception {
+  private void sendUpload(RawConnection origin) throws Exception {
     try (RawConnection other = fixture.connect()) {
       other.send(
           "PUT /rest HTTP/1.1\r\nHost: a\r\nContent-Length: " + UPLOAD_BODY.length() + "\r\n\r\n");
@@ -42,9 +42,9 @@
     }
   }
 
-  private void assertSentWhole(RawConnection restingOrigin) throws Exception {
+  private void assertSentUnchanged(RawConnection idleOrigin) throws Exception {
     fixture.awaitHeldOpening();
-    readAnUpload(restingOrigin);
+    sendUpload(idleOrigin);
     fixture.releaseOpening();
     try (RawConnection origin = fixture.acceptOrigin(0)) {
       assertThat(origin.read().head()).isEqualTo(LATE);
@@ -52,28 +52,28 @@
   }
 
   @Test
-  void aRequestWhoseConnectionOpensLateKeepsItsHead() throws Exception {
+  void requestWhoseConnectionOpensLateKeepsItsHead() throws Exception {
     fixture.holdOpenings(0);
-    try (RawConnection caller = fixture.connect();
-        RawConnection resting = fixture.restingOrigin(1, caller)) {
-      caller.send(LATE);
-      assertSentWhole(resting);
+    try (RawConnection client = fixture.connect();
+        RawConnection idle = fixture.idleOriginConnection(1, client)) {
+      client.send(LATE);
+      assertSentUnchanged(idle);
     }
   }
 
   /** The upload's last bytes and the request's head are read at once. */
   @Test
-  void aRequestReadTogetherWithTheEndOfAnUploadKeepsItsHead() throws Exception {
+  void requestReadTogetherWithTheEndOfAnUploadKeepsItsHead() throws Exception {
     fixture.holdOpenings(0);
-    try (RawConnection caller = fixture.connect();
-        RawConnection resting = fixture.restingOrigin(1, caller)) {
-      caller.send("PUT /rest HTTP/1.1\r\nHost: a\r\nContent-Length: 2000\r\n\r\n");
-      resting.readHead();
-      caller.send("b".repeat(2_000) + LATE);
-      assertThat(resting.input().readNBytes(2_000)).containsOnly('b');
-      resting.send(DONE);
-      caller.readHead();
-      assertSentWhole(resting);
+    try (RawConnection client = fixture.connect();
+        RawConnection idle = fixture.idleOriginConnection(1, client)) {
+      client.send("PUT /rest HTTP/1.1\r\nHost: a\r\nContent-Length: 2000\r\n\r\n");
+      idle.readHead();
+      client.send("b".repeat(2_000) + LATE);
+      assertThat(idle.input().readNBytes(2_000)).containsOnly('b');
+      idle.send(DONE);
+      client.readHead();
+      assertSentUnchanged(idle);
     }
   }
 }
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/OverloadTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/OverloadTest.java
@@ -16,13 +16,13 @@
   private static final int CALLS_EACH = 100;
 
   @Test
-  void answersEachCallOnceAndNeverTellsALieAboutNotRun() throws Exception {
+  void answersEachCallOnceAndNeverRunsCallsReportedAsNotRun() throws Exception {
     AtomicInteger concurrent = new AtomicInteger();
-    AtomicInteger most = new AtomicInteger();
+    AtomicInteger maxConcurrent = new AtomicInteger();
     ScriptedBackend.Script counting =
         (backend, connection) -> {
           for (var request = connection.read(); request != null; request = connection.read()) {
-            most.accumulateAndGet(concurrent.incrementAndGet(), Math::max);
+            maxConcurrent.accumulateAndGet(concurrent.incrementAndGet(), Math::max);
             backend.ran(request);
             String body = request.body();
             concurrent.decrementAndGet();
@@ -34,21 +34,21 @@
     AtomicInteger refused = new AtomicInteger();
     try (ScriptedBackend backend = new ScriptedBackend(counting);
         ProxyFixture fixture = new ProxyFixture(backend)) {
-      List<CompletableFuture<Void>> callers = new ArrayList<>();
-      for (int caller = 0; caller < CALLERS; caller++) {
-        int number = caller;
-        callers.add(
+      List<CompletableFuture<Void>> clients = new ArrayList<>();
+      for (int client = 0; client < CALLERS; client++) {
+        int number = client;
+        clients.add(
             CompletableFuture.runAsync(
                 () -> call(fixture, number, answered, refused),
                 task -> new Thread(task, "caller").start()));
       }
-      for (CompletableFuture<Void> caller : callers) {
-        caller.get(60, TimeUnit.SECONDS);
+      for (CompletableFuture<Void> client : clients) {
+        client.get(60, TimeUnit.SECONDS);
       }
       assertThat(answered.get() + refused.get()).isEqualTo(CALLERS * CALLS_EACH);
       assertThat(backend.runs).hasValue(answered.get());
       assertThat(answered.get()).isPositive();
-      assertThat(most.get()).isLessThanOrEqualTo(6);
+      assertThat(maxConcurrent.get()).isLessThanOrEqualTo(6);
       assertThat(backend.connections.get()).isLessThanOrEqualTo(130);
     }
   }
@@ -60,13 +60,13 @@
         String body = number + "/" + call;
         connection.send(
             "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
-        RawConnection.Message answer = connection.read();
-        if (answer.status() == 200) {
-          assertThat(answer.body()).isEqualTo(body);
+        RawConnection.Message response = connection.read();
+        if (response.status() == 200) {
+          assertThat(response.body()).isEqualTo(body);
           answered.incrementAndGet();
         } else {
-          assertThat(answer.header("Umberpath-Verdict")).isEqualTo("not-run; reason=overloaded");
-          assertThat(answer.header("Retry-After")).isNotNull();
+          assertThat(response.header("Umberpath-Verdict")).isEqualTo("not-run; reason=overloaded");
+          assertThat(response.header("Retry-After")).isNotNull();
           refused.incrementAndGet();
         }
       }
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/PipelinedStatusTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/PipelinedStatusTest.java
@@ -32,19 +32,19 @@
     "411, chunked", "413, chunked", "414, chunked", "431, chunked", "500, chunked", "501, chunked",
     "503, chunked", "505, chunked", "400, close", "500, close", "503, close", "200, close"
   })
-  void theRequestBehindAnAnswerOfAnyStatusIsAnswered(int status, String framing) throws Exception {
-    try (RawConnection caller = fixture.connect();
-        RawConnection origin = fixture.restingOrigin(1, caller)) {
-      caller.send("GET /rest HTTP/1.1\r\nHost: a\r\n\r\nGET /refused HTTP/1.1\r\nHost: a\r\n\r\n");
+  void requestBehindAResponseOfAnyStatusIsAnswered(int status, String framing) throws Exception {
+    try (RawConnection client = fixture.connect();
+        RawConnection origin = fixture.idleOriginConnection(1, client)) {
+      client.send("GET /rest HTTP/1.1\r\nHost: a\r\n\r\nGET /refused HTTP/1.1\r\nHost: a\r\n\r\n");
       origin.readHead();
       origin.send("HTTP/1.1 " + status + " X\r\n" + body(framing));
       if (framing.equals("close")) {
         origin.socket.shutdownOutput();
       }
-      Message first = caller.read();
+      Message first = client.read();
       assertThat(first.status()).isEqualTo(status);
       assertThat(first.body()).isEqualTo("body");
-      Message second = caller.read();
+      Message second = client.read();
       assertThat(second).as("answer to the second request").isNotNull();
       assertThat(second.status()).isEqualTo(404);
     }
@@ -60,12 +60,12 @@
 
   @ParameterizedTest
   @CsvSource({"/bad-request", "/too-large", "/deadline", "/overloaded", "/lost"})
-  void theRequestBehindARefusalIsAnswered(String path) throws Exception {
-    try (RawConnection caller = fixture.connect()) {
-      caller.send(
+  void requestBehindARefusalIsAnswered(String path) throws Exception {
+    try (RawConnection client = fixture.connect()) {
+      client.send(
           "GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\nGET /refused HTTP/1.1\r\nHost: a\r\n\r\n");
-      caller.read();
-      Message second = caller.read();
+      client.read();
+      Message second = client.read();
       assertThat(second).as("answer to the second request").isNotNull();
       assertThat(second.status()).isEqualTo(404);
     }
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/ProxyFixture.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/ProxyFixture.java
@@ -26,7 +26,7 @@
   private static final int SLOTS = 6;
   private static final int QUEUE = 64;
 
-  final FakeControl control = new FakeControl();
+  final FakeControlService control = new FakeControlService();
   final AtomicLong advancedMillis = new AtomicLong();
   final List<ProxyServer> hops = new ArrayList<>();
   final ProxyServer edge;
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/ProxyMessagesTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/ProxyMessagesTest.java
@@ -33,9 +33,9 @@
         "GET  | HTTP/1.1 103 Early Hints~Link: x~~HTTP/1.1 200 OK~Content-Length: 1~~a | 103 | '' | true",
         "GET  | HTTP/1.1 200 OK~Content-Encoding: gzip~Content-Length: 3~~xyz | 200 | xyz | true",
       })
-  void passesAnswersOn(String method, String answer, int status, String body, boolean kept)
+  void forwardsResponses(String method, String response, int status, String body, boolean kept)
       throws IOException {
-    String raw = answer.strip().replace("~", "\r\n");
+    String raw = response.strip().replace("~", "\r\n");
     boolean closes = raw.contains("until close");
     ScriptedBackend.Script script =
         (backend, connection) -> {
@@ -49,16 +49,16 @@
         };
     try (ScriptedBackend backend = new ScriptedBackend(script);
         ProxyFixture fixture = new ProxyFixture(backend);
-        RawConnection caller = fixture.connect()) {
+        RawConnection client = fixture.connect()) {
       for (int round = 0; round < 2; round++) {
-        caller.send(method + " /a HTTP/1.1\r\nHost: a\r\n\r\n");
+        client.send(method + " /a HTTP/1.1\r\nHost: a\r\n\r\n");
         RawConnection.Message received =
-            status == 103 ? new RawConnection.Message(caller.readHead(), "") : caller.read();
+            status == 103 ? new RawConnection.Message(client.readHead(), "") : client.read();
         assertThat(received.status()).isEqualTo(status);
         assertThat(received.body()).isEqualTo(body);
         if (status == 103) {
           assertThat(received.header("Link")).isEqualTo("x");
-          assertThat(caller.read().body()).isEqualTo("a");
+          assertThat(client.read().body()).isEqualTo("a");
         }
       }
       assertThat(backend.runs).hasValue(2);
@@ -66,14 +66,14 @@
   }
 
   @Test
-  void answersHeadWithLengthAndWithoutBody() throws IOException {
-    String answer = "HTTP/1.1 200 OK\r\nContent-Length: 12345\r\n\r\n";
-    try (ScriptedBackend backend = new ScriptedBackend(ScriptedBackend.answering(answer));
+  void forwardsHeadResponsesWithLengthAndWithoutBody() throws IOException {
+    String response = "HTTP/1.1 200 OK\r\nContent-Length: 12345\r\n\r\n";
+    try (ScriptedBackend backend = new ScriptedBackend(ScriptedBackend.respondingWith(response));
         ProxyFixture fixture = new ProxyFixture(backend);
-        RawConnection caller = fixture.connect()) {
+        RawConnection client = fixture.connect()) {
       for (int round = 0; round < 3; round++) {
-        caller.send("HEAD /a HTTP/1.1\r\nHost: a\r\n\r\n");
-        String head = caller.readHead();
+        client.send("HEAD /a HTTP/1.1\r\nHost: a\r\n\r\n");
+        String head = client.readHead();
         assertThat(head).startsWith("HTTP/1.1 200");
         assertThat(new RawConnection.Message(head, "").header("Content-Length")).isEqualTo("12345");
       }
@@ -82,59 +82,59 @@
   }
 
   @Test
-  void endsAnswersOfUnstatedLengthWithTheConnectionForOlderCallers() throws IOException {
-    String answer = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
-    try (ScriptedBackend backend = new ScriptedBackend(ScriptedBackend.answering(answer));
+  void closesTheConnectionAfterResponsesOfUnknownLengthForHttp10Clients() throws IOException {
+    String response = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
+    try (ScriptedBackend backend = new ScriptedBackend(ScriptedBackend.respondingWith(response));
         ProxyFixture fixture = new ProxyFixture(backend);
-        RawConnection caller = fixture.connect()) {
-      caller.send("GET /a HTTP/1.0\r\n\r\n");
-      RawConnection.Message received = caller.read();
+        RawConnection client = fixture.connect()) {
+      client.send("GET /a HTTP/1.0\r\n\r\n");
+      RawConnection.Message received = client.read();
       assertThat(received.header("Transfer-Encoding")).isNull();
       assertThat(received.body()).isEqualTo("abc");
     }
   }
 
   @Test
-  void passesChunkedRequestsOnWithTrailers() throws IOException {
+  void forwardsChunkedRequestsWithTrailers() throws IOException {
     try (ScriptedBackend backend =
             new ScriptedBackend(
-                ScriptedBackend.answering("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"));
+                ScriptedBackend.respondingWith("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"));
         ProxyFixture fixture = new ProxyFixture(backend);
-        RawConnection caller = fixture.connect()) {
-      caller.send("POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhel");
-      caller.send("lo\r\n1");
-      caller.send("\r\n!\r\n0\r\nX-Sum: 1\r\nContent-Length: 9\r\n\r\n");
-      assertThat(caller.read().status()).isEqualTo(200);
+        RawConnection client = fixture.connect()) {
+      client.send("POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhel");
+      client.send("lo\r\n1");
+      client.send("\r\n!\r\n0\r\nX-Sum: 1\r\nContent-Length: 9\r\n\r\n");
+      assertThat(client.read().status()).isEqualTo(200);
       assertThat(backend.requests.remove().body()).isEqualTo("hello![X-Sum: 1]");
     }
   }
 
   @Test
   void readsHeadsThatArriveByteByByte() throws IOException {
-    String answer = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na";
+    String response = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na";
     ScriptedBackend.Script slowly =
         (backend, connection) -> {
           for (var request = connection.read(); request != null; request = connection.read()) {
             backend.ran(request);
-            for (char letter : answer.toCharArray()) {
+            for (char letter : response.toCharArray()) {
               connection.send(String.valueOf(letter));
             }
           }
         };
     try (ScriptedBackend backend = new ScriptedBackend(slowly);
         ProxyFixture fixture = new ProxyFixture(backend);
-        RawConnection caller = fixture.connect()) {
+        RawConnection client = fixture.connect()) {
       for (char letter : (GET + GET).toCharArray()) {
-        caller.send(String.valueOf(letter));
+        client.send(String.valueOf(letter));
       }
-      assertThat(caller.read().body()).isEqualTo("a");
-      assertThat(caller.read().body()).isEqualTo("a");
+      assertThat(client.read().body()).isEqualTo("a");
+      assertThat(client.read().body()).isEqualTo("a");
       assertThat(backend.runs).hasValue(2);
     }
   }
 
   @Test
-  void answersPipelinedRequestsInTheirOrder() throws IOException {
+  void answersPipelinedRequestsInOrder() throws IOException {
     ScriptedBackend.Script echo =
         (backend, connection) -> {
           for (var request = connection.read(); request != null; request = connection.read()) {
@@ -146,22 +146,22 @@
         };
     try (ScriptedBackend backend = new ScriptedBackend(echo);
         ProxyFixture fixture = new ProxyFixture(backend);
-        RawConnection caller = fixture.connect()) {
+        RawConnection client = fixture.connect()) {
       StringBuilder requests = new StringBuilder();
       for (int index = 0; index < 50; index++) {
         requests.append("POST /").append(index).append(" HTTP/1.1\r\nHost: a\r\n");
         requests.append("Content-Length: 3\r\n\r\nabc");
       }
-      caller.send(requests.toString());
+      client.send(requests.toString());
       for (int index = 0; index < 50; index++) {
-        assertThat(caller.read().body()).isEqualTo("/" + index);
+        assertThat(client.read().body()).isEqualTo("/" + index);
       }
       assertThat(backend.runs).hasValue(50);
     }
   }
 
   @Test
-  void carriesExpectationsToTheBackEndAndItsConsentBack() throws IOException {
+  void forwardsExpectAndContinue() throws IOException {
     ScriptedBackend.Script consenting =
         (backend, connection) -> {
           String head = connection.readHead();
@@ -173,18 +173,18 @@
         };
     try (ScriptedBackend backend = new ScriptedBackend(consenting);
         ProxyFixture fixture = new ProxyFixture(backend);
-        RawConnection caller = fixture.connect()) {
-      caller.send(
+        RawConnection client = fixture.connect()) {
+      client.send(
           "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\nExpect: 100-continue\r\n\r\n");
-      assertThat(caller.readHead()).startsWith("HTTP/1.1 100");
-      caller.send("body");
-      assertThat(caller.read().status()).isEqualTo(200);
+      assertThat(client.readHead()).startsWith("HTTP/1.1 100");
+      client.send("body");
+      assertThat(client.read().status()).isEqualTo(200);
       assertThat(backend.requests.remove().body()).isEqualTo("body");
     }
   }
 
   @Test
-  void passesARefusalBeforeTheBodyOnAndClosesForTheRest() throws IOException {
+  void forwardsAResponseBeforeTheBodyAndClosesTheConnection() throws IOException {
     ScriptedBackend.Script refusing =
         (backend, connection) -> {
           connection.readHead();
@@ -193,15 +193,15 @@
         };
     try (ScriptedBackend backend = new ScriptedBackend(refusing);
         ProxyFixture fixture = new ProxyFixture(backend);
-        RawConnection caller = fixture.connect()) {
-      caller.send("POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 400\r\n\r\nbeginning");
-      assertThat(caller.read().status()).isEqualTo(413);
-      assertThat(caller.endsNow()).isTrue();
+        RawConnection client = fixture.connect()) {
+      client.send("POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 400\r\n\r\nbeginning");
+      assertThat(client.read().status()).isEqualTo(413);
+      assertThat(client.endsNow()).isTrue();
     }
   }
 
   @Test
-  void aHeadThatArrivesAloneDoesNotEndAChunkedRequest() throws Exception {
+  void separateHeadDoesNotEndAChunkedRequest() throws Exception {
     CountDownLatch headArrived = new CountDownLatch(1);
     ScriptedBackend.Script script =
         (backend, connection) -> {
@@ -211,16 +211,16 @@
         };
     try (ScriptedBackend backend = new ScriptedBackend(script);
         ProxyFixture fixture = new ProxyFixture(backend);
-        RawConnection caller = fixture.connect()) {
-      caller.send("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n");
+        RawConnection client = fixture.connect()) {
+      client.send("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n");
       assertThat(headArrived.await(20, TimeUnit.SECONDS)).isTrue();
-      caller.send("5\r\nhello\r\n0\r\n\r\n");
-      assertThat(caller.read().body()).isEqualTo("5\r\nhello\r\n0\r\n\r\n");
+      client.send("5\r\nhello\r\n0\r\n\r\n");
+      assertThat(client.read().body()).isEqualTo("5\r\nhello\r\n0\r\n\r\n");
     }
   }
 
   @Test
-  void aHeadThatArrivesAloneDoesNotEndAChunkedAnswer() throws Exception {
+  void separateHeadDoesNotEndAChunkedResponse() throws Exception {
     CountDownLatch headArrived = new CountDownLatch(1);
     ScriptedBackend.Script script =
         (backend, connection) -> {
@@ -232,11 +232,11 @@
         };
     try (ScriptedBackend backend = new ScriptedBackend(script);
         ProxyFixture fixture = new ProxyFixture(backend);
-        RawConnection caller = fixture.connect()) {
-      caller.send("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
-      assertThat(caller.readHead()).startsWith("HTTP/1.1 200");
+        RawConnection client = fixture.connect()) {
+      client.send("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
+      assertThat(client.readHead()).startsWith("HTTP/1.1 200");
       headArrived.countDown();
-      assertThat(new String(caller.input().readNBytes(15), US_ASCII))
+      assertThat(new String(client.input().readNBytes(15), US_ASCII))
           .isEqualTo("5\r\nhello\r\n0\r\n\r\n");
     }
   }
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/ProxyPathTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/ProxyPathTest.java
@@ -10,20 +10,20 @@
   private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nX-Kept: a\r\n\r\nhello";
 
   @Test
-  void carriesRequestsAndAnswersOnKeptConnections() throws IOException {
-    try (ScriptedBackend backend = new ScriptedBackend(ScriptedBackend.answering(OK));
+  void forwardsRequestsAndResponsesOnPersistentConnections() throws IOException {
+    try (ScriptedBackend backend = new ScriptedBackend(ScriptedBackend.respondingWith(OK));
         ProxyFixture fixture = new ProxyFixture(backend);
-        RawConnection caller = fixture.connect()) {
+        RawConnection client = fixture.connect()) {
       for (int round = 0; round < 3; round++) {
-        caller.send(
+        client.send(
             "POST /fees?a=b%20c HTTP/1.1\r\nHost: Mesh:80\r\nContent-Length: 3\r\n"
                 + "Connection: X-Named\r\nX-Named: 1\r\nAuthorization: mine\r\n"
                 + "Umberpath-Tier: PREMIUM\r\n\r\nabc");
-        RawConnection.Message answer = caller.read();
-        assertThat(answer.status()).isEqualTo(200);
-        assertThat(answer.body()).isEqualTo("hello");
-        assertThat(answer.header("X-Kept")).isEqualTo("a");
-        assertThat(answer.head()).doesNotContain("Umberpath");
+        RawConnection.Message response = client.read();
+        assertThat(response.status()).isEqualTo(200);
+        assertThat(response.body()).isEqualTo("hello");
+        assertThat(response.header("X-Kept")).isEqualTo("a");
+        assertThat(response.head()).doesNotContain("Umberpath");
       }
       assertThat(backend.runs).hasValue(3);
       RawConnection.Message request = backend.requests.peek();
@@ -39,15 +39,15 @@
 
   @Test
   void refusesAsNotRunWhenNothingListens() throws IOException {
-    ScriptedBackend gone = new ScriptedBackend(ScriptedBackend.answering(OK));
+    ScriptedBackend gone = new ScriptedBackend(ScriptedBackend.respondingWith(OK));
     gone.close();
     try (ProxyFixture fixture = new ProxyFixture(gone);
-        RawConnection caller = fixture.connect()) {
-      caller.send("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n");
-      RawConnection.Message answer = caller.read();
-      assertThat(answer.status()).isEqualTo(503);
-      assertThat(answer.header("Umberpath-Verdict")).isEqualTo("not-run; reason=unreachable");
-      assertThat(answer.header("Retry-After")).isEqualTo("1");
+        RawConnection client = fixture.connect()) {
+      client.send("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n");
+      RawConnection.Message response = client.read();
+      assertThat(response.status()).isEqualTo(503);
+      assertThat(response.header("Umberpath-Verdict")).isEqualTo("not-run; reason=unreachable");
+      assertThat(response.header("Retry-After")).isEqualTo("1");
     }
   }
 }
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/QueuedWriteFixture.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/QueuedWriteFixture.java
@@ -62,21 +62,21 @@
           "/lost", Verdict.Reason.CONNECTION_LOST);
 
   /** Turns of the selector thread after which everything sent before them has been read. */
-  private static final int TURNS = 8;
+  private static final int READ_ROUNDS = 8;
 
   private final ProxyTransport transport =
       new ProxyTransport(ProxyFixture.MAX_HEADER_BYTES, ConnectionPool::giveBack, 1);
   private final List<ServerSocket> servers = List.of(server(), server());
   private final List<ConnectionPool> pools = new ArrayList<>();
   private final Map<Integer, NIOConnection> opened = new ConcurrentHashMap<>();
-  private final ReadingBlock block = new ReadingBlock();
+  private final SelectorBlock selectorBlock = new SelectorBlock();
   private final AtomicLong clockMillis = new AtomicLong();
   private final int port;
   private final Map<Integer, NIOConnection> accepted = new ConcurrentHashMap<>();
   private volatile int narrowPort;
-  private volatile NIOConnection narrowCaller;
+  private volatile NIOConnection narrowClient;
   private volatile boolean retryPermitted;
-  private volatile Exchange heldBack;
+  private volatile Exchange heldExchange;
   private volatile int heldPort;
   private volatile Runnable heldOpening;
 
@@ -121,13 +121,13 @@
   }
 
   /** Returns once the thread that reads stands still. */
-  void blockReading() throws IOException, InterruptedException {
-    block.begin(connect());
+  void blockSelector() throws IOException, InterruptedException {
+    selectorBlock.block(connect());
   }
 
-  /** Reads on once the thread is late by {@link ReadingBlock#LATE_MILLIS}. */
-  void readOnLate() throws InterruptedException {
-    block.readOnLate();
+  /** Reads on once the thread is late by {@link SelectorBlock#LATE_MILLIS}. */
+  void unblockSelectorLate() throws InterruptedException {
+    selectorBlock.releaseLate();
   }
 
   /** From now on a connection to an origin opens when it is told to. */
@@ -176,9 +176,9 @@
   }
 
   RawConnection connect() throws IOException {
-    RawConnection caller = new RawConnection(port);
-    caller.socket.setSoTimeout(TIMEOUT_MILLIS);
-    return caller;
+    RawConnection client = new RawConnection(port);
+    client.socket.setSoTimeout(TIMEOUT_MILLIS);
+    return client;
   }
 
   /** A caller whose socket takes little. */
@@ -198,12 +198,12 @@
   }
 
   /** An origin's end of a connection that has served a request and rests. */
-  RawConnection restingOrigin(int origin, RawConnection caller) throws IOException {
-    caller.send("GET /rest HTTP/1.1\r\nHost: a\r\n\r\n");
+  RawConnection idleOriginConnection(int origin, RawConnection client) throws IOException {
+    client.send("GET /rest HTTP/1.1\r\nHost: a\r\n\r\n");
     RawConnection accepted = acceptOrigin(origin);
     accepted.readHead();
     accepted.send("HTTP/1.1 204 No Content\r\n\r\n");
-    caller.read();
+    client.read();
     return accepted;
   }
 
@@ -213,29 +213,29 @@
   }
 
   /** Waits until a request is held back until another ends. */
-  void awaitHeldBack() throws Exception {
-    await(() -> heldBack != null);
+  void awaitHeldExchange() throws Exception {
+    await(() -> heldExchange != null);
   }
 
   /**
    * Sends the beginning of a request, and its end once some of the beginning waits in the queue of
    * the origin's connection. Then several pieces wait, which the transport writes together.
    */
-  void sendPieces(RawConnection caller, int origin, String beginning, String end) throws Exception {
-    caller.send(beginning);
+  void sendParts(RawConnection client, int origin, String beginning, String end) throws Exception {
+    client.send(beginning);
     await(() -> opened(origin) != null && hasQueue(opened(origin)));
-    awaitRead();
-    caller.send(end);
-    awaitRead();
+    awaitAllRead();
+    client.send(end);
+    awaitAllRead();
   }
 
   /** Sends an answer likewise, to a caller with a narrow socket. */
-  void answerInPieces(RawConnection origin, String beginning, String end) throws Exception {
+  void respondInParts(RawConnection origin, String beginning, String end) throws Exception {
     origin.send(beginning);
-    await(() -> hasQueue(narrowCaller));
-    awaitRead();
+    await(() -> hasQueue(narrowClient));
+    awaitAllRead();
     origin.send(end);
-    awaitRead();
+    awaitAllRead();
   }
 
   private static boolean hasQueue(NIOConnection connection) {
@@ -243,11 +243,11 @@
   }
 
   /** Waits until the proxy has read all that was sent before. */
-  void awaitRead() throws IOException {
-    try (RawConnection caller = connect()) {
-      for (int turn = 0; turn < TURNS; turn++) {
-        caller.send("GET /refused HTTP/1.1\r\nHost: a\r\n\r\n");
-        caller.read();
+  void awaitAllRead() throws IOException {
+    try (RawConnection client = connect()) {
+      for (int round = 0; round < READ_ROUNDS; round++) {
+        client.send("GET /refused HTTP/1.1\r\nHost: a\r\n\r\n");
+        client.read();
       }
     }
   }
@@ -268,14 +268,14 @@
   }
 
   /** Resets a caller's connection, in such a way that a write finds out. */
-  void breakCaller(RawConnection caller) throws IOException {
-    narrowCaller.disableIOEvent(IOEvent.READ);
-    caller.reset();
+  void breakClient(RawConnection client) throws IOException {
+    narrowClient.disableIOEvent(IOEvent.READ);
+    client.reset();
   }
 
   @Override
   public void close() throws IOException {
-    block.close();
+    selectorBlock.close();
     transport.stop();
     for (ServerSocket server : servers) {
       server.close();
@@ -330,13 +330,13 @@
     @Override
     public Either<Refusal, RequestPlan> plan(RequestHead head, long nowMillis) {
       String path = head.path();
-      block.pass(path);
+      selectorBlock.blockIfRequested(path);
       if (REFUSED_FOR.containsKey(path)) {
         return Either.left(Refusal.notRun(REFUSED_FOR.get(path)));
       }
       if (path.equals("/answered")) {
-        narrowCaller = accepted.get(narrowPort);
-        narrow(narrowCaller);
+        narrowClient = accepted.get(narrowPort);
+        narrow(narrowClient);
       }
       return Either.right(new Plan(path));
     }
@@ -345,7 +345,7 @@
     public void dispatch(Exchange exchange) {
       String path = ((Plan) exchange.plan()).path();
       if (path.equals("/after")) {
-        heldBack = exchange;
+        heldExchange = exchange;
       } else if (path.startsWith("/fault")) {
         if (path.equals("/fault-after-sending")) {
           send(exchange, 1);
@@ -370,9 +370,9 @@
     /** The end of a request lets in the one that was held back. */
     @Override
     public void ended(Exchange exchange, Verdict verdict) {
-      Exchange next = heldBack;
+      Exchange next = heldExchange;
       if (next != null && ((Plan) exchange.plan()) != null) {
-        heldBack = null;
+        heldExchange = null;
         send(next, 1);
       }
     }
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/ReadAheadTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/ReadAheadTest.java
@@ -16,7 +16,7 @@
 @Timeout(60)
 class ReadAheadTest extends InboundFixtureTest {
   private static final int MAX_PIPELINED = 16;
-  private static final int MAX_PIECE_BYTES = 500;
+  private static final int MAX_PART_BYTES = 500;
   private static final int BODY_BYTES = 4 * 1024 * 1024;
   private static final long SEED = 20;
 
@@ -29,64 +29,64 @@
 
   /** More requests than run at once, in pieces of any length. */
   @Test
-  void requestsReadAheadAreAnsweredInTheirOrder() throws Exception {
-    try (RawConnection caller = fixture.connect()) {
-      sendInPieces(caller, 10 * MAX_PIPELINED);
+  void requestsReadAheadAreAnsweredInOrder() throws Exception {
+    try (RawConnection client = fixture.connect()) {
+      sendInParts(client, 10 * MAX_PIPELINED);
       serveAll();
 
-      assertAnswered(caller, 10 * MAX_PIPELINED);
+      assertAnswered(client, 10 * MAX_PIPELINED);
     }
   }
 
   /** The end of the process must not take what was read and is not decoded. */
   @Test
   void requestsReadAheadAreAnsweredBeforeTheProcessEnds() throws Exception {
-    try (RawConnection caller = fixture.connect()) {
-      sendInPieces(caller, 3 * MAX_PIPELINED);
+    try (RawConnection client = fixture.connect()) {
+      sendInParts(client, 3 * MAX_PIPELINED);
       RawConnection first = fixture.acceptOrigin();
       final CompletableFuture<Void> drained = CompletableFuture.runAsync(this::drain);
       origins.execute(() -> serve(first));
       serveAll();
 
-      assertAnswered(caller, 3 * MAX_PIPELINED);
-      caller.socket.close();
+      assertAnswered(client, 3 * MAX_PIPELINED);
+      client.socket.close();
       drained.join();
     }
   }
 
   /** Longer than what the sockets on its way take while the origin reads nothing. */
   @Test
-  void aBodyReadAheadReachesItsOriginUnchanged() throws Exception {
+  void bodyReadAheadReachesItsOriginUnchanged() throws Exception {
     byte[] body = new byte[BODY_BYTES];
     new Random(SEED).nextBytes(body);
-    try (RawConnection origin = fixture.restingOrigin();
-        RawConnection caller = fixture.connect()) {
+    try (RawConnection origin = fixture.idleOriginConnection();
+        RawConnection client = fixture.connect()) {
       final CompletableFuture<Void> sent =
-          CompletableFuture.runAsync(() -> sendUpload(caller, body));
+          CompletableFuture.runAsync(() -> sendUpload(client, body));
       assertThat(origin.readHead()).startsWith("POST /upload ");
       assertThat(origin.input().readNBytes(BODY_BYTES)).isEqualTo(body);
       origin.send("HTTP/1.1 204 No Content\r\n\r\n");
 
-      assertThat(caller.read().status()).isEqualTo(204);
+      assertThat(client.read().status()).isEqualTo(204);
       sent.join();
     }
   }
 
   /** The end lies behind bytes that no filter has taken. */
   @Test
-  void theEndOfACallerIsNoticedBehindWhatWasReadAhead() throws Exception {
-    try (RawConnection origin = fixture.restingOrigin();
-        RawConnection caller = fixture.connect()) {
-      caller.send(InboundFixture.get("/abandoned").repeat(MAX_PIPELINED + 1));
+  void clientCloseIsNoticedBehindBytesReadAhead() throws Exception {
+    try (RawConnection origin = fixture.idleOriginConnection();
+        RawConnection client = fixture.connect()) {
+      client.send(InboundFixture.get("/abandoned").repeat(MAX_PIPELINED + 1));
       assertThat(origin.readHead()).startsWith("GET /abandoned ");
-      caller.send(InboundFixture.get("/behind").repeat(2 * MAX_PIPELINED));
-      caller.socket.close();
+      client.send(InboundFixture.get("/behind").repeat(2 * MAX_PIPELINED));
+      client.socket.close();
 
       assertThat(origin.endsNow()).isTrue();
     }
   }
 
-  private static void sendInPieces(RawConnection caller, int count) throws IOException {
+  private static void sendInParts(RawConnection client, int count) throws IOException {
     StringBuilder requests = new StringBuilder();
     for (int number = 0; number < count; number++) {
       requests.append(InboundFixture.get("/" + number));
@@ -94,25 +94,25 @@
     Random random = new Random(SEED);
     int start = 0;
     while (start < requests.length()) {
-      int end = Math.min(requests.length(), start + 1 + random.nextInt(MAX_PIECE_BYTES));
-      caller.send(requests.substring(start, end));
+      int end = Math.min(requests.length(), start + 1 + random.nextInt(MAX_PART_BYTES));
+      client.send(requests.substring(start, end));
       start = end;
     }
   }
 
-  private static void sendUpload(RawConnection caller, byte[] body) {
+  private static void sendUpload(RawConnection client, byte[] body) {
     try {
-      caller.send(
+      client.send(
           "POST /upload HTTP/1.1\r\nHost: a\r\nContent-Length: " + body.length + "\r\n\r\n");
-      caller.send(body);
+      client.send(body);
     } catch (IOException lost) {
       throw new UncheckedIOException(lost);
     }
   }
 
-  private static void assertAnswered(RawConnection caller, int count) throws IOException {
+  private static void assertAnswered(RawConnection client, int count) throws IOException {
     for (int number = 0; number < count; number++) {
-      assertThat(caller.read().body()).isEqualTo("/" + number);
+      assertThat(client.read().body()).isEqualTo("/" + number);
     }
   }
 
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/RequestSmugglingTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/RequestSmugglingTest.java
@@ -57,15 +57,15 @@
         "CONNECT a:1 HTTP/1.1~Host: a~~",
         "PRI * HTTP/2.0~~SM~~",
       })
-  void refusesDoubtfulHeads(String request) throws IOException {
-    try (ScriptedBackend backend = new ScriptedBackend(ScriptedBackend.answering(OK));
+  void refusesAmbiguousHeads(String request) throws IOException {
+    try (ScriptedBackend backend = new ScriptedBackend(ScriptedBackend.respondingWith(OK));
         ProxyFixture fixture = new ProxyFixture(backend);
-        RawConnection caller = fixture.connect()) {
-      caller.send(request.replace("~", "\r\n"));
-      RawConnection.Message answer = caller.read();
-      assertThat(answer.status()).isEqualTo(400);
-      assertThat(answer.header("Umberpath-Verdict")).isEqualTo("not-run; reason=bad-request");
-      assertThat(caller.endsNow()).isTrue();
+        RawConnection client = fixture.connect()) {
+      client.send(request.replace("~", "\r\n"));
+      RawConnection.Message response = client.read();
+      assertThat(response.status()).isEqualTo(400);
+      assertThat(response.header("Umberpath-Verdict")).isEqualTo("not-run; reason=bad-request");
+      assertThat(client.endsNow()).isTrue();
       assertThat(backend.connections).hasValue(0);
     }
   }
@@ -90,59 +90,59 @@
         "1~a~0~no colon~~",
         "1~a~0~X: a\nb~~",
       })
-  void cutsDoubtfulBodiesOff(String body) throws IOException {
-    try (ScriptedBackend backend = new ScriptedBackend(ScriptedBackend.answering(OK));
+  void rejectsAmbiguousBodies(String body) throws IOException {
+    try (ScriptedBackend backend = new ScriptedBackend(ScriptedBackend.respondingWith(OK));
         ProxyFixture fixture = new ProxyFixture(backend);
-        RawConnection caller = fixture.connect()) {
-      caller.send("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n");
-      caller.send(body.replace("~", "\r\n"));
-      RawConnection.Message answer = caller.read();
-      assertThat(answer.status()).isEqualTo(400);
-      assertThat(answer.header("Umberpath-Verdict")).endsWith("run; reason=bad-request");
-      assertThat(caller.endsNow()).isTrue();
+        RawConnection client = fixture.connect()) {
+      client.send("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n");
+      client.send(body.replace("~", "\r\n"));
+      RawConnection.Message response = client.read();
+      assertThat(response.status()).isEqualTo(400);
+      assertThat(response.header("Umberpath-Verdict")).endsWith("run; reason=bad-request");
+      assertThat(client.endsNow()).isTrue();
       assertThat(backend.runs).hasValue(0);
     }
   }
 
   @Test
   void refusesHeadsBeyondTheLimit() throws IOException {
-    try (ScriptedBackend backend = new ScriptedBackend(ScriptedBackend.answering(OK));
+    try (ScriptedBackend backend = new ScriptedBackend(ScriptedBackend.respondingWith(OK));
         ProxyFixture fixture = new ProxyFixture(backend);
-        RawConnection caller = fixture.connect()) {
+        RawConnection client = fixture.connect()) {
       String filler = "a".repeat(ProxyFixture.MAX_HEADER_BYTES);
-      caller.send("GET / HTTP/1.1\r\nHost: a\r\nX: " + filler + "\r\n\r\n");
-      RawConnection.Message answer = caller.read();
-      assertThat(answer.status()).isEqualTo(413);
-      assertThat(answer.header("Umberpath-Verdict")).isEqualTo("not-run; reason=too-large");
+      client.send("GET / HTTP/1.1\r\nHost: a\r\nX: " + filler + "\r\n\r\n");
+      RawConnection.Message response = client.read();
+      assertThat(response.status()).isEqualTo(413);
+      assertThat(response.header("Umberpath-Verdict")).isEqualTo("not-run; reason=too-large");
       assertThat(backend.connections).hasValue(0);
     }
   }
 
   @Test
   void refusesBodiesBeyondTheLimitBeforeTheyAreSent() throws IOException {
-    try (ScriptedBackend backend = new ScriptedBackend(ScriptedBackend.answering(OK));
+    try (ScriptedBackend backend = new ScriptedBackend(ScriptedBackend.respondingWith(OK));
         ProxyFixture fixture = new ProxyFixture(backend);
-        RawConnection caller = fixture.connect()) {
+        RawConnection client = fixture.connect()) {
       long length = ProxyFixture.MAX_BODY_BYTES + 1;
-      caller.send("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: " + length + "\r\n\r\n");
-      RawConnection.Message answer = caller.read();
-      assertThat(answer.status()).isEqualTo(413);
-      assertThat(answer.header("Umberpath-Verdict")).isEqualTo("not-run; reason=too-large");
+      client.send("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: " + length + "\r\n\r\n");
+      RawConnection.Message response = client.read();
+      assertThat(response.status()).isEqualTo(413);
+      assertThat(response.header("Umberpath-Verdict")).isEqualTo("not-run; reason=too-large");
       assertThat(backend.connections).hasValue(0);
     }
   }
 
   @Test
   void framesBodiesOfUpgradeRequests() throws IOException {
-    try (ScriptedBackend backend = new ScriptedBackend(ScriptedBackend.answering(OK));
+    try (ScriptedBackend backend = new ScriptedBackend(ScriptedBackend.respondingWith(OK));
         ProxyFixture fixture = new ProxyFixture(backend);
-        RawConnection caller = fixture.connect()) {
-      caller.send(
+        RawConnection client = fixture.connect()) {
+      client.send(
           "POST /1 HTTP/1.1\r\nHost: a\r\nUpgrade: h2c\r\nConnection: Upgrade\r\n"
               + "Content-Length: 4\r\n\r\nabcdPOST /2 HTTP/1.1\r\nHost: a\r\n"
               + "Content-Length: 0\r\n\r\n");
-      assertThat(caller.read().status()).isEqualTo(200);
-      assertThat(caller.read().status()).isEqualTo(200);
+      assertThat(client.read().status()).isEqualTo(200);
+      assertThat(client.read().status()).isEqualTo(200);
       assertThat(backend.requests.remove().body()).isEqualTo("abcd");
       assertThat(backend.requests.remove().head()).startsWith("POST /2 ");
     }
--- /dev/null
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/ResponseAtDeadlineTest.java
@@ -0,0 +1,119 @@
+package io.umberpath.node.proxy;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.io.EOFException;
+import java.io.IOException;
+import java.time.Duration;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+
+/** An answer that is on its way when its deadline passes. */
+@Timeout(60)
+class ResponseAtDeadlineTest {
+  private static final int HALF_BYTES = 100_000;
+  private static final long DEADLINE_MILLIS = 30_000;
+  private static final long JUST_BEFORE_MILLIS = 300;
+  private static final long STALL_MILLIS = 2_000;
+
+  /** Long enough for the proxy to look at its deadlines. */
+  private static final long DEADLINE_CHECK_MILLIS = 200;
+
+  private static final int TIMEOUT_SECONDS = 20;
+
+  private final CountDownLatch requestReceived = new CountDownLatch(1);
+  private final CountDownLatch responseStarted = new CountDownLatch(1);
+  private final CountDownLatch secondHalfReleased = new CountDownLatch(1);
+  private ScriptedBackend backend;
+  private ProxyFixture fixture;
+
+  @BeforeEach
+  void start() throws IOException {
+    backend = new ScriptedBackend(this::respondInHalves);
+    fixture = new ProxyFixture(backend);
+  }
+
+  @AfterEach
+  void stop() throws IOException {
+    responseStarted.countDown();
+    secondHalfReleased.countDown();
+    fixture.close();
+    backend.close();
+  }
+
+  private void respondInHalves(ScriptedBackend self, RawConnection connection) throws IOException {
+    for (var request = connection.read(); request != null; request = connection.read()) {
+      requestReceived.countDown();
+      await(responseStarted);
+      connection.send("HTTP/1.1 200 OK\r\nContent-Length: " + 2 * HALF_BYTES + "\r\n\r\n");
+      connection.send("x".repeat(HALF_BYTES));
+      await(secondHalfReleased);
+      connection.send("x".repeat(HALF_BYTES));
+    }
+  }
+
+  private static void await(CountDownLatch latch) {
+    try {
+      assertThat(latch.await(TIMEOUT_SECONDS, TimeUnit.SECONDS)).isTrue();
+    } catch (InterruptedException ended) {
+      Thread.currentThread().interrupt();
+    }
+  }
+
+  private static String request(long deadlineMillis) {
+    return "GET / HTTP/1.1\r\nHost: a\r\nUmberpath-Deadline-Ms: " + deadlineMillis + "\r\n\r\n";
+  }
+
+  /** Cutting it off would end the connection, with the answers behind it. */
+  @Test
+  void continuesWithPipelinedResponsesWhileBeingSent() throws Exception {
+    try (RawConnection client = fixture.connect()) {
+      client.send(request(DEADLINE_MILLIS) + request(ProxyFixture.TIMEOUT_MILLIS));
+      startResponseJustBeforeDeadline(client);
+      fixture.advance(2 * JUST_BEFORE_MILLIS);
+      Thread.sleep(DEADLINE_CHECK_MILLIS);
+      secondHalfReleased.countDown();
+
+      assertThat(client.input().readNBytes(HALF_BYTES)).hasSize(HALF_BYTES);
+      assertThat(client.read().body()).hasSize(2 * HALF_BYTES);
+    }
+  }
+
+  /** The same at the end of a planned stop, when work that has not been answered is cut off. */
+  @Test
+  void continuesWhenDrainTimeoutAbortsOtherRequests() throws Exception {
+    try (RawConnection client = fixture.connect()) {
+      client.send(request(DEADLINE_MILLIS));
+      startResponseJustBeforeDeadline(client);
+      assertThat(fixture.edge.drain(Duration.ofMillis(DEADLINE_CHECK_MILLIS))).isFalse();
+      secondHalfReleased.countDown();
+
+      assertThat(client.input().readNBytes(HALF_BYTES)).hasSize(HALF_BYTES);
+    }
+  }
+
+  @Test
+  void isTruncatedOnceItStalls() throws Exception {
+    try (RawConnection client = fixture.connect()) {
+      client.send(request(DEADLINE_MILLIS));
+      startResponseJustBeforeDeadline(client);
+      fixture.advance(STALL_MILLIS);
+
+      assertThat(client.input().readNBytes(HALF_BYTES)).isEmpty();
+    } catch (EOFException truncated) {
+      assertThat(truncated).isNotNull();
+    }
+  }
+
+  private void startResponseJustBeforeDeadline(RawConnection client) throws IOException {
+    await(requestReceived);
+    fixture.advance(DEADLINE_MILLIS - JUST_BEFORE_MILLIS);
+    responseStarted.countDown();
+    assertThat(client.readHead()).startsWith("HTTP/1.1 200");
+    client.input().readNBytes(HALF_BYTES);
+  }
+}
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/ScriptedBackend.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/ScriptedBackend.java
@@ -33,13 +33,13 @@
   }
 
   /** Answers every request with the same raw bytes. */
-  static Script answering(String answer) {
+  static Script respondingWith(String response) {
     return (backend, connection) -> {
       for (RawConnection.Message request = connection.read();
           request != null;
           request = connection.read()) {
         backend.ran(request);
-        connection.send(answer);
+        connection.send(response);
       }
     };
   }
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/TransferTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/TransferTest.java
@@ -26,7 +26,7 @@
   private static final int BLOCK_BYTES = 64 * 1024;
 
   @Test
-  void streamsLargeBodiesBothWaysThroughASmallHeap() throws Exception {
+  void streamsLargeBodiesThroughASmallHeap() throws Exception {
     CountDownLatch mayRead = new CountDownLatch(1);
     ScriptedBackend.Script script =
         (backend, connection) -> {
@@ -40,15 +40,15 @@
         };
     try (ScriptedBackend backend = new ScriptedBackend(script)) {
       Process node = startNode(backend.port(), SMALL_HEAP_MEGABYTES);
-      try (RawConnection caller = new RawConnection(portOf(node))) {
+      try (RawConnection client = new RawConnection(portOf(node))) {
         CompletableFuture<Void> upload =
-            CompletableFuture.runAsync(() -> upload(caller, LARGE_BYTES));
+            CompletableFuture.runAsync(() -> upload(client, LARGE_BYTES));
         // A pause in which a proxy without back pressure would fill its heap.
         TimeUnit.MILLISECONDS.sleep(300);
         assertThat(upload).isNotDone();
         mayRead.countDown();
-        assertThat(caller.readHead()).startsWith("HTTP/1.1 200");
-        long answered = checksum(caller, LARGE_BYTES);
+        assertThat(client.readHead()).startsWith("HTTP/1.1 200");
+        long answered = checksum(client, LARGE_BYTES);
         upload.get(30, TimeUnit.SECONDS);
         assertThat(answered).isEqualTo(checksumOfLarge(LARGE_BYTES));
         assertThat(backend.requests.remove().body()).isEqualTo(Long.toString(answered));
@@ -81,7 +81,7 @@
   }
 
   @Test
-  void finishesAnUploadDuringAPlannedStopAndRefusesNewWork() throws Exception {
+  void completesAnUploadWhileDrainingAndRefusesNewRequests() throws Exception {
     int size = 4 * BLOCK_BYTES;
     CountDownLatch begun = new CountDownLatch(1);
     ScriptedBackend.Script script =
@@ -120,9 +120,9 @@
   private static RawConnection.Message refusalOf(RawConnection idle) throws IOException {
     while (true) {
       idle.send("GET /%2 HTTP/1.1\r\nHost: a\r\nUmberpath-Deadline-Ms: 0\r\n\r\n");
-      RawConnection.Message answer = idle.read();
-      if (!answer.header("Umberpath-Verdict").endsWith("deadline")) {
-        return answer;
+      RawConnection.Message response = idle.read();
+      if (!response.header("Umberpath-Verdict").endsWith("deadline")) {
+        return response;
       }
     }
   }
@@ -139,7 +139,7 @@
   }
 
   @Test
-  void cutsOffWhatTheBoundOfAPlannedStopLeaves() throws Exception {
+  void abortsRequestsAtTheDrainTimeout() throws Exception {
     ScriptedBackend.Script silent =
         (backend, connection) -> {
           backend.ran(connection.read());
@@ -147,45 +147,46 @@
         };
     try (ScriptedBackend backend = new ScriptedBackend(silent);
         ProxyFixture fixture = new ProxyFixture(backend);
-        RawConnection caller = fixture.connect()) {
-      caller.send("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n");
+        RawConnection client = fixture.connect()) {
+      client.send("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n");
       BackendMonitorTest.await(() -> backend.runs.get() == 1);
       assertThat(fixture.edge.drain(Duration.ofMillis(100))).isFalse();
-      RawConnection.Message answer = caller.read();
-      assertThat(answer.header("Umberpath-Verdict")).isEqualTo("may-have-run; reason=draining");
+      RawConnection.Message response = client.read();
+      assertThat(response.header("Umberpath-Verdict")).isEqualTo("may-have-run; reason=draining");
       assertThat(backend.runs).hasValue(1);
     }
   }
 
   @Test
-  void failsNoCallBecauseOfThousandsOfSwitches() throws Exception {
-    int switches = 5_000;
+  void failsNoCallDuringThousandsOfConfigurationChanges() throws Exception {
+    int changes = 5_000;
     AtomicBoolean over = new AtomicBoolean();
     AtomicInteger calls = new AtomicInteger();
-    try (ScriptedBackend one = new ScriptedBackend(ScriptedBackend.answering(OK));
-        ScriptedBackend other = new ScriptedBackend(ScriptedBackend.answering(OK));
+    try (ScriptedBackend one = new ScriptedBackend(ScriptedBackend.respondingWith(OK));
+        ScriptedBackend other = new ScriptedBackend(ScriptedBackend.respondingWith(OK));
         ProxyFixture fixture = new ProxyFixture(one, other)) {
-      List<CompletableFuture<Void>> callers =
+      List<CompletableFuture<Void>> clients =
           List.of(
               CompletableFuture.runAsync(() -> callUntil(over, fixture, calls)),
               CompletableFuture.runAsync(() -> callUntil(over, fixture, calls)),
               CompletableFuture.runAsync(() -> callUntil(over, fixture, calls)));
       var both = fixture.control.snapshot.pools().get("pool").backends();
-      for (int round = 1; round <= switches; round++) {
-        var kept = both.subList(round % 3 == 0 ? 0 : round % 3 - 1, round % 3 == 0 ? 2 : round % 3);
+      for (int round = 1; round <= changes; round++) {
+        var subset =
+            both.subList(round % 3 == 0 ? 0 : round % 3 - 1, round % 3 == 0 ? 2 : round % 3);
         fixture.control.snapshot =
             ProxyFixture.snapshot(
                 round,
                 ProxyFixture.TIMEOUT_MILLIS,
-                kept.stream().map(ProxySnapshot.BackendView::address).toList());
+                subset.stream().map(ProxySnapshot.BackendView::address).toList());
         int seen = calls.get();
         if (round % 10 == 0) {
           BackendMonitorTest.await(() -> calls.get() > seen);
         }
       }
       over.set(true);
-      for (CompletableFuture<Void> caller : callers) {
-        caller.get(30, TimeUnit.SECONDS);
+      for (CompletableFuture<Void> client : clients) {
+        client.get(30, TimeUnit.SECONDS);
       }
       assertThat(one.runs.get() + other.runs.get()).isEqualTo(calls.get());
       assertThat(one.runs.get()).isPositive();
@@ -194,11 +195,11 @@
   }
 
   private static void callUntil(AtomicBoolean over, ProxyFixture fixture, AtomicInteger calls) {
-    try (RawConnection caller = fixture.connect()) {
+    try (RawConnection client = fixture.connect()) {
       while (!over.get()) {
-        caller.send("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\nx");
-        RawConnection.Message answer = caller.read();
-        assertThat(answer.head()).startsWith("HTTP/1.1 200");
+        client.send("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\nx");
+        RawConnection.Message response = client.read();
+        assertThat(response.head()).startsWith("HTTP/1.1 200");
         calls.incrementAndGet();
       }
     } catch (IOException error) {
@@ -218,10 +219,10 @@
     return "POST /photos HTTP/1.1\r\nHost: a\r\nContent-Length: " + size + "\r\n\r\n";
   }
 
-  private static void upload(RawConnection caller, int size) {
+  private static void upload(RawConnection client, int size) {
     try {
-      caller.send(uploadHead(size));
-      sendLarge(caller, size);
+      client.send(uploadHead(size));
+      sendLarge(client, size);
     } catch (IOException error) {
       throw new AssertionError(error);
     }
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/UnreadRequestTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/UnreadRequestTest.java
@@ -18,84 +18,84 @@
 @Timeout(60)
 class UnreadRequestTest extends InboundFixtureTest {
   private static final long IDLE_MILLIS = 15_000;
-  private static final long DISCARD_MILLIS = 2_000;
+  private static final long LINGER_MILLIS = 2_000;
 
   @Test
-  void isAnsweredThoughTheConnectionSeemedToRestForTooLong() throws Exception {
-    try (RawConnection caller = fixture.connect()) {
-      fixture.exchange(caller);
-      fixture.blockReading();
-      caller.send(InboundFixture.REFUSED);
+  void isAnsweredThoughTheConnectionSeemedIdleForTooLong() throws Exception {
+    try (RawConnection client = fixture.connect()) {
+      fixture.exchange(client);
+      fixture.blockSelector();
+      client.send(InboundFixture.REFUSED);
       fixture.advance(IDLE_MILLIS);
-      fixture.filter().expire(IDLE_MILLIS, DISCARD_MILLIS);
-      fixture.readOn();
+      fixture.filter().expire(IDLE_MILLIS, LINGER_MILLIS);
+      fixture.unblockSelector();
 
-      Message answer = caller.read();
-      assertThat(answer).as("the connection was closed").isNotNull();
-      assertThat(answer.status()).isEqualTo(404);
+      Message response = client.read();
+      assertThat(response).as("the connection was closed").isNotNull();
+      assertThat(response.status()).isEqualTo(404);
     }
   }
 
   @Test
-  void aConnectionThatRestsIsEnded() throws Exception {
-    try (RawConnection caller = fixture.connect()) {
-      fixture.exchange(caller);
+  void idleConnectionIsEnded() throws Exception {
+    try (RawConnection client = fixture.connect()) {
+      fixture.exchange(client);
       fixture.advance(IDLE_MILLIS);
-      fixture.filter().expire(IDLE_MILLIS, DISCARD_MILLIS);
+      fixture.filter().expire(IDLE_MILLIS, LINGER_MILLIS);
 
-      assertThat(caller.endsNow()).isTrue();
+      assertThat(client.endsNow()).isTrue();
     }
   }
 
   /** It arrives while the thread that reads is busy with the request in front. */
   @Test
-  void isAnsweredThoughTheNodeLeavesWithTheAnswerInFront() throws Exception {
-    try (RawConnection caller = fixture.connect()) {
-      fixture.exchange(caller);
-      fixture.leave();
-      fixture.blockReadingBehind(caller, "");
-      caller.send(InboundFixture.REFUSED);
-      fixture.readOn();
+  void isAnsweredThoughTheNodeDrainsWithThePreviousResponse() throws Exception {
+    try (RawConnection client = fixture.connect()) {
+      fixture.exchange(client);
+      fixture.startDraining();
+      fixture.blockSelectorBehind(client, "");
+      client.send(InboundFixture.REFUSED);
+      fixture.unblockSelector();
 
-      assertAnsweredLast(caller);
+      assertLastResponseCloses(client);
     }
   }
 
   /** The codec has it in hand while the request in front is answered. */
   @Test
-  void isAnsweredThoughItWasReadTogetherWithTheOneInFront() throws Exception {
-    try (RawConnection caller = fixture.connect()) {
-      fixture.leave();
-      caller.send(InboundFixture.REFUSED + InboundFixture.REFUSED);
+  void isAnsweredThoughItWasReadWithThePreviousRequest() throws Exception {
+    try (RawConnection client = fixture.connect()) {
+      fixture.startDraining();
+      client.send(InboundFixture.REFUSED + InboundFixture.REFUSED);
 
-      assertAnsweredLast(caller);
+      assertLastResponseCloses(client);
     }
   }
 
   /** The end of the process does not wait for what the codec has in hand. */
   @Test
-  void isAnsweredThoughTheConnectionEndsAtRest() throws Exception {
-    try (RawConnection caller = fixture.connect()) {
-      fixture.exchange(caller);
-      fixture.blockReadingBehind(caller, "");
-      caller.send(InboundFixture.REFUSED + InboundFixture.REFUSED);
+  void isAnsweredThoughTheConnectionEndsWhenIdle() throws Exception {
+    try (RawConnection client = fixture.connect()) {
+      fixture.exchange(client);
+      fixture.blockSelectorBehind(client, "");
+      client.send(InboundFixture.REFUSED + InboundFixture.REFUSED);
       fixture.filter().endConnections();
-      fixture.readOn();
+      fixture.unblockSelector();
 
       for (int count = 0; count < 3; count++) {
-        assertThat(caller.read().status()).isEqualTo(404);
+        assertThat(client.read().status()).isEqualTo(404);
       }
-      assertThat(caller.read()).isNull();
+      assertThat(client.read()).isNull();
     }
   }
 
-  private static void assertAnsweredLast(RawConnection caller) throws Exception {
-    RawConnection.Message first = caller.read();
+  private static void assertLastResponseCloses(RawConnection client) throws Exception {
+    RawConnection.Message first = client.read();
     assertThat(first.status()).isEqualTo(404);
     assertThat(first.header("Connection")).isNull();
-    RawConnection.Message second = caller.read();
+    RawConnection.Message second = client.read();
     assertThat(second).as("the connection ended over a request").isNotNull();
     assertThat(second.header("Connection")).isEqualTo("close");
-    assertThat(caller.read()).isNull();
+    assertThat(client.read()).isNull();
   }
 }
