--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/ProxyTransport.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/ProxyTransport.java
@@ -120,8 +120,8 @@
 
   /**
    * Runs a timeout check at once, or, if reading is behind, after the pending input has been read:
-   * a selector thread that got no CPU may have unread the response, or the opened connection, that
-   * the timer misses. A check that is already pending is not queued again.
+   * a selector thread that got no CPU may not yet have read the response, or handled the opened
+   * connection, that the timer misses. A check that is already pending is not queued again.
    *
    * @param isTimerLate whether the calling timer itself got no CPU
    * @return whether the check ran at once
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/SlotGate.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/SlotGate.java
@@ -97,7 +97,8 @@
   /** Refuses all queued requests as not run, so that they are sent elsewhere at once. */
   public void handBackWaiting() {
     for (SlotRequest request : byExchange.values()) {
-      // Only requests that are not admitted at this moment: the refusal says that they did not run.
+      // Only requests that have not been admitted in this moment: the refusal says that they did
+      // not run.
       if (request.state().compareAndSet(SlotState.REQUESTED, SlotState.ENDED)) {
         forget(request);
         cancel(request.id());
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/AcceptQueueTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/AcceptQueueTest.java
@@ -14,7 +14,10 @@
   private static final int CONNECTIONS = 64;
   private static final int MAX_ITERATIONS = 8;
 
-  /** Each connection waited for a turn of the selector of its own, and its request as long. */
+  /**
+   * If only one connection were accepted per event loop iteration, each connection and its request
+   * would wait for another iteration.
+   */
   @Test
   void requestsOfQueuedConnectionsAreReadWithinFewIterations() throws Exception {
     List<RawConnection> clients = new ArrayList<>();
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/BackendFaultTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/BackendFaultTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * For each point in an exchange and each fault of the back end: the verdict, how often the request
- * was handed to a back end, and what the caller gets. Two back ends share one script in which the
- * first request meets the fault and every later one is answered, so that a second delivery shows.
+ * For each point in an exchange and each fault of the backend: the verdict, the number of
+ * deliveries to a backend, and the response. Two backends share one script in which the first
+ * request meets the fault and every later one succeeds, so that a second delivery is counted.
  */
 class BackendFaultTest {
   private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
@@ -27,7 +27,9 @@
     HALF_BODY,
     BODY_SENT,
     HALF_HEAD_OF_ANSWER,
-    /** The first half of an answer that is passed on only when it is whole. */
+    /**
+     * The first half of a response that is short enough to be forwarded only when it is complete.
+     */
     HALF_SHORT_ANSWER,
     HALF_ANSWER,
     HALF_CHUNKED_ANSWER,
@@ -42,7 +44,7 @@
     OTHER_ANSWER
   }
 
-  /** Counts deliveries over both back ends and plays the fault to the first. */
+  /** Counts deliveries to both backends and applies the fault to the first. */
   private static final class Script implements ScriptedBackend.Script {
     final AtomicInteger deliveries = new AtomicInteger();
     final AtomicInteger runs = new AtomicInteger();
@@ -139,7 +141,7 @@
     }
   }
 
-  /** Point, fault, method (PUT may be repeated, POST not), status, verdict, deliveries. */
+  /** Point, fault, method (PUT may be retried, POST not), status, verdict, deliveries. */
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
@@ -206,8 +208,8 @@
       assertThat(script.deliveries).hasValue(deliveries);
       assertThat(script.runs.get()).isLessThanOrEqualTo(deliveries);
       script.clientAnswered.countDown();
-      // Without an id an answer that comes after the next request was sent cannot be told from its
-      // own; refusesAnAnswerThatNamesAnotherRequest covers that order.
+      // Without an id, a response that arrives after the next request was sent cannot be told from
+      // that request's own; refusesResponseWithAnotherRequestId covers that order.
       await(script.faultOver);
       assertNextResponseIsItsOwn(client);
     }
@@ -262,7 +264,7 @@
     assertThat(next.body()).isEqualTo("ok");
   }
 
-  /** An answer that has begun can only be cut off visibly. */
+  /** A response whose start has been forwarded can only be truncated visibly. */
   @ParameterizedTest
   @CsvSource({
     "HALF_ANSWER, RESET",
@@ -283,8 +285,8 @@
       client.send(request("PUT", DEADLINE_MILLIS));
       String begun = "";
       if (fault == Fault.SILENCE) {
-        // The back end has sent the beginning, but until the proxy has passed it on the deadline
-        // ends the request with a whole 504, and rightly so.
+        // The backend has sent the start of the response, but until the proxy has forwarded it, the
+        // deadline correctly ends the request with a complete 504.
         begun = readUntil(client, "01234");
         fixture.advance(DEADLINE_MILLIS);
       }
@@ -295,7 +297,10 @@
     }
   }
 
-  /** Nothing of it has gone out, so that the request is sent again where it may be. */
+  /**
+   * Nothing of the response has been forwarded, so that the request is retried where that is
+   * permitted.
+   */
   @ParameterizedTest
   @CsvSource({"PUT, RESET, 200", "PUT, CLOSE, 200", "POST, RESET, 502", "POST, CLOSE, 502"})
   void truncatedShortResponseFailsOnlyItsRequest(String method, Fault fault, int status)
@@ -330,7 +335,7 @@
     } catch (java.net.SocketException reset) {
       received.append("[reset]");
     } catch (IOException other) {
-      throw new AssertionError("the caller's connection was left open: " + received, other);
+      throw new AssertionError("the client's connection was left open: " + received, other);
     }
     return received.toString();
   }
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/BackendMonitorTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/BackendMonitorTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a node tells the fleet about the back end beside it, and what that does to calls. */
+/** What a node reports to the fleet about the backend beside it, and how that affects calls. */
 class BackendMonitorTest {
   private static final String READY = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nready";
 
@@ -91,7 +91,7 @@
     }
   }
 
-  /** Whole seconds would leave a back end of few slots idle; callers see only those. */
+  /** Whole seconds would leave a backend with few slots idle; clients get only those. */
   @Test
   void sendsRetryAfterToOtherNodesInMilliseconds() throws IOException {
     String shedding = "HTTP/1.1 503 Busy\r\nRetry-After: 7\r\nContent-Length: 0\r\n\r\n";
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/BrokenQueuedWriteTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/BrokenQueuedWriteTest.java
@@ -10,25 +10,23 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * A connection breaks while bytes wait in its write queue, and the write of these bytes is what
- * finds out.
+ * A connection breaks while bytes wait in its write queue, and writing these bytes finds out.
  *
- * <p>What happened: a caller whose upload failed read bytes that are no answer in the protocol. An
- * upload's pieces waited in the write queue of the origin's connection; the origin had lost its
- * power. Its connection was reset just before the queue was written on, so that this write failed,
- * and not a read. The transport fills one direct buffer per thread with the bytes of a queue,
- * writes it, and empties it when that write returns; but it reports a failed write as the end of
- * the connection before it returns. The refusal was written to the caller there and then, through
- * the same direct buffer behind the upload's bytes: the caller read its own upload and then the
- * refusal. Had the request been sent again, or another one been let in, the next origin would have
- * read them.
+ * <p>The transport gathers a write queue in one direct buffer per thread, writes it, and clears it
+ * when that write returns; but it reports a failed write as the close of the connection before the
+ * write returns. If the refusal is then written to the client within this call, it goes through the
+ * same direct buffer behind the bytes of the upload: a client whose upload failed read its own
+ * upload and then the refusal. A retried request, or another one admitted at that moment, would
+ * reach the next origin the same way. It happened when an origin lost power and its connection was
+ * reset just before its queue, with parts of an upload, was written, so that this write failed and
+ * not a read.
  *
- * <p>The lines that settled it: "attempt failed", then "GRIZZLY0013: Exception during FilterChain
- * execution, IllegalArgumentException: Position exceeds a limit: 608&gt;225 at
- * BuffersBuffer.setPosLim", then "request failed". The order says that the exception was thrown
- * within the write of the refusal; 225 bytes is the refusal, and 608 were written. The stack goes
- * from TCPNIOAsyncQueueWriter.writeCompositeRecord by terminate0 and the close of the origin's
- * connection to AnswerWriter.refusal and into the transport's write again.
+ * <p>In the log: "attempt failed", then "GRIZZLY0013: Exception during FilterChain execution,
+ * IllegalArgumentException: Position exceeds a limit: 608&gt;225 at BuffersBuffer.setPosLim", then
+ * "request failed". The exception was thrown within the write of the refusal: the refusal has 225
+ * bytes and 608 were written. The stack goes from TCPNIOAsyncQueueWriter.writeCompositeRecord by
+ * terminate0 and the close of the origin's connection to ResponseWriter.writeRefusal and into the
+ * transport's write again.
  */
 @Timeout(60)
 class BrokenQueuedWriteTest {
@@ -69,7 +67,7 @@
     assertThat(new String(body)).isEqualTo("may-have-run; reason=connection-lost\n");
   }
 
-  /** The connection carries on, and nothing but the answer has been written to it. */
+  /** The connection is still usable, and nothing but the response has been written to it. */
   private static void assertConnectionReusable(RawConnection client) throws IOException {
     client.send("GET /refused HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
     assertThat(client.readHead()).startsWith("HTTP/1.1 404 Not Found\r\n");
@@ -100,7 +98,7 @@
     }
   }
 
-  /** Its short rest is read and dropped; then the connection carries on. */
+  /** The short rest of the upload is read and discarded; then the connection is reused. */
   @Test
   void clientOfAnUnfinishedUploadReadsOnlyTheRefusal() throws Exception {
     try (RawConnection client = fixture.connect()) {
@@ -114,7 +112,10 @@
     }
   }
 
-  /** Its rest is read and dropped, across the borders of chunks; then the connection ends. */
+  /**
+   * The rest of the upload is read and discarded across chunk boundaries; then the connection
+   * closes.
+   */
   @Test
   void clientOfAnUnfinishedChunkedUploadReadsOnlyTheRefusal() throws Exception {
     try (RawConnection client = fixture.connect()) {
@@ -128,7 +129,7 @@
     }
   }
 
-  /** The request goes to another origin over a connection that rests. */
+  /** The request is retried at another origin over an idle connection. */
   @Test
   void retriedOriginReadsOnlyTheRequest() throws Exception {
     try (RawConnection client = fixture.connect()) {
@@ -147,7 +148,10 @@
     }
   }
 
-  /** A caller breaks while its answer waits in the queue; its end lets another request in. */
+  /**
+   * A client breaks while its response waits in the queue; the end of that exchange admits another
+   * request.
+   */
   @Test
   void originOfTheRequestAdmittedAfterABrokenClientReadsOnlyIt() throws Exception {
     try (RawConnection gone = fixture.connectNarrow();
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/ConnectionClosedByErrorTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/ConnectionClosedByErrorTest.java
@@ -6,7 +6,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** An exception of the program ends a caller's connection, which looks as if the caller had. */
+/**
+ * An error in the request handling closes a client's connection, which must not be taken for a
+ * close by the client.
+ */
 @Timeout(60)
 class ConnectionClosedByErrorTest extends InboundFixtureTest {
   @Test
@@ -19,7 +22,7 @@
     }
   }
 
-  /** A thread that is late handles requests in tasks of their own. */
+  /** A late thread handles requests in deferred tasks, outside of the filter chain. */
   @Test
   void errorInADeferredRequestClosesItsConnection() throws Exception {
     try (RawConnection client = fixture.connect();
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/FailingHandlerTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/FailingHandlerTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The program fails while it handles one request, and the requests of its connection are lost. */
+/** An error in the handling of one request must not lose the other requests of its connection. */
 @Timeout(60)
 class FailingHandlerTest {
   private static final String UPLOAD_HEAD = "Host: a\r\nContent-Length: 8\r\n\r\n";
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/FakeControlService.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/FakeControlService.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** A control side whose snapshot and observations a test sets. */
+/** A control service whose snapshot and observed backends are set by a test. */
 final class FakeControlService implements ControlService {
   final Map<String, ObservedBackend> observed = new ConcurrentHashMap<>();
   final List<ObservedBackend> published = new CopyOnWriteArrayList<>();
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/InboundFixture.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/InboundFixture.java
@@ -33,14 +33,14 @@
 import org.glassfish.grizzly.http.HttpRequestPacket;
 
 /**
- * A listener on one selector thread that can be kept from reading. Requests that it does not refuse
- * go to an origin that the test plays.
+ * A listener on one selector thread that can be blocked. Requests that it does not refuse are sent
+ * to an origin that the test plays.
  */
 final class InboundFixture implements AutoCloseable {
-  /** A request that is answered 404. */
+  /** A request that is answered with 404. */
   static final String REFUSED = "GET /refused HTTP/1.1\r\nHost: a\r\n\r\n";
 
-  /** A request whose handling fails once it has been begun. */
+  /** A request whose dispatch throws an error. */
   static final String FAULTY = "GET /faulty HTTP/1.1\r\nHost: a\r\n\r\n";
 
   private static final String FAULTY_PATH = "/faulty";
@@ -92,7 +92,9 @@
     return listener;
   }
 
-  /** Ends all connections; returns when that is done, or at a moment of the fixture's clock. */
+  /**
+   * Shuts down all connections; returns when they are closed, or at a time on the fixture's clock.
+   */
   void drain(long endMillis) throws InterruptedException {
     new ConnectionDrain(List.of(filter), clockMillis::get).run(endMillis);
   }
@@ -101,7 +103,7 @@
     return new RawConnection(port);
   }
 
-  /** From now on each answer is the last of its connection, if nothing is behind it. */
+  /** From now on each response closes its connection if no request is behind it. */
   void startDraining() {
     isDraining = true;
   }
@@ -113,18 +115,18 @@
     }
   }
 
-  /** A request that is sent on to the origin. */
+  /** A request that is sent to the origin. */
   static String get(String path) {
     return "GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\n";
   }
 
-  /** A request that is sent on to the origin, and is of use for so long. */
+  /** A request that is sent to the origin, with a deadline. */
   static String get(String path, long deadlineMillis) {
     String deadline = ProxyHeaders.DEADLINE + ": " + deadlineMillis;
     return "GET " + path + " HTTP/1.1\r\nHost: a\r\n" + deadline + "\r\n\r\n";
   }
 
-  /** The origin's end of a connection that has served a request and rests. */
+  /** The origin's end of an idle connection that has served a request. */
   RawConnection idleOriginConnection() throws IOException {
     try (RawConnection client = connect()) {
       client.send(get("/rest"));
@@ -136,14 +138,14 @@
     }
   }
 
-  /** The other end of a connection that was opened to the origin. */
+  /** The origin's end of a newly opened connection. */
   RawConnection acceptOrigin() throws IOException {
     RawConnection accepted = new RawConnection(origin.accept());
     accepted.socket.setSoTimeout((int) TIMEOUT_MILLIS);
     return accepted;
   }
 
-  /** Sends a request that waits until another one has ended. */
+  /** Sends a request that is held until another one has ended. */
   void sendHeldRequest(RawConnection client) throws IOException, InterruptedException {
     client.send(get(HELD_PATH));
     while (heldExchanges.isEmpty()) {
@@ -151,24 +153,24 @@
     }
   }
 
-  /** What the next request that is answered by the origin says of the time it took there. */
+  /** The service time that the next completed request reports. */
   long awaitServiceMicros() throws InterruptedException {
     return serviceMicros.take();
   }
 
-  /** Iterations of the event loop in which requests were decided on. */
+  /** Number of event loop iterations in which requests were planned. */
   int iterations() {
     return iterations.size();
   }
 
-  /** Sends a request and reads its answer; returns once the node knows that it is answered. */
+  /** Sends a request and reads its response; returns once the exchange has ended. */
   void exchange(RawConnection client) throws IOException, InterruptedException {
     client.send(REFUSED);
     assertThat(client.read().status()).isEqualTo(404);
     assertThat(active.awaitNone(TIMEOUT_MILLIS)).isTrue();
   }
 
-  /** The next connection that ends with requests unanswered; null if none does in time. */
+  /** The next connection that ends with unanswered requests; null after a timeout. */
   UnansweredRequests awaitUnanswered() throws InterruptedException {
     return unanswered.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
   }
@@ -177,33 +179,33 @@
     clockMillis.addAndGet(millis);
   }
 
-  /** Checks now, or once the thread that reads has read what has arrived. */
+  /** Runs a check now, or once the selector thread has read the pending input. */
   void checkTimeouts(Runnable check) {
     transport.checkTimeouts(check, false);
   }
 
-  /** What the timer of a node does, here on the calling thread. */
+  /** The deadline check of a node's timer, run on the calling thread. */
   void expireRequests() {
     transport.checkTimeouts(() -> active.expire(clockMillis.get()), false);
   }
 
-  /** The same for connections that do not open. */
+  /** The same for connection attempts that have timed out. */
   void expireConnectionAttempts() {
     transport.checkTimeouts(pool::giveUpLate, false);
   }
 
-  /** Returns once the thread that reads stands still. */
+  /** Returns once the selector thread is blocked. */
   void blockSelector() throws IOException, InterruptedException {
     selectorBlock.block(connect());
   }
 
-  /** The same, in the turn in which it has read a request of the caller. */
+  /** The same, in the iteration in which it has read a request of the client. */
   void blockSelectorBehind(RawConnection client, String request)
       throws IOException, InterruptedException {
     selectorBlock.blockBehind(client, request);
   }
 
-  /** Returns once the thread that stands still is late. */
+  /** Returns once the blocked thread is late. */
   void awaitLateness() throws InterruptedException {
     selectorBlock.awaitLateness();
   }
@@ -212,7 +214,7 @@
     selectorBlock.release();
   }
 
-  /** Reads on once the thread is late by {@link SelectorBlock#LATE_MILLIS}. */
+  /** Unblocks the selector thread once it is late by {@link SelectorBlock#LATE_MILLIS}. */
   void unblockSelectorLate() throws InterruptedException {
     selectorBlock.releaseLate();
   }
@@ -258,7 +260,7 @@
     public void dispatch(Exchange exchange) {
       String path = ((Plan) exchange.plan()).path();
       if (path.equals(FAULTY_PATH)) {
-        throw new AssertionError("the handling of this request fails");
+        throw new AssertionError("injected handler failure");
       } else if (path.equals(HELD_PATH)) {
         heldExchanges.add(exchange);
       } else {
@@ -272,7 +274,7 @@
       outgoing.getHeaders().addValue(ProxyHeaders.DEADLINE).setString(Long.toString(left));
     }
 
-    /** The end of a request lets in the one that was held back. */
+    /** The end of a request admits the one that was held. */
     @Override
     public void ended(Exchange exchange, Verdict verdict) {
       if (verdict instanceof Verdict.Completed) {
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/InboundFixtureTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/InboundFixtureTest.java
@@ -4,7 +4,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 
-/** Gives each test case a listener of its own. */
+/** Base class that gives each test case its own listener. */
 abstract class InboundFixtureTest {
   InboundFixture fixture;
 
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/LateConnectionTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/LateConnectionTest.java
@@ -7,11 +7,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Connections to an origin that open when their requests can no longer be served. */
+/** Connections to an origin that open after their requests can no longer be served. */
 @Timeout(60)
 class LateConnectionTest {
 
-  /** The deadline is looked at where the request is written, not only by a timer. */
+  /** The deadline is checked when the request is written, not only by a timer. */
   @Test
   void requestIsNotSentIfItsConnectionOpensAfterTheDeadline() throws Exception {
     try (QueuedWriteFixture fixture = new QueuedWriteFixture();
@@ -33,7 +33,7 @@
     }
   }
 
-  /** The connection opens in the turn in which the end of its caller is read. */
+  /** The connection opens in the iteration in which the client's close is read. */
   @Test
   void requestIsNotSentIfItsConnectionOpensWithTheClientsCloseUnread() throws Exception {
     try (QueuedWriteFixture fixture = new QueuedWriteFixture();
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/LateReadTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/LateReadTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Requests that a node reads late are not sent on for callers that cannot use the answer. */
+/** Requests that a node reads late are not sent for clients that cannot use the response. */
 @Timeout(60)
 class LateReadTest extends InboundFixtureTest {
   private static final String NO_CONTENT = "HTTP/1.1 204 No Content\r\n\r\n";
@@ -17,7 +17,7 @@
   private static final long SHORT_DEADLINE_MILLIS = 200;
   private static final long LONG_DEADLINE_MILLIS = 600_000;
 
-  /** Its caller's end lies unread behind it in the same socket. */
+  /** The client's close is still unread behind the request in the same socket. */
   @Test
   void requestReadTogetherWithItsClientsCloseIsNotSent() throws Exception {
     try (RawConnection origin = fixture.idleOriginConnection();
@@ -32,7 +32,7 @@
     }
   }
 
-  /** The slot becomes free in the turn in which the end of its caller is read. */
+  /** The slot becomes free in the iteration in which the client's close is read. */
   @Test
   void queuedRequestIsNotSentWhileItsClientsCloseIsUnread() throws Exception {
     try (RawConnection busy = fixture.idleOriginConnection();
@@ -69,7 +69,7 @@
     }
   }
 
-  /** The next node would begin the deadline anew. */
+  /** The next node would otherwise restart the deadline. */
   @Test
   void requestUnreadForPartOfItsDeadlineIsSentWithTheRemainder() throws Exception {
     try (RawConnection origin = fixture.idleOriginConnection();
@@ -84,7 +84,10 @@
     }
   }
 
-  /** The caller may have sent it late in the time for which it lay unread, and waits on. */
+  /**
+   * The client may have sent the request late in the time for which it was unread, and may still
+   * wait.
+   */
   @Test
   void requestIsNotAbortedBeforeItsLatestPossibleDeadline() throws Exception {
     try (RawConnection origin = fixture.idleOriginConnection();
@@ -96,7 +99,7 @@
     }
   }
 
-  /** Whoever waits on holds a slot of its origin. */
+  /** A request that waits longer would hold a slot of its origin. */
   @Test
   void requestIsAbortedAtItsLatestPossibleDeadline() throws Exception {
     try (RawConnection origin = fixture.idleOriginConnection();
@@ -107,7 +110,7 @@
     }
   }
 
-  /** Estimates of service times would make a back end look slow whose node is. */
+  /** Otherwise service time estimates would make the backend of a slow node look slow. */
   @Test
   void serviceTimeExcludesTheTimeAResponseWasUnread() throws Exception {
     try (RawConnection origin = fixture.idleOriginConnection();
@@ -127,7 +130,7 @@
     }
   }
 
-  /** Reading stands still at the head of one request too many. */
+  /** Reading is suspended at the head of one request too many. */
   @Test
   void clientCloseIsNoticedWhileReadingIsSuspended() throws Exception {
     try (RawConnection origin = fixture.idleOriginConnection();
@@ -140,7 +143,7 @@
     }
   }
 
-  /** Its origin works on a request that lay unread, and time goes on. */
+  /** The origin serves a request that was unread for a while, and time passes. */
   private void expireRequestInService(RawConnection client, RawConnection origin, long millis)
       throws Exception {
     fixture.exchange(client);
@@ -156,7 +159,7 @@
     fixture.unblockSelectorLate();
   }
 
-  /** Nothing has been sent on the origin's connection before. */
+  /** Asserts that nothing else has been sent on the origin's connection before. */
   private void assertNextRequestIsFirstAtOrigin(RawConnection origin) throws IOException {
     try (RawConnection next = fixture.connect()) {
       next.send(InboundFixture.get("/next"));
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/LateTimerTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/LateTimerTest.java
@@ -7,12 +7,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A timer does not check time-outs by what a selector thread has not read yet. */
+/** A timer must not apply timeouts while the selector thread has unread input. */
 @Timeout(60)
 class LateTimerTest extends InboundFixtureTest {
   private static final long DEADLINE_MILLIS = 600_000;
 
-  /** The answer has arrived before the deadline and lies unread behind it. */
+  /** The response arrived before the deadline but is still unread. */
   @Test
   void responseUnreadAtItsDeadlineIsDelivered() throws Exception {
     try (RawConnection origin = fixture.idleOriginConnection();
@@ -30,7 +30,7 @@
     }
   }
 
-  /** The task comes from another thread while the selector thread is busy for long. */
+  /** The check is submitted by another thread while the selector thread is busy for long. */
   @Test
   void deferredTimeoutCheckRunsWithoutFurtherInput() throws Exception {
     fixture.blockSelector();
@@ -42,7 +42,7 @@
     assertThat(checked.await(20, TimeUnit.SECONDS)).isTrue();
   }
 
-  /** The connection has opened, and the thread that is to hear of it stands still. */
+  /** The connection has opened, but the selector thread that handles the event is blocked. */
   @Test
   void openedConnectionIsKeptThoughItsEventIsUnread() throws Exception {
     try (RawConnection client = fixture.connect()) {
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/LatencyBenchmark.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/LatencyBenchmark.java
@@ -16,11 +16,12 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures what the two hops add to a call, on loopback, run by hand: direct and proxied calls side
- * by side at the same rate. Each call has an intended start; latency is counted from that, so that
- * a stalled caller does not hide the calls it did not make (coordinated omission).
+ * Measures the latency that the two hops add to a call on loopback; run by hand. Direct and proxied
+ * calls run concurrently at the same rate. Each call has an intended start from which its latency
+ * is counted, so that a stalled client does not hide the calls it did not make (coordinated
+ * omission).
  *
- * <p>Arguments: calls a second of each kind, seconds, caller threads of each kind.
+ * <p>Arguments: calls per second of each kind, seconds, client threads of each kind.
  */
 final class LatencyBenchmark {
   private static final byte[] ANSWER =
@@ -35,7 +36,7 @@
 
   private LatencyBenchmark() {}
 
-  /** Runs the trial and prints percentiles in microseconds. */
+  /** Runs the benchmark and prints percentiles in microseconds. */
   public static void main(String[] arguments) throws Exception {
     int rate = Integer.parseInt(arguments[0]);
     int seconds = Integer.parseInt(arguments[1]);
@@ -105,7 +106,7 @@
         }
       }
     } catch (IOException error) {
-      throw new IllegalStateException("caller failed", error);
+      throw new IllegalStateException("client failed", error);
     }
   }
 
@@ -120,7 +121,7 @@
       String text = new String(buffer, 0, length, StandardCharsets.US_ASCII);
       int head = text.indexOf("\r\n\r\n");
       if (head >= 0 && !text.startsWith("HTTP/1.1 200")) {
-        throw new IOException("answer " + text);
+        throw new IOException("unexpected response: " + text);
       }
       if (head >= 0 && length >= head + 4 + 64) {
         return;
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/ListenerShutdownTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/ListenerShutdownTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Connections that come while a listener ends. */
+/** Connections that arrive while a listener shuts down. */
 @Timeout(60)
 class ListenerShutdownTest extends InboundFixtureTest {
   private static final int QUEUED_CONNECTIONS = 20;
@@ -25,7 +25,7 @@
     }
   }
 
-  /** What a peer has not read is lost if the process ends before the peer does. */
+  /** Output that the peer has not read is lost if the process exits before the peer closes. */
   @Test
   void drainWaitsForAPeerThatHasNotReadItsResponse() throws Exception {
     try (RawConnection client = fixture.connect()) {
@@ -36,10 +36,10 @@
       assertThat(client.readHead()).startsWith("HTTP/1.1 404");
       fixture.advance(DRAIN_TIMEOUT_MILLIS - 1);
       drain.join(STILL_WAITING_MILLIS);
-      assertThat(drain.isAlive()).as("waits for the peer").isTrue();
+      assertThat(drain.isAlive()).as("drain waits for the peer").isTrue();
       client.socket.close();
       drain.join(TIMEOUT_MILLIS);
-      assertThat(drain.isAlive()).as("waits on though the peer has ended").isFalse();
+      assertThat(drain.isAlive()).as("drain still waits although the peer has closed").isFalse();
     }
   }
 
@@ -61,7 +61,7 @@
     }
   }
 
-  /** Closing a listener resets the connections that wait to be accepted. */
+  /** Closing a listener resets the connections in its accept queue. */
   @Test
   void connectionsInTheAcceptQueueAreAnsweredBeforeTheListenerCloses() throws Exception {
     fixture.blockSelector();
@@ -76,7 +76,7 @@
     fixture.filter().endConnections();
     fixture.unblockSelector();
     for (RawConnection client : clients) {
-      assertThat(client.read()).as("answer").isNotNull();
+      assertThat(client.read()).as("response").isNotNull();
       client.close();
     }
   }
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/MessageOwnershipTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/MessageOwnershipTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What is sent on late is the message that was read, whatever was read on that thread since. */
+/** A request that is sent late is unchanged, whatever was read on the same thread in between. */
 @Timeout(60)
 class MessageOwnershipTest {
   private static final String LATE =
@@ -28,7 +28,7 @@
     fixture.close();
   }
 
-  /** Reads enough on the selector thread that released memory is handed out again. */
+  /** Sends enough input through the selector thread that released memory is reused. */
   private void sendUpload(RawConnection origin) throws Exception {
     try (RawConnection other = fixture.connect()) {
       other.send(
@@ -61,7 +61,7 @@
     }
   }
 
-  /** The upload's last bytes and the request's head are read at once. */
+  /** The upload's last bytes and the request's head are read together. */
   @Test
   void requestReadTogetherWithTheEndOfAnUploadKeepsItsHead() throws Exception {
     fixture.holdOpenings(0);
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/NodeProcessMain.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/NodeProcessMain.java
@@ -6,7 +6,7 @@
 final class NodeProcessMain {
   private NodeProcessMain() {}
 
-  /** Runs until killed; prints the edge's port. */
+  /** Runs until killed; prints the port of the edge proxy. */
   public static void main(String[] arguments) throws Exception {
     ProxyFixture fixture = new ProxyFixture(0, Integer.parseInt(arguments[0]));
     System.out.println(fixture.edge.edgePort());
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/OverloadTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/OverloadTest.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** More callers than slots. */
+/** More concurrent clients than slots. */
 class OverloadTest {
   private static final int CALLERS = 100;
   private static final int CALLS_EACH = 100;
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/PipelinedStatusTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/PipelinedStatusTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** No status of an answer ends the connection over the requests that were read behind it. */
+/** No response status closes the connection while pipelined requests are unanswered. */
 @Timeout(60)
 class PipelinedStatusTest {
   private QueuedWriteFixture fixture;
@@ -45,7 +45,7 @@
       assertThat(first.status()).isEqualTo(status);
       assertThat(first.body()).isEqualTo("body");
       Message second = client.read();
-      assertThat(second).as("answer to the second request").isNotNull();
+      assertThat(second).as("response to the second request").isNotNull();
       assertThat(second.status()).isEqualTo(404);
     }
   }
@@ -66,7 +66,7 @@
           "GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\nGET /refused HTTP/1.1\r\nHost: a\r\n\r\n");
       client.read();
       Message second = client.read();
-      assertThat(second).as("answer to the second request").isNotNull();
+      assertThat(second).as("response to the second request").isNotNull();
       assertThat(second.status()).isEqualTo(404);
     }
   }
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/ProxyFixture.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/ProxyFixture.java
@@ -18,7 +18,7 @@
 import java.util.Set;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** An edge proxy and one hop proxy beside each given back end, on loopback. */
+/** An edge proxy and one hop proxy beside each given backend, on loopback. */
 final class ProxyFixture implements AutoCloseable {
   static final int MAX_HEADER_BYTES = 8 * 1024;
   static final long MAX_BODY_BYTES = 200_000_000;
@@ -36,7 +36,7 @@
     this(0, ports(backends));
   }
 
-  /** With probes at the given interval; 0 for none. */
+  /** Creates proxies that probe their backends at the given interval; 0 for no probes. */
   ProxyFixture(long probeMillis, int... backendPorts) throws IOException {
     this.probeMillis = probeMillis;
     List<BackendAddress> addresses = new ArrayList<>();
@@ -50,7 +50,7 @@
     edge.start();
   }
 
-  /** Lets the proxies' deadlines pass. */
+  /** Advances the clock of the proxies. */
   void advance(long millis) {
     advancedMillis.addAndGet(millis);
   }
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/ProxyMessagesTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/ProxyMessagesTest.java
@@ -10,11 +10,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Message forms of HTTP/1.1 that must come through whole. */
+/** Forms of HTTP/1.1 messages that must be forwarded completely. */
 class ProxyMessagesTest {
   private static final String GET = "GET /a HTTP/1.1\r\nHost: a\r\n\r\n";
 
-  /** Method, raw answer, status, body as read by the caller, whether the connection is kept. */
+  /** Method, raw response, status, body as read by the client, whether the connection is kept. */
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/ProxyPathTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/ProxyPathTest.java
@@ -5,7 +5,7 @@
 import java.io.IOException;
 import org.junit.jupiter.api.Test;
 
-/** Requests through an edge proxy and the proxy beside the back end, over real sockets. */
+/** Requests through an edge proxy and the proxy beside the backend, over real sockets. */
 class ProxyPathTest {
   private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nX-Kept: a\r\n\r\nhello";
 
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/QueuedWriteFixture.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/QueuedWriteFixture.java
@@ -39,18 +39,18 @@
 import org.glassfish.grizzly.nio.NIOConnection;
 
 /**
- * A proxy on one selector thread with two origins whose sockets hold so little that what is written
- * to them soon waits in the proxy's queue. The origins are played by the test.
+ * A proxy on one selector thread with two origins that the test plays. Their socket buffers are so
+ * small that output soon waits in the proxy's write queue.
  */
 final class QueuedWriteFixture implements AutoCloseable {
-  /** When requests for the path {@code /short} are of no more use. */
+  /** Deadline of requests for the path {@code /short}, milliseconds. */
   static final long SHORT_DEADLINE_MILLIS = 200;
 
   private static final int SOCKET_BYTES = 2_048;
   private static final int TIMEOUT_MILLIS = 5_000;
   private static final int POLL_MILLIS = 2;
 
-  /** Paths of requests that are refused, and why. */
+  /** Paths of requests that are refused, and the reasons. */
   private static final Map<String, Verdict.Reason> REFUSED_FOR =
       Map.of(
           "/refused", Verdict.Reason.NO_ROUTE,
@@ -61,7 +61,7 @@
           "/overloaded", Verdict.Reason.OVERLOADED,
           "/lost", Verdict.Reason.CONNECTION_LOST);
 
-  /** Turns of the selector thread after which everything sent before them has been read. */
+  /** Requests in sequence after which the selector thread has read everything sent before them. */
   private static final int READ_ROUNDS = 8;
 
   private final ProxyTransport transport =
@@ -120,17 +120,17 @@
     clockMillis.addAndGet(millis);
   }
 
-  /** Returns once the thread that reads stands still. */
+  /** Returns once the selector thread is blocked. */
   void blockSelector() throws IOException, InterruptedException {
     selectorBlock.block(connect());
   }
 
-  /** Reads on once the thread is late by {@link SelectorBlock#LATE_MILLIS}. */
+  /** Unblocks the selector thread once it is late by {@link SelectorBlock#LATE_MILLIS}. */
   void unblockSelectorLate() throws InterruptedException {
     selectorBlock.releaseLate();
   }
 
-  /** From now on a connection to an origin opens when it is told to. */
+  /** From now on connections to an origin open only when {@link #releaseOpening} is called. */
   void holdOpenings(int origin) {
     heldPort = servers.get(origin).getLocalPort();
   }
@@ -181,7 +181,7 @@
     return client;
   }
 
-  /** A caller whose socket takes little. */
+  /** A client with a small receive buffer. */
   RawConnection connectNarrow() throws IOException {
     Socket socket = new Socket();
     socket.setReceiveBufferSize(SOCKET_BYTES);
@@ -190,14 +190,14 @@
     return new RawConnection(socket);
   }
 
-  /** The other end of a connection that the proxy has opened to an origin. */
+  /** The origin's end of a connection that the proxy has opened. */
   RawConnection acceptOrigin(int origin) throws IOException {
     RawConnection accepted = new RawConnection(servers.get(origin).accept());
     accepted.socket.setSoTimeout(TIMEOUT_MILLIS);
     return accepted;
   }
 
-  /** An origin's end of a connection that has served a request and rests. */
+  /** The origin's end of an idle connection that has served a request. */
   RawConnection idleOriginConnection(int origin, RawConnection client) throws IOException {
     client.send("GET /rest HTTP/1.1\r\nHost: a\r\n\r\n");
     RawConnection accepted = acceptOrigin(origin);
@@ -207,19 +207,19 @@
     return accepted;
   }
 
-  /** The next attempt that fails is followed by another. */
+  /** The next failed attempt is retried. */
   void permitRetry() {
     retryPermitted = true;
   }
 
-  /** Waits until a request is held back until another ends. */
+  /** Waits until a request is held until another one ends. */
   void awaitHeldExchange() throws Exception {
     await(() -> heldExchange != null);
   }
 
   /**
-   * Sends the beginning of a request, and its end once some of the beginning waits in the queue of
-   * the origin's connection. Then several pieces wait, which the transport writes together.
+   * Sends the start of a request, and its end once part of the start waits in the write queue of
+   * the origin's connection. Several parts then wait, which the transport writes together.
    */
   void sendParts(RawConnection client, int origin, String beginning, String end) throws Exception {
     client.send(beginning);
@@ -229,7 +229,7 @@
     awaitAllRead();
   }
 
-  /** Sends an answer likewise, to a caller with a narrow socket. */
+  /** Sends a response in the same way, to a client with a small receive buffer. */
   void respondInParts(RawConnection origin, String beginning, String end) throws Exception {
     origin.send(beginning);
     await(() -> hasQueue(narrowClient));
@@ -242,7 +242,7 @@
     return connection.getAsyncWriteQueue().spaceInBytes() > 0;
   }
 
-  /** Waits until the proxy has read all that was sent before. */
+  /** Waits until the proxy has read everything that was sent before. */
   void awaitAllRead() throws IOException {
     try (RawConnection client = connect()) {
       for (int round = 0; round < READ_ROUNDS; round++) {
@@ -255,19 +255,19 @@
   private static void await(BooleanSupplier condition) throws Exception {
     long end = System.nanoTime() + TIMEOUT_MILLIS * 1_000_000L;
     while (!condition.getAsBoolean()) {
-      assertThat(System.nanoTime()).as("waited for too long").isLessThan(end);
+      assertThat(System.nanoTime()).as("condition within the timeout").isLessThan(end);
       Thread.sleep(POLL_MILLIS);
     }
   }
 
-  /** Resets an origin's connection, in such a way that a write finds out. */
+  /** Resets an origin's connection so that only a write finds out. */
   void breakOrigin(int origin) throws IOException {
     RawConnection accepted = acceptOrigin(origin);
     opened(origin).disableIOEvent(IOEvent.READ);
     accepted.reset();
   }
 
-  /** Resets a caller's connection, in such a way that a write finds out. */
+  /** Resets a client's connection so that only a write finds out. */
   void breakClient(RawConnection client) throws IOException {
     narrowClient.disableIOEvent(IOEvent.READ);
     client.reset();
@@ -282,7 +282,7 @@
     }
   }
 
-  /** Keeps callers' connections by the ports of their peers, and passes all on. */
+  /** Records client connections by the ports of their peers, and forwards all events. */
   private final class AcceptedConnections extends BaseFilter {
     private final InboundFilter next;
 
@@ -350,7 +350,7 @@
         if (path.equals("/fault-after-sending")) {
           send(exchange, 1);
         }
-        throw new IllegalStateException("the handler fails");
+        throw new IllegalStateException("injected handler failure");
       } else {
         send(exchange, path.equals("/rest") || exchange.history().count() > 0 ? 1 : 0);
       }
@@ -367,7 +367,7 @@
       return permitted;
     }
 
-    /** The end of a request lets in the one that was held back. */
+    /** The end of a request admits the one that was held. */
     @Override
     public void ended(Exchange exchange, Verdict verdict) {
       Exchange next = heldExchange;
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/RawConnection.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/RawConnection.java
@@ -9,7 +9,7 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** A blocking socket that speaks raw HTTP bytes. */
+/** A blocking socket that sends and receives raw HTTP bytes. */
 final class RawConnection implements AutoCloseable {
   private static final int TIMEOUT_MILLIS = 20_000;
 
@@ -53,7 +53,7 @@
     socket.getOutputStream().flush();
   }
 
-  /** Reads up to and with the empty line; null at a clean end before any byte. */
+  /** Reads up to and including the empty line; null at a clean end before any byte. */
   String readHead() throws IOException {
     ByteArrayOutputStream head = new ByteArrayOutputStream();
     while (true) {
@@ -62,7 +62,7 @@
         if (head.size() == 0) {
           return null;
         }
-        throw new EOFException("ended within a head: " + head);
+        throw new EOFException("connection ended within a head: " + head);
       }
       head.write(value);
       if (value == '\n' && head.toString(StandardCharsets.ISO_8859_1).endsWith("\r\n\r\n")) {
@@ -71,7 +71,7 @@
     }
   }
 
-  /** Reads a whole message; an answer without length ends with the connection. */
+  /** Reads a complete message; a response without length ends with the connection. */
   Message read() throws IOException {
     String head = readHead();
     if (head == null) {
@@ -105,7 +105,7 @@
       }
       byte[] bytes = input.readNBytes(size);
       if (bytes.length < size) {
-        throw new EOFException("ended within a chunk");
+        throw new EOFException("connection ended within a chunk");
       }
       body.append(new String(bytes, StandardCharsets.ISO_8859_1));
       line();
@@ -116,14 +116,14 @@
     StringBuilder line = new StringBuilder();
     for (int value = input.read(); value != '\n'; value = input.read()) {
       if (value < 0) {
-        throw new EOFException("ended within a line");
+        throw new EOFException("connection ended within a line");
       }
       line.append((char) value);
     }
     return line.substring(0, line.length() - 1);
   }
 
-  /** Whether the peer ends the connection, in order or by reset, before sending another byte. */
+  /** Whether the peer closes the connection, in order or by reset, before sending another byte. */
   boolean endsNow() throws IOException {
     try {
       return input.read() < 0;
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/ReadAheadTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/ReadAheadTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What is read while the filter chain of a connection is suspended is passed on in its order. */
+/** Bytes read while the filter chain of a connection is suspended are passed on in order. */
 @Timeout(60)
 class ReadAheadTest extends InboundFixtureTest {
   private static final int MAX_PIPELINED = 16;
@@ -27,7 +27,7 @@
     origins.shutdownNow();
   }
 
-  /** More requests than run at once, in pieces of any length. */
+  /** More requests than run concurrently, split into parts of random length. */
   @Test
   void requestsReadAheadAreAnsweredInOrder() throws Exception {
     try (RawConnection client = fixture.connect()) {
@@ -38,7 +38,7 @@
     }
   }
 
-  /** The end of the process must not take what was read and is not decoded. */
+  /** A shutdown must not lose requests that have been read but not decoded. */
   @Test
   void requestsReadAheadAreAnsweredBeforeTheProcessEnds() throws Exception {
     try (RawConnection client = fixture.connect()) {
@@ -54,7 +54,7 @@
     }
   }
 
-  /** Longer than what the sockets on its way take while the origin reads nothing. */
+  /** Larger than all socket buffers on the path while the origin reads nothing. */
   @Test
   void bodyReadAheadReachesItsOriginUnchanged() throws Exception {
     byte[] body = new byte[BODY_BYTES];
@@ -72,7 +72,7 @@
     }
   }
 
-  /** The end lies behind bytes that no filter has taken. */
+  /** The client's close is behind bytes that no filter has taken. */
   @Test
   void clientCloseIsNoticedBehindBytesReadAhead() throws Exception {
     try (RawConnection origin = fixture.idleOriginConnection();
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/RequestSmugglingTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/RequestSmugglingTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Requests that two parsers might read differently never reach a back end. */
+/** Requests that two parsers might interpret differently never reach a backend. */
 class RequestSmugglingTest {
   private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/ResponseAtDeadlineTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/ResponseAtDeadlineTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** An answer that is on its way when its deadline passes. */
+/** A response that is being sent when its deadline passes. */
 @Timeout(60)
 class ResponseAtDeadlineTest {
   private static final int HALF_BYTES = 100_000;
@@ -20,7 +20,7 @@
   private static final long JUST_BEFORE_MILLIS = 300;
   private static final long STALL_MILLIS = 2_000;
 
-  /** Long enough for the proxy to look at its deadlines. */
+  /** Long enough for the proxy to check its deadlines. */
   private static final long DEADLINE_CHECK_MILLIS = 200;
 
   private static final int TIMEOUT_SECONDS = 20;
@@ -68,7 +68,7 @@
     return "GET / HTTP/1.1\r\nHost: a\r\nUmberpath-Deadline-Ms: " + deadlineMillis + "\r\n\r\n";
   }
 
-  /** Cutting it off would end the connection, with the answers behind it. */
+  /** Truncating it would close the connection and lose the responses behind it. */
   @Test
   void continuesWithPipelinedResponsesWhileBeingSent() throws Exception {
     try (RawConnection client = fixture.connect()) {
@@ -83,7 +83,7 @@
     }
   }
 
-  /** The same at the end of a planned stop, when work that has not been answered is cut off. */
+  /** The same when the drain timeout expires and requests without a response are aborted. */
   @Test
   void continuesWhenDrainTimeoutAbortsOtherRequests() throws Exception {
     try (RawConnection client = fixture.connect()) {
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/ScriptedBackend.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/ScriptedBackend.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A back end on raw sockets that does as a script says, once per connection or per request. */
+/** A backend on raw sockets that runs a script per connection. */
 final class ScriptedBackend implements AutoCloseable {
   /** Handles one accepted connection until it returns. */
   interface Script {
@@ -57,7 +57,8 @@
     while (!server.isClosed()) {
       try {
         Socket socket = server.accept();
-        // Known before stop() looks, or else it sees that the server is closed.
+        // Added before the check, so that either stop() closes the socket or this thread sees the
+        // closed server.
         sockets.add(socket);
         if (server.isClosed()) {
           socket.close();
@@ -71,7 +72,7 @@
     }
   }
 
-  /** Listens no more and closes every connection. */
+  /** Stops listening and closes every connection. */
   void stop() throws IOException {
     server.close();
     for (Socket socket : sockets) {
@@ -83,7 +84,7 @@
     try (RawConnection connection = new RawConnection(socket)) {
       script.run(this, connection);
     } catch (IOException ended) {
-      // The peer went away, which scripts provoke.
+      // The peer closed the connection, which scripts provoke.
       return;
     }
   }
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/SelectorBlock.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/SelectorBlock.java
@@ -3,9 +3,9 @@
 import java.io.IOException;
 import java.util.concurrent.CountDownLatch;
 
-/** Keeps a listener's only selector thread from reading, once. */
+/** Blocks a listener's only selector thread, once. */
 final class SelectorBlock implements AutoCloseable {
-  /** How late the thread reads at least, after {@link #readOnLate}. */
+  /** Minimum time for which the thread is blocked by {@link #releaseLate}, milliseconds. */
   static final long LATE_MILLIS = 300;
 
   private static final String PATH = "/block";
@@ -14,12 +14,12 @@
   private final CountDownLatch released = new CountDownLatch(1);
   private RawConnection client;
 
-  /** Sends the request that blocks; returns once the thread that reads stands still. */
+  /** Sends the request that blocks; returns once the selector thread is blocked. */
   void block(RawConnection newClient) throws IOException, InterruptedException {
     blockBehind(newClient, "");
   }
 
-  /** The same, in the turn in which it has read another request. */
+  /** The same, in the iteration in which it has read another request. */
   void blockBehind(RawConnection newClient, String request)
       throws IOException, InterruptedException {
     client = newClient;
@@ -27,7 +27,7 @@
     blocked.await();
   }
 
-  /** Called by the listener's handler for each request. */
+  /** Called by the listener's handler for each request; blocks on the blocking request. */
   void blockIfRequested(String path) {
     if (!path.equals(PATH)) {
       return;
@@ -49,7 +49,7 @@
     Thread.sleep(LATE_MILLIS);
   }
 
-  /** Lets it read on once it is late. */
+  /** Releases the thread once it is late. */
   void releaseLate() throws InterruptedException {
     awaitLateness();
     release();
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/StubRequestHandler.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/StubRequestHandler.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import org.glassfish.grizzly.http.HttpRequestPacket;
 
-/** A listener's handler that adds nothing to requests and answers, and sends nothing again. */
+/** A request handler that adds no headers and never retries. */
 public abstract class StubRequestHandler implements RequestHandler {
   @Override
   public ProxyStats.Side side() {
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/TransferTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/TransferTest.java
@@ -18,7 +18,7 @@
 import java.util.zip.CRC32;
 import org.junit.jupiter.api.Test;
 
-/** Large bodies, planned stops and configuration switches under way. */
+/** Large bodies, graceful shutdowns and configuration changes during transfers. */
 class TransferTest {
   private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
   private static final int LARGE_BYTES = 100_000_000;
@@ -43,7 +43,7 @@
       try (RawConnection client = new RawConnection(portOf(node))) {
         CompletableFuture<Void> upload =
             CompletableFuture.runAsync(() -> upload(client, LARGE_BYTES));
-        // A pause in which a proxy without back pressure would fill its heap.
+        // A proxy without back pressure would fill its heap in this time.
         TimeUnit.MILLISECONDS.sleep(300);
         assertThat(upload).isNotDone();
         mayRead.countDown();
@@ -73,7 +73,7 @@
         .start();
   }
 
-  /** The port its edge proxy listens on. */
+  /** The port of its edge proxy. */
   static int portOf(Process node) throws IOException {
     BufferedReader output =
         new BufferedReader(new InputStreamReader(node.getInputStream(), StandardCharsets.US_ASCII));
@@ -116,7 +116,7 @@
     }
   }
 
-  /** Asks until the drain has begun, which another thread does. */
+  /** Sends requests until the drain, which another thread starts, has begun. */
   private static RawConnection.Message refusalOf(RawConnection idle) throws IOException {
     while (true) {
       idle.send("GET /%2 HTTP/1.1\r\nHost: a\r\nUmberpath-Deadline-Ms: 0\r\n\r\n");
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/UnreadRequestTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/UnreadRequestTest.java
@@ -7,13 +7,12 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * A connection that seems to rest, while a request of its caller lies unread in the socket.
+ * A connection that seems idle while a request of its client is still unread in the socket.
  *
- * <p>What happened: timers ran after a stretch in which the process had no processor, or was
- * paused, before the sockets were read. A connection whose request had arrived meanwhile had no
- * request under way by the node's own count, and was closed for having rested too long; its caller
- * had used it in time. Whether it rests is now asked on the thread that reads, after that thread
- * has read all that had arrived.
+ * <p>After a time in which the process got no CPU, or was paused, timers run before the sockets are
+ * read. A connection whose request had arrived meanwhile then had no request in flight by the
+ * node's count and was closed as idle, although its client had used it in time. Idleness must
+ * therefore be checked on the selector thread, after it has read all input that had arrived.
  */
 @Timeout(60)
 class UnreadRequestTest extends InboundFixtureTest {
@@ -47,7 +46,7 @@
     }
   }
 
-  /** It arrives while the thread that reads is busy with the request in front. */
+  /** The request arrives while the selector thread is busy with the previous one. */
   @Test
   void isAnsweredThoughTheNodeDrainsWithThePreviousResponse() throws Exception {
     try (RawConnection client = fixture.connect()) {
@@ -61,7 +60,7 @@
     }
   }
 
-  /** The codec has it in hand while the request in front is answered. */
+  /** The codec holds the request undecoded while the previous one is answered. */
   @Test
   void isAnsweredThoughItWasReadWithThePreviousRequest() throws Exception {
     try (RawConnection client = fixture.connect()) {
@@ -72,7 +71,7 @@
     }
   }
 
-  /** The end of the process does not wait for what the codec has in hand. */
+  /** Shutdown must wait for a request that the codec holds undecoded. */
   @Test
   void isAnsweredThoughTheConnectionEndsWhenIdle() throws Exception {
     try (RawConnection client = fixture.connect()) {
@@ -94,7 +93,7 @@
     assertThat(first.status()).isEqualTo(404);
     assertThat(first.header("Connection")).isNull();
     RawConnection.Message second = client.read();
-    assertThat(second).as("the connection ended over a request").isNotNull();
+    assertThat(second).as("the connection was closed with a request unanswered").isNotNull();
     assertThat(second.header("Connection")).isEqualTo("close");
     assertThat(client.read()).isNull();
   }
