--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ClientConnection.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ClientConnection.java
@@ -329,8 +329,8 @@
 
   /** Whether no request is in flight, as far as has been read. */
   private boolean isIdle() {
-    boolean isRequestUnderWay = !pipeline.isEmpty() || isBeginning || reads.hasInput();
-    return !isRequestUnderWay && discarded == null && finalResponse == null;
+    boolean isRequestInFlight = !pipeline.isEmpty() || isBeginning || reads.hasInput();
+    return !isRequestInFlight && discarded == null && finalResponse == null;
   }
 
   /** Shuts the output down; input is discarded until the peer closes, too. */
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/Exchange.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/Exchange.java
@@ -101,15 +101,15 @@
   boolean begin(HttpContent first) {
     environment.stats().inFlight(handler.side(), 1);
     environment.active().add(this);
-    boolean broken = first instanceof HttpBrokenContent;
+    boolean isMalformed = first instanceof HttpBrokenContent;
     Either<Refusal, RequestPlan> decision =
-        broken
+        isMalformed
             ? Either.left(Refusal.notRun(Verdict.Reason.BAD_REQUEST))
             : RequestGuard.plan(handler, request, environment.nowMillis() - age.unreadMillis());
-    boolean readOn;
+    boolean keepReading;
     synchronized (this) {
-      readOn = broken || takeBodyPart(first);
-      if (broken) {
+      keepReading = isMalformed || takeBodyPart(first);
+      if (isMalformed) {
         responseWriter.closeAfter();
         client.requestBodyComplete(pipelined);
       }
@@ -125,7 +125,7 @@
       EventLoop.runOrDefer(this::dispatchIfWanted);
     }
     runDeferredActions();
-    return readOn;
+    return keepReading;
   }
 
   /** Called before a response that was held completely is written. */
@@ -139,11 +139,11 @@
   }
 
   private void dispatchIfWanted() {
-    boolean wanted;
+    boolean isWanted;
     synchronized (this) {
-      wanted = stage == ExchangeStage.PENDING && !cancelIfClientGone();
+      isWanted = stage == ExchangeStage.PENDING && !cancelIfClientGone();
     }
-    if (wanted) {
+    if (isWanted) {
       RequestGuard.dispatch(this, handler);
     }
     runDeferredActions();
@@ -167,16 +167,16 @@
   }
 
   boolean onBodyPart(HttpContent content) {
-    boolean readOn;
+    boolean keepReading;
     synchronized (this) {
-      readOn = takeBodyPart(content);
+      keepReading = takeBodyPart(content);
       if (stage != ExchangeStage.DONE) {
         refuseIfTooLarge();
       }
       dispatchIfBodyBuffered();
     }
     runDeferredActions();
-    return readOn;
+    return keepReading;
   }
 
   private boolean takeBodyPart(HttpContent content) {
@@ -406,10 +406,10 @@
 
   /** Called when the attempt has a connection; returns whether it is used. */
   boolean attemptConnected(Attempt connected, OriginConnection connection) {
-    boolean wanted;
+    boolean isWanted;
     synchronized (this) {
-      wanted = isStillWanted(connected, ExchangeStage.CONNECTING);
-      if (wanted) {
+      isWanted = isStillWanted(connected, ExchangeStage.CONNECTING);
+      if (isWanted) {
         stage = connected.needsContinue(body) ? ExchangeStage.HEAD_SENT : ExchangeStage.SENT;
         history.sent();
         handler.addHeaders(this, connected.prepare().packet(), environment.nowMillis());
@@ -417,7 +417,7 @@
       }
     }
     runDeferredActions();
-    return wanted;
+    return isWanted;
   }
 
   /** Checks again before sending: the conditions may have changed since the attempt was chosen. */
@@ -453,12 +453,12 @@
 
   /** Takes a part of the response; returns whether to keep reading. */
   boolean attemptReceivedPart(Attempt current, AnswerPart part) {
-    boolean readOn;
+    boolean keepReading;
     synchronized (this) {
-      readOn = attempt != current || takeResponsePart(current, part);
+      keepReading = attempt != current || takeResponsePart(current, part);
     }
     runDeferredActions();
-    return readOn;
+    return keepReading;
   }
 
   private boolean takeResponsePart(Attempt current, AnswerPart part) {
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/InboundFilter.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/InboundFilter.java
@@ -59,8 +59,8 @@
       FilterChainContext context, ClientConnection client, HttpContent content) {
     HttpRequestPacket request = (HttpRequestPacket) content.getHttpHeader();
     Exchange exchange = new Exchange(client, request, handler, environment);
-    boolean readOn = RequestGuard.guard(exchange, () -> exchange.begin(content));
-    return continueOrSuspend(context, client, exchange, readOn);
+    boolean keepReading = RequestGuard.guard(exchange, () -> exchange.begin(content));
+    return continueOrSuspend(context, client, exchange, keepReading);
   }
 
   private static NextAction handleBodyPart(
@@ -69,13 +69,13 @@
       exchange.onMalformedBody();
       return context.getStopAction();
     }
-    boolean readOn = RequestGuard.guard(exchange, () -> exchange.onBodyPart(content));
-    return continueOrSuspend(context, client, exchange, readOn);
+    boolean keepReading = RequestGuard.guard(exchange, () -> exchange.onBodyPart(content));
+    return continueOrSuspend(context, client, exchange, keepReading);
   }
 
   private static NextAction continueOrSuspend(
-      FilterChainContext context, ClientConnection client, Exchange exchange, boolean readOn) {
-    if (readOn) {
+      FilterChainContext context, ClientConnection client, Exchange exchange, boolean keepReading) {
+    if (keepReading) {
       return context.getStopAction();
     }
     NextAction action = client.suspend(context);
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/BackendFaultTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/BackendFaultTest.java
@@ -26,14 +26,14 @@
     HEAD_SENT,
     HALF_BODY,
     BODY_SENT,
-    HALF_HEAD_OF_ANSWER,
+    HALF_RESPONSE_HEAD,
     /**
      * The first half of a response that is short enough to be forwarded only when it is complete.
      */
-    HALF_SHORT_ANSWER,
-    HALF_ANSWER,
-    HALF_CHUNKED_ANSWER,
-    AFTER_ANSWER
+    HALF_SHORT_RESPONSE,
+    HALF_RESPONSE,
+    HALF_CHUNKED_RESPONSE,
+    AFTER_RESPONSE
   }
 
   private enum Fault {
@@ -41,7 +41,7 @@
     CLOSE,
     SILENCE,
     GARBAGE,
-    OTHER_ANSWER
+    STRAY_RESPONSE
   }
 
   /** Counts deliveries to both backends and applies the fault to the first. */
@@ -100,12 +100,12 @@
 
     private static String sentBefore(Point point) {
       return switch (point) {
-        case HALF_HEAD_OF_ANSWER -> "HTTP/1.1 200 OK\r\nContent-Le";
-        case HALF_SHORT_ANSWER -> "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n01234";
-        case HALF_ANSWER -> "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n01234";
-        case HALF_CHUNKED_ANSWER ->
+        case HALF_RESPONSE_HEAD -> "HTTP/1.1 200 OK\r\nContent-Le";
+        case HALF_SHORT_RESPONSE -> "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n01234";
+        case HALF_RESPONSE -> "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n01234";
+        case HALF_CHUNKED_RESPONSE ->
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n01234\r\n";
-        case AFTER_ANSWER -> OK;
+        case AFTER_RESPONSE -> OK;
         default -> "";
       };
     }
@@ -118,7 +118,7 @@
           connection.send("\u0000\u0001 nonsense\r\n\r\n");
           connection.endsNow();
         }
-        case OTHER_ANSWER -> {
+        case STRAY_RESPONSE -> {
           connection.send("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray");
           connection.endsNow();
         }
@@ -162,10 +162,10 @@
         "BODY_SENT           | CLOSE   | POST | 502 | may-have-run; reason=connection-lost | 1",
         "BODY_SENT           | SILENCE | POST | 504 | may-have-run; reason=deadline        | 1",
         "BODY_SENT           | GARBAGE | POST | 502 | may-have-run; reason=bad-answer      | 1",
-        "HALF_HEAD_OF_ANSWER | RESET   | POST | 502 | may-have-run; reason=connection-lost | 1",
-        "HALF_HEAD_OF_ANSWER | CLOSE   | POST | 502 | may-have-run; reason=connection-lost | 1",
-        "HALF_HEAD_OF_ANSWER | SILENCE | POST | 504 | may-have-run; reason=deadline        | 1",
-        "HALF_HEAD_OF_ANSWER | GARBAGE | POST | 502 | may-have-run; reason=bad-answer      | 1",
+        "HALF_RESPONSE_HEAD  | RESET   | POST | 502 | may-have-run; reason=connection-lost | 1",
+        "HALF_RESPONSE_HEAD  | CLOSE   | POST | 502 | may-have-run; reason=connection-lost | 1",
+        "HALF_RESPONSE_HEAD  | SILENCE | POST | 504 | may-have-run; reason=deadline        | 1",
+        "HALF_RESPONSE_HEAD  | GARBAGE | POST | 502 | may-have-run; reason=bad-answer      | 1",
         "CONNECTED           | RESET   | PUT  | 200 |                                      | 2",
         "CONNECTED           | SILENCE | PUT  | 504 | may-have-run; reason=deadline        | 1",
         "CONNECTED           | GARBAGE | PUT  | 200 |                                      | 2",
@@ -177,14 +177,14 @@
         "BODY_SENT           | CLOSE   | PUT  | 200 |                                      | 2",
         "BODY_SENT           | SILENCE | PUT  | 504 | may-have-run; reason=deadline        | 1",
         "BODY_SENT           | GARBAGE | PUT  | 200 |                                      | 2",
-        "HALF_HEAD_OF_ANSWER | RESET   | PUT  | 200 |                                      | 2",
-        "HALF_HEAD_OF_ANSWER | SILENCE | PUT  | 504 | may-have-run; reason=deadline        | 1",
-        "HALF_HEAD_OF_ANSWER | GARBAGE | PUT  | 200 |                                      | 2",
-        "AFTER_ANSWER        | RESET   | POST | 200 |                                      | 1",
-        "AFTER_ANSWER        | CLOSE   | POST | 200 |                                      | 1",
-        "AFTER_ANSWER        | SILENCE | POST | 200 |                                      | 1",
-        "AFTER_ANSWER        | GARBAGE | POST | 200 |                                      | 1",
-        "AFTER_ANSWER        | OTHER_ANSWER | POST | 200 |                                 | 1",
+        "HALF_RESPONSE_HEAD  | RESET   | PUT  | 200 |                                      | 2",
+        "HALF_RESPONSE_HEAD  | SILENCE | PUT  | 504 | may-have-run; reason=deadline        | 1",
+        "HALF_RESPONSE_HEAD  | GARBAGE | PUT  | 200 |                                      | 2",
+        "AFTER_RESPONSE      | RESET   | POST | 200 |                                      | 1",
+        "AFTER_RESPONSE      | CLOSE   | POST | 200 |                                      | 1",
+        "AFTER_RESPONSE      | SILENCE | POST | 200 |                                      | 1",
+        "AFTER_RESPONSE      | GARBAGE | POST | 200 |                                      | 1",
+        "AFTER_RESPONSE      | STRAY_RESPONSE | POST | 200 |                               | 1",
       })
   void reportsTheRightVerdict(
       Point point, Fault fault, String method, int status, String verdict, int deliveries)
@@ -195,7 +195,7 @@
         ProxyFixture fixture = new ProxyFixture(one, other);
         RawConnection client = fixture.connect()) {
       client.send(request(method, DEADLINE_MILLIS));
-      boolean answeredFirst = point == Point.AFTER_ANSWER;
+      boolean answeredFirst = point == Point.AFTER_RESPONSE;
       RawConnection.Message response = answeredFirst ? client.read() : null;
       if (fault == Fault.SILENCE) {
         await(script.silenceStarted);
@@ -267,14 +267,14 @@
   /** A response whose start has been forwarded can only be truncated visibly. */
   @ParameterizedTest
   @CsvSource({
-    "HALF_ANSWER, RESET",
-    "HALF_ANSWER, CLOSE",
-    "HALF_ANSWER, SILENCE",
-    "HALF_CHUNKED_ANSWER, RESET",
-    "HALF_CHUNKED_ANSWER, CLOSE",
-    "HALF_CHUNKED_ANSWER, SILENCE",
-    "HALF_CHUNKED_ANSWER, GARBAGE",
-    "HALF_CHUNKED_ANSWER, OTHER_ANSWER",
+    "HALF_RESPONSE, RESET",
+    "HALF_RESPONSE, CLOSE",
+    "HALF_RESPONSE, SILENCE",
+    "HALF_CHUNKED_RESPONSE, RESET",
+    "HALF_CHUNKED_RESPONSE, CLOSE",
+    "HALF_CHUNKED_RESPONSE, SILENCE",
+    "HALF_CHUNKED_RESPONSE, GARBAGE",
+    "HALF_CHUNKED_RESPONSE, STRAY_RESPONSE",
   })
   void truncatesResponsesThatCannotBeCompleted(Point point, Fault fault) throws IOException {
     Script script = new Script(point, fault);
@@ -305,7 +305,7 @@
   @CsvSource({"PUT, RESET, 200", "PUT, CLOSE, 200", "POST, RESET, 502", "POST, CLOSE, 502"})
   void truncatedShortResponseFailsOnlyItsRequest(String method, Fault fault, int status)
       throws IOException {
-    Script script = new Script(Point.HALF_SHORT_ANSWER, fault);
+    Script script = new Script(Point.HALF_SHORT_RESPONSE, fault);
     try (ScriptedBackend one = new ScriptedBackend(script);
         ScriptedBackend other = new ScriptedBackend(script);
         ProxyFixture fixture = new ProxyFixture(one, other);
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/LateReadTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/LateReadTest.java
@@ -40,7 +40,7 @@
         RawConnection client = fixture.connect()) {
       first.send(InboundFixture.get("/first"));
       assertThat(busy.readHead()).startsWith("GET /first ");
-      try (RawConnection resting = fixture.idleOriginConnection()) {
+      try (RawConnection idle = fixture.idleOriginConnection()) {
         fixture.sendHeldRequest(client);
         fixture.blockSelector();
         client.socket.close();
@@ -49,7 +49,7 @@
         assertThat(first.read().status()).isEqualTo(204);
         first.send(InboundFixture.get("/next"));
 
-        assertNextRequestIsFirstAtOrigin(resting);
+        assertNextRequestIsFirstAtOrigin(idle);
       }
     }
   }
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/inbound/ExchangeBrokenWriteTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/inbound/ExchangeBrokenWriteTest.java
@@ -162,9 +162,9 @@
     onOriginWrite =
         () -> OriginConnection.of(origin).listener().onBroken(Verdict.Reason.CONNECTION_LOST);
 
-    boolean readOn = exchange.onBodyPart(bodyPart(request, false));
+    boolean keepReading = exchange.onBodyPart(bodyPart(request, false));
 
-    assertThat(readOn).isTrue();
+    assertThat(keepReading).isTrue();
     assertThat(verdicts).containsExactly(new Verdict.MayHaveRun(Verdict.Reason.CONNECTION_LOST));
     assertThat(endedAttempts).containsExactly("backend-1");
     assertThat(active.size()).isZero();
