--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/SlotGate.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/SlotGate.java
@@ -97,8 +97,7 @@
   /** Refuses all queued requests as not run, so that they are sent elsewhere at once. */
   public void handBackWaiting() {
     for (SlotRequest request : byExchange.values()) {
-      // Only requests that have not been admitted in this moment: the refusal says that they did
-      // not run.
+      // Skips a request that is being admitted: the refusal says that it did not run.
       if (request.state().compareAndSet(SlotState.REQUESTED, SlotState.ENDED)) {
         forget(request);
         cancel(request.id());
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ClientConnection.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ClientConnection.java
@@ -18,8 +18,8 @@
 /**
  * One inbound connection of a client or another node. Pipelined requests run concurrently where
  * that is safe; responses are written in the order of the requests. Each begun request is answered
- * before the connection ends in order, see {@link ConnectionState}. Thread-safe; its lock may be
- * taken while an exchange's lock is held, never the other way round.
+ * before the connection is closed in order, see {@link ConnectionState}. Thread-safe; its lock may
+ * be taken while an exchange's lock is held, never the other way round.
  */
 final class ClientConnection implements PendingAnswers {
   private static final Attribute<ClientConnection> ATTRIBUTE =
