--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/HopHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/HopHandler.java
@@ -27,8 +27,8 @@
 import org.glassfish.grizzly.http.util.Header;
 
 /**
- * Requests of other nodes for the back end beside this one: admits or refuses them. A refusal
- * before the back end's connection is written to is a firm "not run".
+ * Handles requests of other nodes for the backend beside this node: admits or refuses them. A
+ * request that is refused before the backend's connection is written to certainly did not run.
  */
 final class HopHandler implements RequestHandler {
   private static final long MILLIS_PER_SECOND = 1_000;
@@ -37,36 +37,36 @@
   private final NodeSettings.Backend backend;
   private final ConnectionPool pool;
   private final SlotGate gate;
-  private final BackendStatus status;
+  private final BackendStatus backendStatus;
   private final LongSupplier clockMillis;
 
   HopHandler(
       NodeSettings.Backend backend,
       ConnectionPool pool,
       AdmissionController admission,
-      BackendStatus status,
+      BackendStatus backendStatus,
       LongSupplier clockMillis) {
     this.backend = backend;
     this.pool = pool;
     this.gate =
         new SlotGate(admission, exchange -> exchange.sendTo(pool, backend.id()), clockMillis);
-    this.status = status;
+    this.backendStatus = backendStatus;
     this.clockMillis = clockMillis;
   }
 
-  /** From now on new requests are refused, and queued ones too. */
+  /** Refuses new and queued requests from now on. */
   void drain() {
-    status.nodeDrains();
+    backendStatus.nodeDrains();
     gate.drain();
   }
 
-  /** Lets time pass. */
+  /** Refuses queued requests whose deadline can no longer be met. */
   void tick(long nowMillis) {
     gate.tick(nowMillis);
   }
 
-  /** Requests running or queued over slots, in percent. */
-  int load() {
+  /** Running and queued requests in relation to the slots, in percent. */
+  int loadPercent() {
     return (gate.running() + gate.queued()) * 100 / backend.slots();
   }
 
@@ -78,19 +78,19 @@
   @Override
   public Either<Refusal, RequestPlan> plan(RequestHead head, long arrivedMillis) {
     Optional<String> requestId = head.field(ProxyHeaders.REQUEST_ID);
-    Either<String, Optional<Long>> stated = Headers.deadlineMillis(head);
-    if (requestId.isEmpty() || stated.isLeft()) {
+    Either<String, Optional<Long>> requestedMillis = Headers.deadlineMillis(head);
+    if (requestId.isEmpty() || requestedMillis.isLeft()) {
       return Either.left(Refusal.notRun(Verdict.Reason.BAD_REQUEST));
     }
-    long timeout = stated.get().orElse(DEFAULT_TIMEOUT_MILLIS);
+    long timeoutMillis = requestedMillis.get().orElse(DEFAULT_TIMEOUT_MILLIS);
     PoolRequestPlan plan =
         new PoolRequestPlan(
             requestId.get(),
             head.field(ProxyHeaders.ROUTE).orElse(""),
             head.field(ProxyHeaders.TENANT).orElse(""),
-            tier(head),
+            tierOf(head),
             false,
-            arrivedMillis + timeout,
+            arrivedMillis + timeoutMillis,
             Headers.unreadMillis(head),
             Optional.empty(),
             Optional.empty(),
@@ -98,7 +98,7 @@
     return Either.right(plan);
   }
 
-  private static Tier tier(RequestHead head) {
+  private static Tier tierOf(RequestHead head) {
     String name = head.field(ProxyHeaders.TIER).orElse("");
     for (Tier tier : Tier.values()) {
       if (tier.name().equals(name)) {
@@ -110,14 +110,14 @@
 
   @Override
   public void dispatch(Exchange exchange) {
-    if (status.isDraining()) {
+    if (backendStatus.isDraining()) {
       exchange.refuse(Refusal.notRun(Verdict.Reason.DRAINING));
       return;
     }
-    long shedding = status.sheddingMillis(clockMillis.getAsLong());
-    if (shedding > 0) {
+    long sheddingMillis = backendStatus.sheddingMillis(clockMillis.getAsLong());
+    if (sheddingMillis > 0) {
       Verdict verdict = new Verdict.NotRun(Verdict.Reason.OVERLOADED);
-      exchange.refuse(new Refusal(verdict, shedding));
+      exchange.refuse(new Refusal(verdict, sheddingMillis));
       return;
     }
     PoolRequestPlan plan = planOf(exchange);
@@ -129,8 +129,8 @@
   @Override
   public void addHeaders(Exchange exchange, HttpRequestPacket outgoing, long nowMillis) {
     PoolRequestPlan plan = planOf(exchange);
-    long left = plan.deadlineMillis() - nowMillis;
-    outgoing.getHeaders().addValue(ProxyHeaders.DEADLINE).setString(Long.toString(left));
+    long remainingMillis = plan.deadlineMillis() - nowMillis;
+    outgoing.getHeaders().addValue(ProxyHeaders.DEADLINE).setString(Long.toString(remainingMillis));
     outgoing.getHeaders().addValue(ProxyHeaders.REQUEST_ID).setString(plan.requestId());
     outgoing.getHeaders().addValue(ChainBudget.HEADER).setString(plan.chain().encode());
   }
@@ -142,23 +142,23 @@
 
   @Override
   public Optional<Refusal> refusalIn(Exchange exchange, AnswerHead head) {
-    Optional<String> named = head.field(ProxyHeaders.REQUEST_ID);
-    if (named.isPresent() && !named.get().equals(planOf(exchange).requestId())) {
+    Optional<String> echoedId = head.field(ProxyHeaders.REQUEST_ID);
+    if (echoedId.isPresent() && !echoedId.get().equals(planOf(exchange).requestId())) {
       return Optional.of(Refusal.mayHaveRun(Verdict.Reason.BAD_ANSWER));
     }
-    boolean draining =
+    boolean isDraining =
         head.field(ProxyHeaders.DRAINING).filter("true"::equalsIgnoreCase).isPresent();
-    Optional<Long> retryAfter =
+    Optional<Long> retryAfterMillis =
         head.field(Header.RetryAfter.toString())
             .flatMap(Headers::number)
             .map(seconds -> seconds * MILLIS_PER_SECOND);
-    status.answered(head.status(), draining, retryAfter, clockMillis.getAsLong());
+    backendStatus.answered(head.status(), isDraining, retryAfterMillis, clockMillis.getAsLong());
     return Optional.empty();
   }
 
   @Override
   public void attemptEnded(Exchange exchange, String originId, Refusal refusal, long micros) {
-    // The slot is given back when the request ends; there is one attempt.
+    // The slot is released when the request ends; there is only one attempt.
   }
 
   @Override
@@ -171,7 +171,7 @@
     gate.ended(exchange);
   }
 
-  /** Where the back end listens. */
+  /** The address of the backend. */
   static PeerAddress addressOf(NodeSettings.Backend backend) {
     return new PeerAddress(backend.host(), backend.port());
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/Listener.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/Listener.java
@@ -6,45 +6,45 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.glassfish.grizzly.nio.transport.TCPNIOServerConnection;
 
-/** An open listener whose connections a filter takes. */
+/** A listening socket whose connections are handled by an {@link InboundFilter}. */
 public final class Listener {
-  /** Rounds of accepting after which it closes though connections still come. */
+  /** Accept rounds after which the socket is closed even if connections still arrive. */
   private static final int MAX_ROUNDS = 200;
 
   private final TCPNIOServerConnection server;
   private final InboundFilter filter;
-  private final AtomicBoolean closing = new AtomicBoolean();
+  private final AtomicBoolean isClosing = new AtomicBoolean();
 
   Listener(TCPNIOServerConnection server, InboundFilter filter) {
     this.server = server;
     this.filter = filter;
   }
 
-  /** The port that it is bound to. */
+  /** The port it is bound to. */
   public int port() {
     return ((InetSocketAddress) server.getLocalAddress()).getPort();
   }
 
   /**
-   * Closes soon: once a round of accepting has found no connection that waits. Those that wait when
-   * a listener closes are reset.
+   * Closes the socket once an accept round has found no waiting connection: connections that wait
+   * in the accept queue when the socket is closed are reset.
    */
   public void closeWhenEmpty() {
-    if (closing.compareAndSet(false, true)) {
-      round(filter.accepted(), MAX_ROUNDS);
+    if (isClosing.compareAndSet(false, true)) {
+      checkAfterRound(filter.accepted(), MAX_ROUNDS);
     }
   }
 
-  private void round(long acceptedBefore, int roundsLeft) {
-    OwnTurn.run(server, () -> OwnTurn.run(server, () -> closeOrGoOn(acceptedBefore, roundsLeft)));
+  private void checkAfterRound(long acceptedBefore, int roundsLeft) {
+    OwnTurn.run(server, () -> OwnTurn.run(server, () -> closeOrRepeat(acceptedBefore, roundsLeft)));
   }
 
-  private void closeOrGoOn(long acceptedBefore, int roundsLeft) {
+  private void closeOrRepeat(long acceptedBefore, int roundsLeft) {
     long accepted = filter.accepted();
     if (accepted == acceptedBefore || roundsLeft == 0) {
       server.closeSilently();
     } else {
-      round(accepted, roundsLeft - 1);
+      checkAfterRound(accepted, roundsLeft - 1);
     }
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/SelectorEventStrategy.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/SelectorEventStrategy.java
@@ -15,25 +15,25 @@
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
 /**
- * Handles events on the selector thread. It differs from the transport's own way in two points: it
- * accepts all connections that wait, not one in each iteration; and it reads ahead where the filter
- * chain of a connection is suspended, whose state belongs to the suspended run. It has to be a
- * probe of the transport's connections, too.
+ * Handles events on the selector thread. It differs from the transport's default strategy in two
+ * points: it accepts all waiting connections, not one per iteration; and it reads ahead while the
+ * filter chain of a connection is suspended, since the chain's state belongs to the suspended run.
+ * It must also be registered as a probe of the transport's connections.
  */
 final class SelectorEventStrategy extends ConnectionProbe.Adapter implements IOStrategy {
   private static final Attribute<Long> ACCEPTED =
       Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("umberpath.accepted", 0L);
 
-  private final IOStrategy strategy = SameThreadIOStrategy.getInstance();
-  private final int mostInIteration;
+  private final IOStrategy delegate = SameThreadIOStrategy.getInstance();
+  private final int maxAcceptsPerIteration;
 
   /**
    * Creates a strategy.
    *
-   * @param mostInIteration connections of one listener that are accepted in one iteration
+   * @param maxAcceptsPerIteration most connections accepted per listener and iteration
    */
-  SelectorEventStrategy(int mostInIteration) {
-    this.mostInIteration = mostInIteration;
+  SelectorEventStrategy(int maxAcceptsPerIteration) {
+    this.maxAcceptsPerIteration = maxAcceptsPerIteration;
   }
 
   @Override
@@ -56,29 +56,29 @@
       return acceptAll((TCPNIOServerConnection) connection, isEnabled);
     }
     boolean isReadAhead =
-        event == IOEvent.READ && ReadAhead.handlesRead((Connection<?>) connection);
-    return isReadAhead || strategy.executeIoEvent(connection, event, isEnabled);
+        event == IOEvent.READ && ReadAhead.readIfSuspended((Connection<?>) connection);
+    return isReadAhead || delegate.executeIoEvent(connection, event, isEnabled);
   }
 
   private boolean acceptAll(TCPNIOServerConnection server, boolean isEnabled) throws IOException {
-    boolean goesOn = true;
+    boolean shouldContinue = true;
     boolean hasAccepted = true;
-    for (int count = 0; goesOn && hasAccepted && count < mostInIteration; count++) {
+    for (int count = 0; shouldContinue && hasAccepted && count < maxAcceptsPerIteration; count++) {
       long before = ACCEPTED.get(server);
-      goesOn = strategy.executeIoEvent(server, IOEvent.SERVER_ACCEPT, isEnabled);
+      shouldContinue = delegate.executeIoEvent(server, IOEvent.SERVER_ACCEPT, isEnabled);
       hasAccepted = ACCEPTED.get(server) > before;
     }
-    return goesOn;
+    return shouldContinue;
   }
 
   @Override
   @SuppressWarnings("rawtypes") // Grizzly's own signature
   public Executor getThreadPoolFor(Connection connection, IOEvent event) {
-    return strategy.getThreadPoolFor(connection, event);
+    return delegate.getThreadPoolFor(connection, event);
   }
 
   @Override
   public ThreadPoolConfig createDefaultWorkerPoolConfig(Transport transport) {
-    return strategy.createDefaultWorkerPoolConfig(transport);
+    return delegate.createDefaultWorkerPoolConfig(transport);
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/SlotGate.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/SlotGate.java
@@ -20,18 +20,18 @@
 import java.util.function.Predicate;
 
 /**
- * Gives the slots of the back end beside this node to exchanges. A refusal here is a firm "not
- * run": nothing of the request has been sent. Thread-safe.
+ * Assigns the concurrency slots of the backend beside this node to exchanges. A request that is
+ * refused here certainly did not run: nothing of it has been sent. Thread-safe.
  */
 public final class SlotGate {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  /** A request that asked for a slot. */
-  private record Waiting(long id, Exchange exchange, AtomicReference<Standing> standing) {}
+  /** An exchange that has requested a slot. */
+  private record SlotRequest(long id, Exchange exchange, AtomicReference<SlotState> state) {}
 
-  /** Where a request stands; settles the race between its admission and its end. */
-  private enum Standing {
-    ASKED,
+  /** The state of a slot request; decides the race between its admission and its end. */
+  private enum SlotState {
+    REQUESTED,
     ADMITTED,
     ENDED
   }
@@ -40,15 +40,15 @@
   private final Predicate<Exchange> send;
   private final LongSupplier clockMillis;
   private final AtomicLong lastId = new AtomicLong();
-  private final Map<Long, Waiting> byId = new ConcurrentHashMap<>();
-  private final Map<Exchange, Waiting> byExchange = new ConcurrentHashMap<>();
-  private final ThreadLocal<Deque<Decision>> decisionsUnderWay = new ThreadLocal<>();
+  private final Map<Long, SlotRequest> byId = new ConcurrentHashMap<>();
+  private final Map<Exchange, SlotRequest> byExchange = new ConcurrentHashMap<>();
+  private final ThreadLocal<Deque<Decision>> pendingDecisions = new ThreadLocal<>();
 
   /**
-   * Creates a gate with every slot free.
+   * Creates a gate with all slots free.
    *
-   * @param send sends an admitted exchange to the back end; false if the exchange has ended
-   * @param clockMillis rising clock, milliseconds
+   * @param send sends an admitted exchange to the backend; false if the exchange has ended
+   * @param clockMillis monotonic clock, milliseconds
    */
   public SlotGate(
       AdmissionController admission, Predicate<Exchange> send, LongSupplier clockMillis) {
@@ -57,74 +57,79 @@
     this.clockMillis = clockMillis;
   }
 
-  /** Asks for a slot; the exchange is sent or refused, now or later. */
-  public void ask(Exchange exchange, LongFunction<AdmissionRequest> askOfId) {
-    Waiting waiting =
-        new Waiting(lastId.incrementAndGet(), exchange, new AtomicReference<>(Standing.ASKED));
-    byId.put(waiting.id(), waiting);
-    byExchange.put(exchange, waiting);
-    AdmissionRequest ask = askOfId.apply(waiting.id());
+  /**
+   * Requests a slot; the exchange is sent or refused, now or later.
+   *
+   * @param requestFactory creates the admission request with the given id
+   */
+  public void ask(Exchange exchange, LongFunction<AdmissionRequest> requestFactory) {
+    SlotRequest request =
+        new SlotRequest(
+            lastId.incrementAndGet(), exchange, new AtomicReference<>(SlotState.REQUESTED));
+    byId.put(request.id(), request);
+    byExchange.put(exchange, request);
+    AdmissionRequest admissionRequest = requestFactory.apply(request.id());
     List<Decision> decisions;
     synchronized (admission) {
-      decisions = admission.ask(clockMillis.getAsLong(), ask);
+      decisions = admission.ask(clockMillis.getAsLong(), admissionRequest);
     }
-    carryOut(decisions);
+    apply(decisions);
   }
 
-  /** Lets time pass: refuses what can no longer be met. */
+  /** Refuses queued requests whose deadline can no longer be met. */
   public void tick(long nowMillis) {
     List<Decision> decisions;
     synchronized (admission) {
       decisions = admission.tick(nowMillis);
     }
-    carryOut(decisions);
+    apply(decisions);
   }
 
-  /** From now on refuses new requests, and queued ones too. */
+  /** Refuses new and queued requests from now on. */
   public void drain() {
     List<Decision> decisions;
     synchronized (admission) {
       decisions = admission.drain(clockMillis.getAsLong());
     }
-    carryOut(decisions);
+    apply(decisions);
   }
 
-  /** Refuses what waits for a slot as not run, so that it goes elsewhere at once. */
+  /** Refuses all queued requests as not run, so that they are sent elsewhere at once. */
   public void handBackWaiting() {
-    for (Waiting waiting : byExchange.values()) {
-      // Only what has not been admitted in this moment: the refusal says that it did not run.
-      if (waiting.standing().compareAndSet(Standing.ASKED, Standing.ENDED)) {
-        forget(waiting);
-        cancel(waiting.id());
-        waiting.exchange().refuse(Refusal.notRun(Verdict.Reason.DRAINING));
+    for (SlotRequest request : byExchange.values()) {
+      // Skips a request that is being admitted: the refusal says that it did not run.
+      if (request.state().compareAndSet(SlotState.REQUESTED, SlotState.ENDED)) {
+        forget(request);
+        cancel(request.id());
+        request.exchange().refuse(Refusal.notRun(Verdict.Reason.DRAINING));
       }
     }
   }
 
-  /** Changes the number of slots; running requests are not touched. */
+  /** Changes the number of slots; running requests are not affected. */
   public void resize(int slots) {
     List<Decision> decisions;
     synchronized (admission) {
       decisions = admission.resize(clockMillis.getAsLong(), slots);
     }
-    carryOut(decisions);
+    apply(decisions);
   }
 
-  /** Requests that hold a slot. */
+  /** Number of requests that hold a slot. */
   public int running() {
     synchronized (admission) {
       return admission.running();
     }
   }
 
-  /** Requests that wait. */
+  /** Number of queued requests. */
   public int queued() {
     synchronized (admission) {
       return admission.queued();
     }
   }
 
-  /** Mean time that a request holds its slot, microseconds. */
+  /** Mean time for which a request holds its slot, microseconds. */
   public long meanServiceMicros() {
     synchronized (admission) {
       return admission.meanServiceMicros();
@@ -134,26 +139,26 @@
   /** The exchanges that hold a slot. */
   public List<Exchange> runningExchanges() {
     List<Exchange> running = new ArrayList<>();
-    for (Waiting waiting : byExchange.values()) {
-      if (waiting.standing().get() == Standing.ADMITTED) {
-        running.add(waiting.exchange());
+    for (SlotRequest request : byExchange.values()) {
+      if (request.state().get() == SlotState.ADMITTED) {
+        running.add(request.exchange());
       }
     }
     return running;
   }
 
-  /** The exchange is over: gives its slot or its place in the queue back. */
+  /** Releases the slot, or the queue position, of an exchange that has ended. */
   public void ended(Exchange exchange) {
-    Waiting waiting = byExchange.get(exchange);
-    if (waiting == null) {
+    SlotRequest request = byExchange.get(exchange);
+    if (request == null) {
       return;
     }
-    forget(waiting);
-    if (waiting.standing().getAndSet(Standing.ENDED) == Standing.ADMITTED) {
-      release(waiting.id(), exchange.history().sinceSentMicros());
+    forget(request);
+    if (request.state().getAndSet(SlotState.ENDED) == SlotState.ADMITTED) {
+      release(request.id(), exchange.history().sinceSentMicros());
       return;
     }
-    cancel(waiting.id());
+    cancel(request.id());
   }
 
   private void cancel(long id) {
@@ -161,65 +166,67 @@
     synchronized (admission) {
       decisions = admission.cancel(clockMillis.getAsLong(), id);
     }
-    carryOut(decisions);
+    apply(decisions);
   }
 
   /**
-   * Carries decisions out one after the other. What one of them leads to on the same thread comes
-   * after it: an admitted request that ends at once lets the next in, and so on through the queue.
+   * Applies decisions one after the other. Decisions that result from one of them on the same
+   * thread are queued behind it: otherwise an admitted request that ends at once would admit the
+   * next one recursively, and so on through the queue.
    */
-  private void carryOut(List<Decision> decisions) {
+  private void apply(List<Decision> decisions) {
     if (decisions.isEmpty()) {
       return;
     }
-    Deque<Decision> underWay = decisionsUnderWay.get();
-    if (underWay != null) {
-      underWay.addAll(decisions);
+    Deque<Decision> pending = pendingDecisions.get();
+    if (pending != null) {
+      pending.addAll(decisions);
       return;
     }
     Deque<Decision> queue = new ArrayDeque<>(decisions);
-    decisionsUnderWay.set(queue);
+    pendingDecisions.set(queue);
     try {
       while (!queue.isEmpty()) {
-        carryOutGuarded(queue.remove());
+        applyGuarded(queue.remove());
       }
     } finally {
-      decisionsUnderWay.remove();
+      pendingDecisions.remove();
     }
   }
 
-  /** A fault ends its own exchange, which gives the slot back, and not the decisions behind. */
-  private void carryOutGuarded(Decision decision) {
-    Waiting waiting = byId.get(decision.id());
+  /** Applies a decision; if this throws, only its own exchange fails, which releases the slot. */
+  private void applyGuarded(Decision decision) {
+    SlotRequest request = byId.get(decision.id());
     try {
-      carryOut(decision, waiting);
+      apply(decision, request);
     } catch (RuntimeException fault) {
-      logger.atSevere().withCause(fault).log("a decision of the gate was not carried out");
-      if (waiting != null) {
-        waiting.exchange().refuse(Refusal.notRun(Verdict.Reason.INTERNAL));
+      logger.atSevere().withCause(fault).log("admission decision failed");
+      if (request != null) {
+        request.exchange().refuse(Refusal.notRun(Verdict.Reason.INTERNAL));
       }
     }
   }
 
-  private void carryOut(Decision decision, Waiting waiting) {
+  private void apply(Decision decision, SlotRequest request) {
     if (decision instanceof Decision.Admitted) {
-      admit(decision.id(), waiting);
-    } else if (decision instanceof Decision.Refused refused && waiting != null) {
-      forget(waiting);
+      admit(decision.id(), request);
+    } else if (decision instanceof Decision.Refused refused && request != null) {
+      forget(request);
       long retryAfter = refused.retryAfterMillis();
-      waiting.exchange().refuse(new Refusal(new Verdict.NotRun(refused.reason()), retryAfter));
+      request.exchange().refuse(new Refusal(new Verdict.NotRun(refused.reason()), retryAfter));
     }
   }
 
-  private void admit(long id, Waiting waiting) {
-    if (waiting == null || !waiting.standing().compareAndSet(Standing.ASKED, Standing.ADMITTED)) {
+  private void admit(long id, SlotRequest request) {
+    if (request == null
+        || !request.state().compareAndSet(SlotState.REQUESTED, SlotState.ADMITTED)) {
       release(id, 0);
       return;
     }
-    boolean sent = send.test(waiting.exchange());
-    if (!sent && waiting.standing().getAndSet(Standing.ENDED) == Standing.ADMITTED) {
-      // The request had ended before it asked, so that its end gave no slot back.
-      forget(waiting);
+    boolean sent = send.test(request.exchange());
+    if (!sent && request.state().getAndSet(SlotState.ENDED) == SlotState.ADMITTED) {
+      // The request had ended before it requested the slot, so that its end released none.
+      forget(request);
       release(id, 0);
     }
   }
@@ -229,11 +236,11 @@
     synchronized (admission) {
       decisions = admission.release(clockMillis.getAsLong(), id, serviceMicros);
     }
-    carryOut(decisions);
+    apply(decisions);
   }
 
-  private void forget(Waiting waiting) {
-    byId.remove(waiting.id());
-    byExchange.remove(waiting.exchange());
+  private void forget(SlotRequest request) {
+    byId.remove(request.id());
+    byExchange.remove(request.exchange());
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/Attempt.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/Attempt.java
@@ -12,14 +12,14 @@
 import org.glassfish.grizzly.Buffer;
 
 /**
- * One attempt of an exchange: passes what it hears on to the exchange, which ignores it once the
- * attempt is over. The exchange's lock guards its state.
+ * One attempt to have an exchange's request served by an origin. Reports its events to the
+ * exchange, which ignores them once the attempt is over. Guarded by the exchange's lock.
  */
 final class Attempt implements ConnectionWaiter, AnswerListener {
   private static final long NANOS_PER_MICRO = 1_000;
 
   private final Exchange exchange;
-  private final AnswerTurn turn;
+  private final PipelinedResponse pipelined;
   private final ConnectionPool pool;
   private final String originId;
   private final int number;
@@ -27,27 +27,35 @@
   private final ShortAnswer shortAnswer = new ShortAnswer();
   private OriginConnection origin;
 
-  /** The connection on which the head was sent alone; null before, and once the body follows. */
-  private OriginConnection asked;
+  /**
+   * The connection on which only the head was sent with {@code Expect: 100-continue}; null
+   * otherwise.
+   */
+  private OriginConnection awaitingContinue;
 
   private OutgoingRequest outgoing;
 
-  Attempt(Exchange exchange, AnswerTurn turn, ConnectionPool pool, String originId, int number) {
+  Attempt(
+      Exchange exchange,
+      PipelinedResponse pipelined,
+      ConnectionPool pool,
+      String originId,
+      int number) {
     this.exchange = exchange;
-    this.turn = turn;
+    this.pipelined = pipelined;
     this.pool = pool;
     this.originId = originId;
     this.number = number;
   }
 
-  /** Asks for a connection. */
+  /** Acquires a connection from the pool. */
   void begin() {
     pool.acquire(this);
   }
 
   @Override
   public void connected(OriginConnection connection) {
-    connection.runOrDefer(() -> RequestFaults.guard(exchange, () -> sendOn(connection)));
+    connection.runOrDefer(() -> RequestGuard.guard(exchange, () -> sendOn(connection)));
   }
 
   private boolean sendOn(OriginConnection connection) {
@@ -79,47 +87,49 @@
 
   @Override
   public void onBroken(Verdict.Reason reason) {
-    boolean hasOnlyAsked;
+    boolean hasSentOnlyHead;
     synchronized (exchange) {
-      hasOnlyAsked = asked != null;
+      hasSentOnlyHead = awaitingContinue != null;
     }
     exchange.attemptFailed(
         this,
-        hasOnlyAsked ? Refusal.notRun(Verdict.Reason.UNREACHABLE) : Refusal.mayHaveRun(reason));
+        hasSentOnlyHead ? Refusal.notRun(Verdict.Reason.UNREACHABLE) : Refusal.mayHaveRun(reason));
   }
 
   @Override
   public void onInterim(byte[] head) {
-    exchange.attemptInterim(this, head);
+    exchange.attemptReceivedInterim(this, head);
   }
 
   @Override
   public boolean onAnswerPart(AnswerPart part) {
-    return exchange.attemptAnswered(this, part);
+    return exchange.attemptReceivedPart(this, part);
   }
 
   @Override
   public void whenReadyForMore(Runnable resume) {
-    turn.whenTakesMore(resume);
+    pipelined.runWhenWritable(resume);
   }
 
-  /** The request as it is sent, its headers still to be completed. */
+  /** Creates the outgoing request; the handler still adds its own headers. */
   OutgoingRequest prepare() {
     outgoing = OutgoingRequest.of(exchange.request(), exchange.plan(), pool.address());
     return outgoing;
   }
 
-  /** Whether the head is to be sent alone, for the origin to ask for the body. */
-  boolean asksBefore(RequestBody body) {
-    return exchange.plan().asksBeforeBody() && body.isLongOrIncomplete();
+  /** Whether the head is sent first and the body only after the origin's 100 (Continue). */
+  boolean needsContinue(RequestBody body) {
+    return exchange.plan().asksBeforeBody() && body.needsContinue();
   }
 
-  /** Sends the prepared head, and what there is of the body unless the origin is to ask for it. */
+  /**
+   * Sends the prepared head, with the body received so far unless the origin must ask for it first.
+   */
   void send(OriginConnection connection, RequestBody body) {
     connection.begin(this);
-    if (asksBefore(body)) {
-      asked = connection;
-      connection.write(outgoing.asking(), false);
+    if (needsContinue(body)) {
+      awaitingContinue = connection;
+      connection.write(outgoing.withExpectContinue(), false);
     } else {
       sendFirst(connection, body);
     }
@@ -128,44 +138,44 @@
   private void sendFirst(OriginConnection connection, RequestBody body) {
     origin = connection;
     connection.write(
-        outgoing.first(body.kept(), body.isComplete(), body.trailers()), body.isComplete());
+        outgoing.firstPart(body.buffered(), body.isComplete(), body.trailers()), body.isComplete());
   }
 
-  /** Sends the body that the origin has asked for. */
+  /** Sends the body after the origin's 100 (Continue). */
   void sendBody(RequestBody body) {
-    OriginConnection connection = asked;
-    asked = null;
+    OriginConnection connection = awaitingContinue;
+    awaitingContinue = null;
     sendFirst(connection, body);
   }
 
   /** Sends more of the body. */
   void sendMore(Buffer content, RequestBody body, boolean last) {
-    origin.write(outgoing.next(content, last, body.trailers()), last);
+    origin.write(outgoing.nextPart(content, last, body.trailers()), last);
   }
 
-  /** The connection in use, or null before there is one. */
+  /** The connection to which the body is sent; null before there is one. */
   OriginConnection origin() {
     return origin;
   }
 
-  /** What of the answer is to be passed on, now that a piece of it has come. */
-  Optional<AnswerPart> passesOn(AnswerPart part) {
+  /** Takes a part of the response and returns what can be forwarded of the response now. */
+  Optional<AnswerPart> partToForward(AnswerPart part) {
     return shortAnswer.take(part);
   }
 
-  /** The answer is whole; the connection goes its own way. */
+  /** Called when the response is complete: the attempt no longer owns the connection. */
   void detach() {
     origin = null;
-    asked = null;
-    exchange.history().answered();
+    awaitingContinue = null;
+    exchange.history().responseComplete();
   }
 
-  /** Closes the connection if it is still in use. */
+  /** Closes the connection if the attempt still owns it. */
   void abandon() {
     if (origin != null) {
       origin.abandon();
-    } else if (asked != null) {
-      asked.abandon();
+    } else if (awaitingContinue != null) {
+      awaitingContinue.abandon();
     }
   }
 
@@ -177,7 +187,7 @@
     return (System.nanoTime() - startNanos) / NANOS_PER_MICRO;
   }
 
-  /** Its record after it failed. */
+  /** The log record of this attempt after it failed. */
   RequestAttempt record(Verdict verdict, long requestBytes) {
     RequestPlan plan = exchange.plan();
     return new RequestAttempt(
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/RestTime.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/IdleTimer.java
@@ -2,31 +2,31 @@
 
 import java.util.function.LongSupplier;
 
-/** Since when nothing has happened on a connection. Thread-safe. */
-final class RestTime {
+/** Measures how long a connection has been idle. Thread-safe. */
+final class IdleTimer {
   private final LongSupplier clockMillis;
   private volatile long sinceMillis;
   private volatile long lastUnwrittenBytes;
 
-  RestTime(LongSupplier clockMillis) {
+  IdleTimer(LongSupplier clockMillis) {
     this.clockMillis = clockMillis;
     restart();
   }
 
-  /** Something has happened. */
+  /** Restarts the time after activity on the connection. */
   void restart() {
     sinceMillis = clockMillis.getAsLong();
   }
 
-  /** A peer that takes what was written is not waited for in vain. */
-  void noteOutput(long unwrittenBytes) {
+  /** Restarts the time if the peer has read output since the last call. */
+  void noteUnwrittenBytes(long unwrittenBytes) {
     if (unwrittenBytes != lastUnwrittenBytes) {
       lastUnwrittenBytes = unwrittenBytes;
       restart();
     }
   }
 
-  boolean isOver(long boundMillis) {
+  boolean hasElapsed(long boundMillis) {
     return clockMillis.getAsLong() - sinceMillis >= boundMillis;
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/SuspendedReads.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/SuspendedReads.java
@@ -1,96 +1,106 @@
 package io.umberpath.node.proxy.inbound;
 
-import io.umberpath.node.proxy.loop.Arrival;
+import io.umberpath.node.proxy.loop.ArrivalTime;
 import io.umberpath.node.proxy.loop.ReadAhead;
 import org.glassfish.grizzly.Connection;
 import org.glassfish.grizzly.filterchain.FilterChainContext;
 import org.glassfish.grizzly.filterchain.NextAction;
 
 /**
- * Where reading from a connection stands still: at the head of a request that may not begin yet, or
- * within a body of which no more can be taken. Its connection's lock guards it.
+ * Tracks where reading from a connection is suspended: at the head of a request that may not begin
+ * yet, or within a body of which no more can be taken. Guarded by the connection's lock.
  */
 final class SuspendedReads {
-  private final Arrival arrival;
-  private final ReadAhead ahead;
+  private final ArrivalTime arrivalTime;
+  private final ReadAhead readAhead;
   private FilterChainContext head;
   private FilterChainContext body;
 
-  /** The codec keeps bytes behind the message that it has handed on last. */
-  private boolean isUndecoded;
+  /** Whether the codec holds bytes behind the message that it decoded last. */
+  private boolean hasUndecodedBytes;
 
-  SuspendedReads(Connection<?> connection, Arrival arrival) {
-    this.arrival = arrival;
-    this.ahead = ReadAhead.accepted(connection, arrival);
+  SuspendedReads(Connection<?> connection, ArrivalTime arrivalTime) {
+    this.arrivalTime = arrivalTime;
+    this.readAhead = ReadAhead.attachTo(connection, arrivalTime);
   }
 
-  /** Stands still at a head, which is seen again once it is resumed. */
-  NextAction atHead(FilterChainContext context) {
+  /** Suspends reading at a head, which is passed in again when reading resumes. */
+  NextAction suspendAtHead(FilterChainContext context) {
     head = context;
     return suspend(context);
   }
 
-  /** Stands still within a body. */
-  NextAction inBody(FilterChainContext context) {
+  /** Suspends reading within a body. */
+  NextAction suspendInBody(FilterChainContext context) {
     body = context;
     return suspend(context);
   }
 
   private NextAction suspend(FilterChainContext context) {
-    arrival.readingStops();
+    arrivalTime.onReadingSuspended();
     NextAction action = context.getSuspendAction();
     context.suspend();
-    ahead.suspended(context);
+    readAhead.onSuspended(context);
     return action;
   }
 
-  boolean isAtHead() {
+  boolean isSuspendedAtHead() {
     return head != null;
   }
 
-  /** Whether bytes behind what was suspended have been read and not been decoded. */
-  boolean isHolding() {
-    return ahead.isHolding();
+  /** Whether bytes behind the suspended message have been read but not decoded. */
+  boolean hasBufferedBytes() {
+    return readAhead.hasBufferedBytes();
   }
 
   void keepsUndecoded(boolean isKept) {
-    isUndecoded = isKept;
+    hasUndecodedBytes = isKept;
   }
 
-  /** Whether something has been read behind the requests that have begun. */
-  boolean isMoreRead() {
-    return isAtHead() || isHolding();
+  /** Whether input has been read behind the requests that have begun. */
+  boolean hasInput() {
+    return isSuspendedAtHead() || hasBufferedBytes();
   }
 
-  /** The same within a run of the filter chain, which has more in hand and may be late. */
-  boolean isMoreBehind() {
-    return isAtHead() || isUndecoded || ahead.look();
+  /**
+   * Like {@link #hasInput}, but during a run of the filter chain: includes the codec's undecoded
+   * bytes and reads from the socket, since the thread may be late.
+   */
+  boolean hasInputNow() {
+    return isSuspendedAtHead() || hasUndecodedBytes || readAhead.readNow();
   }
 
-  /** What reads on from the head; does nothing if reading does not stand there. */
-  Runnable takeHead() {
-    FilterChainContext waiting = head;
+  /**
+   * Returns an action that resumes reading at the head; a no-op if reading is not suspended there.
+   */
+  Runnable takeHeadResumption() {
+    FilterChainContext context = head;
     head = null;
-    return waiting == null ? () -> {} : () -> readOn(waiting::resume);
+    return context == null ? () -> {} : () -> resume(context::resume);
   }
 
-  /** What reads on within the body; does nothing if reading does not stand there. */
-  Runnable takeBody() {
+  /**
+   * Returns an action that resumes reading within the body; a no-op if reading is not suspended
+   * there.
+   */
+  Runnable takeBodyResumption() {
     FilterChainContext waiting = body;
-    return waiting == null ? () -> {} : takeBody(waiting);
+    return waiting == null ? () -> {} : takeBodyResumption(waiting);
   }
 
-  /** The same if reading stands at this context, and nothing otherwise. */
-  Runnable takeBody(FilterChainContext context) {
+  /**
+   * Like {@link #takeBodyResumption()}, but a no-op unless reading is suspended with this context.
+   */
+  Runnable takeBodyResumption(FilterChainContext context) {
     if (body != context) {
       return () -> {};
     }
     body = null;
-    return () -> readOn(() -> context.resume(context.getStopAction()));
+    return () -> resume(() -> context.resume(context.getStopAction()));
   }
 
-  private void readOn(Runnable resumption) {
-    arrival.readingResumes();
+  private void resume(Runnable resumption) {
+    arrivalTime.onReadingResumed();
     resumption.run();
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/loop/DeferredTasks.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/loop/DeferredTasks.java
@@ -3,47 +3,49 @@
 import java.util.ArrayDeque;
 import java.util.Queue;
 
-/** Tasks of one event loop that wait until a whole iteration of reading has followed them. */
+/**
+ * Tasks of one event loop that wait until a complete read iteration has followed their submission.
+ */
 final class DeferredTasks {
   private record Entry(Runnable task, long iteration) {}
 
   private final Queue<Entry> entries = new ArrayDeque<>();
   private long iteration;
-  private boolean running;
+  private boolean isRunning;
 
   void add(Runnable task) {
     entries.add(new Entry(task, iteration));
   }
 
-  /** Whether there is any. */
-  boolean isWaiting() {
+  /** Whether any task is waiting. */
+  boolean hasTasks() {
     return !entries.isEmpty();
   }
 
-  /** Whether it is called from one of them. */
+  /** Whether the caller is one of the tasks. */
   boolean isRunning() {
-    return running;
+    return isRunning;
   }
 
-  /** Sockets have been selected, and are read next. */
-  void iterationBegins() {
+  /** Called when sockets have been selected and are about to be read. */
+  void onIterationStart() {
     iteration++;
   }
 
-  /** Runs those that were added before the last iteration, for so long. */
+  /** Runs the tasks that were added before the last iteration, for at most about the given time. */
   void run(long sliceNanos) {
     long startNanos = System.nanoTime();
-    running = true;
+    isRunning = true;
     try {
-      while (isNextDue() && System.nanoTime() - startNanos < sliceNanos) {
+      while (isNextTaskDue() && System.nanoTime() - startNanos < sliceNanos) {
         runGuarded(entries.remove().task());
       }
     } finally {
-      running = false;
+      isRunning = false;
     }
   }
 
-  private boolean isNextDue() {
+  private boolean isNextTaskDue() {
     Entry next = entries.peek();
     return next != null && next.iteration() < iteration;
   }
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/FakeControl.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/FakeControlService.java
@@ -15,8 +15,8 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** A control side whose snapshot and observations a test sets. */
-final class FakeControl implements ControlService {
+/** A control service whose snapshot and observed backends are set by a test. */
+final class FakeControlService implements ControlService {
   final Map<String, ObservedBackend> observed = new ConcurrentHashMap<>();
   final List<ObservedBackend> published = new CopyOnWriteArrayList<>();
   volatile ProxySnapshot snapshot = ProxySnapshot.EMPTY;
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/InboundFixture.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/InboundFixture.java
@@ -33,38 +33,38 @@
 import org.glassfish.grizzly.http.HttpRequestPacket;
 
 /**
- * A listener on one selector thread that can be kept from reading. Requests that it does not refuse
- * go to an origin that the test plays.
+ * A listener on one selector thread that can be blocked. Requests that it does not refuse are sent
+ * to an origin that the test plays.
  */
 final class InboundFixture implements AutoCloseable {
-  /** A request that is answered 404. */
+  /** A request that is answered with 404. */
   static final String REFUSED = "GET /refused HTTP/1.1\r\nHost: a\r\n\r\n";
 
-  /** A request whose handling fails once it has been begun. */
+  /** A request whose dispatch throws an error. */
   static final String FAULTY = "GET /faulty HTTP/1.1\r\nHost: a\r\n\r\n";
 
-  private static final String FAULT = "/faulty";
+  private static final String FAULTY_PATH = "/faulty";
   private static final long TIMEOUT_MILLIS = 10_000;
   private static final long NO_DEADLINE_MILLIS = 3_600_000;
-  private static final String HELD_BACK = "/held-back";
+  private static final String HELD_PATH = "/held-back";
   private static final Set<String> REFUSED_PATHS = Set.of("/refused", "/block");
   private static final int MAX_ORIGIN_CONNECTIONS = 8;
 
   private final ProxyTransport transport =
       new ProxyTransport(ProxyFixture.MAX_HEADER_BYTES, ConnectionPool::giveBack, 1);
   private final ActiveExchanges active = new ActiveExchanges();
-  private final BlockingQueue<UnansweredRequests> ended = new LinkedBlockingQueue<>();
+  private final BlockingQueue<UnansweredRequests> unanswered = new LinkedBlockingQueue<>();
   private final AtomicLong clockMillis = new AtomicLong();
   private final InboundFilter filter;
   private final Listener listener;
   private final int port;
-  private final ReadingBlock block = new ReadingBlock();
+  private final SelectorBlock selectorBlock = new SelectorBlock();
   private final ServerSocket origin = new ServerSocket(0, 0, InetAddress.getLoopbackAddress());
   private final ConnectionPool pool;
   private final Set<Long> iterations = ConcurrentHashMap.newKeySet();
-  private final BlockingQueue<Long> workMicros = new LinkedBlockingQueue<>();
-  private final BlockingQueue<Exchange> heldBack = new LinkedBlockingQueue<>();
-  private volatile boolean isLeaving;
+  private final BlockingQueue<Long> serviceMicros = new LinkedBlockingQueue<>();
+  private final BlockingQueue<Exchange> heldExchanges = new LinkedBlockingQueue<>();
+  private volatile boolean isDraining;
 
   InboundFixture() throws IOException {
     ExchangeEnvironment environment =
@@ -72,7 +72,7 @@
             clockMillis::get,
             ProxyStats.NONE,
             AttemptLog.CUT_OFF_ONLY,
-            ended::add,
+            unanswered::add,
             active,
             () -> Long.MAX_VALUE);
     filter = new InboundFilter(new Handler(), environment);
@@ -92,7 +92,9 @@
     return listener;
   }
 
-  /** Ends all connections; returns when that is done, or at a moment of the fixture's clock. */
+  /**
+   * Shuts down all connections; returns when they are closed, or at a time on the fixture's clock.
+   */
   void drain(long endMillis) throws InterruptedException {
     new ConnectionDrain(List.of(filter), clockMillis::get).run(endMillis);
   }
@@ -101,9 +103,9 @@
     return new RawConnection(port);
   }
 
-  /** From now on each answer is the last of its connection, if nothing is behind it. */
-  void leave() {
-    isLeaving = true;
+  /** From now on each response closes its connection if no request is behind it. */
+  void startDraining() {
+    isDraining = true;
   }
 
   /** Returns once a connection has been accepted. */
@@ -113,113 +115,113 @@
     }
   }
 
-  /** A request that is sent on to the origin. */
+  /** A request that is sent to the origin. */
   static String get(String path) {
     return "GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\n";
   }
 
-  /** A request that is sent on to the origin, and is of use for so long. */
+  /** A request that is sent to the origin, with a deadline. */
   static String get(String path, long deadlineMillis) {
     String deadline = ProxyHeaders.DEADLINE + ": " + deadlineMillis;
     return "GET " + path + " HTTP/1.1\r\nHost: a\r\n" + deadline + "\r\n\r\n";
   }
 
-  /** The origin's end of a connection that has served a request and rests. */
-  RawConnection restingOrigin() throws IOException {
-    try (RawConnection caller = connect()) {
-      caller.send(get("/rest"));
+  /** The origin's end of an idle connection that has served a request. */
+  RawConnection idleOriginConnection() throws IOException {
+    try (RawConnection client = connect()) {
+      client.send(get("/rest"));
       RawConnection accepted = acceptOrigin();
       accepted.readHead();
       accepted.send("HTTP/1.1 204 No Content\r\n\r\n");
-      assertThat(caller.read().status()).isEqualTo(204);
+      assertThat(client.read().status()).isEqualTo(204);
       return accepted;
     }
   }
 
-  /** The other end of a connection that was opened to the origin. */
+  /** The origin's end of a newly opened connection. */
   RawConnection acceptOrigin() throws IOException {
     RawConnection accepted = new RawConnection(origin.accept());
     accepted.socket.setSoTimeout((int) TIMEOUT_MILLIS);
     return accepted;
   }
 
-  /** Sends a request that waits until another one has ended. */
-  void sendHeldBack(RawConnection caller) throws IOException, InterruptedException {
-    caller.send(get(HELD_BACK));
-    while (heldBack.isEmpty()) {
+  /** Sends a request that is held until another one has ended. */
+  void sendHeldRequest(RawConnection client) throws IOException, InterruptedException {
+    client.send(get(HELD_PATH));
+    while (heldExchanges.isEmpty()) {
       Thread.sleep(1);
     }
   }
 
-  /** What the next request that is answered by the origin says of the time it took there. */
-  long awaitWorkMicros() throws InterruptedException {
-    return workMicros.take();
+  /** The service time that the next completed request reports. */
+  long awaitServiceMicros() throws InterruptedException {
+    return serviceMicros.take();
   }
 
-  /** Iterations of the event loop in which requests were decided on. */
+  /** Number of event loop iterations in which requests were planned. */
   int iterations() {
     return iterations.size();
   }
 
-  /** Sends a request and reads its answer; returns once the node knows that it is answered. */
-  void exchange(RawConnection caller) throws IOException, InterruptedException {
-    caller.send(REFUSED);
-    assertThat(caller.read().status()).isEqualTo(404);
+  /** Sends a request and reads its response; returns once the exchange has ended. */
+  void exchange(RawConnection client) throws IOException, InterruptedException {
+    client.send(REFUSED);
+    assertThat(client.read().status()).isEqualTo(404);
     assertThat(active.awaitNone(TIMEOUT_MILLIS)).isTrue();
   }
 
-  /** The next connection that ends with requests unanswered; null if none does in time. */
-  UnansweredRequests awaitEnded() throws InterruptedException {
-    return ended.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+  /** The next connection that ends with unanswered requests; null after a timeout. */
+  UnansweredRequests awaitUnanswered() throws InterruptedException {
+    return unanswered.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   void advance(long millis) {
     clockMillis.addAndGet(millis);
   }
 
-  /** Checks now, or once the thread that reads has read what has arrived. */
+  /** Runs a check now, or once the selector thread has read the pending input. */
   void checkTimeouts(Runnable check) {
     transport.checkTimeouts(check, false);
   }
 
-  /** What the timer of a node does, here on the calling thread. */
-  void keepDeadlines() {
+  /** The deadline check of a node's timer, run on the calling thread. */
+  void expireRequests() {
     transport.checkTimeouts(() -> active.expire(clockMillis.get()), false);
   }
 
-  /** The same for connections that do not open. */
-  void giveUpLateConnections() {
+  /** The same for connection attempts that have timed out. */
+  void expireConnectionAttempts() {
     transport.checkTimeouts(pool::giveUpLate, false);
   }
 
-  /** Returns once the thread that reads stands still. */
-  void blockReading() throws IOException, InterruptedException {
-    block.begin(connect());
+  /** Returns once the selector thread is blocked. */
+  void blockSelector() throws IOException, InterruptedException {
+    selectorBlock.block(connect());
   }
 
-  /** The same, in the turn in which it has read a request of the caller. */
-  void blockReadingBehind(RawConnection caller, String request)
+  /** The same, in the iteration in which it has read a request of the client. */
+  void blockSelectorBehind(RawConnection client, String request)
       throws IOException, InterruptedException {
-    block.beginBehind(caller, request);
+    selectorBlock.blockBehind(client, request);
   }
 
-  /** Returns once the thread that stands still is late. */
-  void standLate() throws InterruptedException {
-    block.standLate();
+  /** Returns once the blocked thread is late. */
+  void awaitLateness() throws InterruptedException {
+    selectorBlock.awaitLateness();
   }
 
-  void readOn() {
-    block.readOn();
+  void unblockSelector() {
+    selectorBlock.release();
   }
 
-  /** Reads on once the thread is late by {@link ReadingBlock#LATE_MILLIS}. */
-  void readOnLate() throws InterruptedException {
-    block.readOnLate();
+  /** Unblocks the selector thread once it is late by {@link SelectorBlock#LATE_MILLIS}. */
+  void unblockSelectorLate() throws InterruptedException {
+    selectorBlock.releaseLate();
   }
 
   @Override
   public void close() throws IOException {
-    block.close();
+    selectorBlock.close();
     transport.stop();
     origin.close();
   }
@@ -241,7 +243,7 @@
     @Override
     public Either<Refusal, RequestPlan> plan(RequestHead head, long nowMillis) {
       iterations.add(EventLoop.earliestArrivalNanos());
-      block.pass(head.path());
+      selectorBlock.blockIfRequested(head.path());
       if (!REFUSED_PATHS.contains(head.path())) {
         long deadline = Headers.deadlineMillis(head).get().orElse(NO_DEADLINE_MILLIS);
         return Either.right(new Plan(head.path(), nowMillis + deadline));
@@ -251,16 +253,16 @@
 
     @Override
     public boolean isLeaving() {
-      return isLeaving;
+      return isDraining;
     }
 
     @Override
     public void dispatch(Exchange exchange) {
       String path = ((Plan) exchange.plan()).path();
-      if (path.equals(FAULT)) {
-        throw new AssertionError("the handling of this request fails");
-      } else if (path.equals(HELD_BACK)) {
-        heldBack.add(exchange);
+      if (path.equals(FAULTY_PATH)) {
+        throw new AssertionError("injected handler failure");
+      } else if (path.equals(HELD_PATH)) {
+        heldExchanges.add(exchange);
       } else {
         exchange.sendTo(pool, "backend");
       }
@@ -272,13 +274,13 @@
       outgoing.getHeaders().addValue(ProxyHeaders.DEADLINE).setString(Long.toString(left));
     }
 
-    /** The end of a request lets in the one that was held back. */
+    /** The end of a request admits the one that was held. */
     @Override
     public void ended(Exchange exchange, Verdict verdict) {
       if (verdict instanceof Verdict.Completed) {
-        workMicros.add(exchange.history().sinceSentMicros());
+        serviceMicros.add(exchange.history().sinceSentMicros());
       }
-      Exchange next = heldBack.poll();
+      Exchange next = heldExchanges.poll();
       if (next != null && next != exchange) {
         next.sendTo(pool, "backend");
       }
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/LateTimerTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/LateTimerTest.java
@@ -7,50 +7,50 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A timer does not check time-outs by what a selector thread has not read yet. */
+/** A timer must not apply timeouts while the selector thread has unread input. */
 @Timeout(60)
 class LateTimerTest extends InboundFixtureTest {
   private static final long DEADLINE_MILLIS = 600_000;
 
-  /** The answer has arrived before the deadline and lies unread behind it. */
+  /** The response arrived before the deadline but is still unread. */
   @Test
-  void anAnswerThatLiesUnreadAtItsDeadlineIsDelivered() throws Exception {
-    try (RawConnection origin = fixture.restingOrigin();
-        RawConnection caller = fixture.connect()) {
-      caller.send(InboundFixture.get("/answered", DEADLINE_MILLIS));
+  void responseUnreadAtItsDeadlineIsDelivered() throws Exception {
+    try (RawConnection origin = fixture.idleOriginConnection();
+        RawConnection client = fixture.connect()) {
+      client.send(InboundFixture.get("/answered", DEADLINE_MILLIS));
       assertThat(origin.readHead()).startsWith("GET /answered ");
-      fixture.blockReading();
+      fixture.blockSelector();
       origin.send("HTTP/1.1 204 No Content\r\n\r\n");
-      fixture.standLate();
+      fixture.awaitLateness();
       fixture.advance(DEADLINE_MILLIS);
-      fixture.keepDeadlines();
-      fixture.readOn();
+      fixture.expireRequests();
+      fixture.unblockSelector();
 
-      assertThat(caller.read().status()).isEqualTo(204);
+      assertThat(client.read().status()).isEqualTo(204);
     }
   }
 
-  /** The task comes from another thread while the selector thread is busy for long. */
+  /** The check is submitted by another thread while the selector thread is busy for long. */
   @Test
-  void aCheckThatWaitsForReadingIsMadeThoughNothingArrives() throws Exception {
-    fixture.blockReading();
-    fixture.standLate();
+  void deferredTimeoutCheckRunsWithoutFurtherInput() throws Exception {
+    fixture.blockSelector();
+    fixture.awaitLateness();
     CountDownLatch checked = new CountDownLatch(1);
     fixture.checkTimeouts(checked::countDown);
-    fixture.readOn();
+    fixture.unblockSelector();
 
     assertThat(checked.await(20, TimeUnit.SECONDS)).isTrue();
   }
 
-  /** The connection has opened, and the thread that is to hear of it stands still. */
+  /** The connection has opened, but the selector thread that handles the event is blocked. */
   @Test
-  void aConnectionThatHasOpenedUnreadIsNotGivenUp() throws Exception {
-    try (RawConnection caller = fixture.connect()) {
-      fixture.blockReadingBehind(caller, InboundFixture.get("/connecting", DEADLINE_MILLIS));
-      fixture.standLate();
+  void openedConnectionIsKeptThoughItsEventIsUnread() throws Exception {
+    try (RawConnection client = fixture.connect()) {
+      fixture.blockSelectorBehind(client, InboundFixture.get("/connecting", DEADLINE_MILLIS));
+      fixture.awaitLateness();
       fixture.advance(DEADLINE_MILLIS / 2);
-      fixture.giveUpLateConnections();
-      fixture.readOn();
+      fixture.expireConnectionAttempts();
+      fixture.unblockSelector();
 
       try (RawConnection origin = fixture.acceptOrigin()) {
         assertThat(origin.readHead()).startsWith("GET /connecting ");
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/LatencyTrial.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/LatencyBenchmark.java
@@ -16,13 +16,14 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures what the two hops add to a call, on loopback, run by hand: direct and proxied calls side
- * by side at the same rate. Each call has an intended start; latency is counted from that, so that
- * a stalled caller does not hide the calls it did not make (coordinated omission).
+ * Measures the latency that the two hops add to a call on loopback; run by hand. Direct and proxied
+ * calls run concurrently at the same rate. Each call has an intended start from which its latency
+ * is counted, so that a stalled client does not hide the calls it did not make (coordinated
+ * omission).
  *
- * <p>Arguments: calls a second of each kind, seconds, caller threads of each kind.
+ * <p>Arguments: calls per second of each kind, seconds, client threads of each kind.
  */
-final class LatencyTrial {
+final class LatencyBenchmark {
   private static final byte[] ANSWER =
       "HTTP/1.1 200 OK\r\nContent-Length: 64\r\nContent-Type: text/plain\r\n\r\n"
           .concat("x".repeat(64))
@@ -33,9 +34,9 @@
           .getBytes(StandardCharsets.US_ASCII);
   private static final long WARM_UP_SECONDS = 6;
 
-  private LatencyTrial() {}
+  private LatencyBenchmark() {}
 
-  /** Runs the trial and prints percentiles in microseconds. */
+  /** Runs the benchmark and prints percentiles in microseconds. */
   public static void main(String[] arguments) throws Exception {
     int rate = Integer.parseInt(arguments[0]);
     int seconds = Integer.parseInt(arguments[1]);
@@ -74,15 +75,15 @@
       throws InterruptedException {
     long start = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(300);
     long end = start + TimeUnit.SECONDS.toNanos(WARM_UP_SECONDS + seconds);
-    List<Thread> callers = new ArrayList<>();
+    List<Thread> clients = new ArrayList<>();
     for (int index = 0; index < threads; index++) {
       long interval = TimeUnit.SECONDS.toNanos(1) * threads / rate;
       long first = start + interval * index / threads;
-      callers.add(daemon(() -> call(directPort, first, interval, end, direct)));
-      callers.add(daemon(() -> call(edge, first + interval / 2, interval, end, via)));
+      clients.add(daemon(() -> call(directPort, first, interval, end, direct)));
+      clients.add(daemon(() -> call(edge, first + interval / 2, interval, end, via)));
     }
-    for (Thread caller : callers) {
-      caller.join();
+    for (Thread client : clients) {
+      client.join();
     }
   }
 
@@ -105,7 +106,7 @@
         }
       }
     } catch (IOException error) {
-      throw new IllegalStateException("caller failed", error);
+      throw new IllegalStateException("client failed", error);
     }
   }
 
@@ -120,7 +121,7 @@
       String text = new String(buffer, 0, length, StandardCharsets.US_ASCII);
       int head = text.indexOf("\r\n\r\n");
       if (head >= 0 && !text.startsWith("HTTP/1.1 200")) {
-        throw new IOException("answer " + text);
+        throw new IOException("unexpected response: " + text);
       }
       if (head >= 0 && length >= head + 4 + 64) {
         return;
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/PipelinedStatusTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/PipelinedStatusTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** No status of an answer ends the connection over the requests that were read behind it. */
+/** No response status closes the connection while pipelined requests are unanswered. */
 @Timeout(60)
 class PipelinedStatusTest {
   private QueuedWriteFixture fixture;
@@ -32,20 +32,20 @@
     "411, chunked", "413, chunked", "414, chunked", "431, chunked", "500, chunked", "501, chunked",
     "503, chunked", "505, chunked", "400, close", "500, close", "503, close", "200, close"
   })
-  void theRequestBehindAnAnswerOfAnyStatusIsAnswered(int status, String framing) throws Exception {
-    try (RawConnection caller = fixture.connect();
-        RawConnection origin = fixture.restingOrigin(1, caller)) {
-      caller.send("GET /rest HTTP/1.1\r\nHost: a\r\n\r\nGET /refused HTTP/1.1\r\nHost: a\r\n\r\n");
+  void requestBehindAResponseOfAnyStatusIsAnswered(int status, String framing) throws Exception {
+    try (RawConnection client = fixture.connect();
+        RawConnection origin = fixture.idleOriginConnection(1, client)) {
+      client.send("GET /rest HTTP/1.1\r\nHost: a\r\n\r\nGET /refused HTTP/1.1\r\nHost: a\r\n\r\n");
       origin.readHead();
       origin.send("HTTP/1.1 " + status + " X\r\n" + body(framing));
       if (framing.equals("close")) {
         origin.socket.shutdownOutput();
       }
-      Message first = caller.read();
+      Message first = client.read();
       assertThat(first.status()).isEqualTo(status);
       assertThat(first.body()).isEqualTo("body");
-      Message second = caller.read();
-      assertThat(second).as("answer to the second request").isNotNull();
+      Message second = client.read();
+      assertThat(second).as("response to the second request").isNotNull();
       assertThat(second.status()).isEqualTo(404);
     }
   }
@@ -60,13 +60,13 @@
 
   @ParameterizedTest
   @CsvSource({"/bad-request", "/too-large", "/deadline", "/overloaded", "/lost"})
-  void theRequestBehindARefusalIsAnswered(String path) throws Exception {
-    try (RawConnection caller = fixture.connect()) {
-      caller.send(
+  void requestBehindARefusalIsAnswered(String path) throws Exception {
+    try (RawConnection client = fixture.connect()) {
+      client.send(
           "GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\nGET /refused HTTP/1.1\r\nHost: a\r\n\r\n");
-      caller.read();
-      Message second = caller.read();
-      assertThat(second).as("answer to the second request").isNotNull();
+      client.read();
+      Message second = client.read();
+      assertThat(second).as("response to the second request").isNotNull();
       assertThat(second.status()).isEqualTo(404);
     }
   }
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/QueuedWriteFixture.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/QueuedWriteFixture.java
@@ -39,18 +39,18 @@
 import org.glassfish.grizzly.nio.NIOConnection;
 
 /**
- * A proxy on one selector thread with two origins whose sockets hold so little that what is written
- * to them soon waits in the proxy's queue. The origins are played by the test.
+ * A proxy on one selector thread with two origins that the test plays. Their socket buffers are so
+ * small that output soon waits in the proxy's write queue.
  */
 final class QueuedWriteFixture implements AutoCloseable {
-  /** When requests for the path {@code /short} are of no more use. */
+  /** Deadline of requests for the path {@code /short}, milliseconds. */
   static final long SHORT_DEADLINE_MILLIS = 200;
 
   private static final int SOCKET_BYTES = 2_048;
   private static final int TIMEOUT_MILLIS = 5_000;
   private static final int POLL_MILLIS = 2;
 
-  /** Paths of requests that are refused, and why. */
+  /** Paths of requests that are refused, and the reasons. */
   private static final Map<String, Verdict.Reason> REFUSED_FOR =
       Map.of(
           "/refused", Verdict.Reason.NO_ROUTE,
@@ -61,22 +61,22 @@
           "/overloaded", Verdict.Reason.OVERLOADED,
           "/lost", Verdict.Reason.CONNECTION_LOST);
 
-  /** Turns of the selector thread after which everything sent before them has been read. */
-  private static final int TURNS = 8;
+  /** Requests in sequence after which the selector thread has read everything sent before them. */
+  private static final int READ_ROUNDS = 8;
 
   private final ProxyTransport transport =
       new ProxyTransport(ProxyFixture.MAX_HEADER_BYTES, ConnectionPool::giveBack, 1);
   private final List<ServerSocket> servers = List.of(server(), server());
   private final List<ConnectionPool> pools = new ArrayList<>();
   private final Map<Integer, NIOConnection> opened = new ConcurrentHashMap<>();
-  private final ReadingBlock block = new ReadingBlock();
+  private final SelectorBlock selectorBlock = new SelectorBlock();
   private final AtomicLong clockMillis = new AtomicLong();
   private final int port;
   private final Map<Integer, NIOConnection> accepted = new ConcurrentHashMap<>();
   private volatile int narrowPort;
-  private volatile NIOConnection narrowCaller;
+  private volatile NIOConnection narrowClient;
   private volatile boolean retryPermitted;
-  private volatile Exchange heldBack;
+  private volatile Exchange heldExchange;
   private volatile int heldPort;
   private volatile Runnable heldOpening;
 
@@ -120,17 +120,17 @@
     clockMillis.addAndGet(millis);
   }
 
-  /** Returns once the thread that reads stands still. */
-  void blockReading() throws IOException, InterruptedException {
-    block.begin(connect());
+  /** Returns once the selector thread is blocked. */
+  void blockSelector() throws IOException, InterruptedException {
+    selectorBlock.block(connect());
   }
 
-  /** Reads on once the thread is late by {@link ReadingBlock#LATE_MILLIS}. */
-  void readOnLate() throws InterruptedException {
-    block.readOnLate();
+  /** Unblocks the selector thread once it is late by {@link SelectorBlock#LATE_MILLIS}. */
+  void unblockSelectorLate() throws InterruptedException {
+    selectorBlock.releaseLate();
   }
 
-  /** From now on a connection to an origin opens when it is told to. */
+  /** From now on connections to an origin open only when {@link #releaseOpening} is called. */
   void holdOpenings(int origin) {
     heldPort = servers.get(origin).getLocalPort();
   }
@@ -176,12 +176,12 @@
   }
 
   RawConnection connect() throws IOException {
-    RawConnection caller = new RawConnection(port);
-    caller.socket.setSoTimeout(TIMEOUT_MILLIS);
-    return caller;
+    RawConnection client = new RawConnection(port);
+    client.socket.setSoTimeout(TIMEOUT_MILLIS);
+    return client;
   }
 
-  /** A caller whose socket takes little. */
+  /** A client with a small receive buffer. */
   RawConnection connectNarrow() throws IOException {
     Socket socket = new Socket();
     socket.setReceiveBufferSize(SOCKET_BYTES);
@@ -190,64 +190,64 @@
     return new RawConnection(socket);
   }
 
-  /** The other end of a connection that the proxy has opened to an origin. */
+  /** The origin's end of a connection that the proxy has opened. */
   RawConnection acceptOrigin(int origin) throws IOException {
     RawConnection accepted = new RawConnection(servers.get(origin).accept());
     accepted.socket.setSoTimeout(TIMEOUT_MILLIS);
     return accepted;
   }
 
-  /** An origin's end of a connection that has served a request and rests. */
-  RawConnection restingOrigin(int origin, RawConnection caller) throws IOException {
-    caller.send("GET /rest HTTP/1.1\r\nHost: a\r\n\r\n");
+  /** The origin's end of an idle connection that has served a request. */
+  RawConnection idleOriginConnection(int origin, RawConnection client) throws IOException {
+    client.send("GET /rest HTTP/1.1\r\nHost: a\r\n\r\n");
     RawConnection accepted = acceptOrigin(origin);
     accepted.readHead();
     accepted.send("HTTP/1.1 204 No Content\r\n\r\n");
-    caller.read();
+    client.read();
     return accepted;
   }
 
-  /** The next attempt that fails is followed by another. */
+  /** The next failed attempt is retried. */
   void permitRetry() {
     retryPermitted = true;
   }
 
-  /** Waits until a request is held back until another ends. */
-  void awaitHeldBack() throws Exception {
-    await(() -> heldBack != null);
+  /** Waits until a request is held until another one ends. */
+  void awaitHeldExchange() throws Exception {
+    await(() -> heldExchange != null);
   }
 
   /**
-   * Sends the beginning of a request, and its end once some of the beginning waits in the queue of
-   * the origin's connection. Then several pieces wait, which the transport writes together.
+   * Sends the start of a request, and its end once part of the start waits in the write queue of
+   * the origin's connection. Several parts then wait, which the transport writes together.
    */
-  void sendPieces(RawConnection caller, int origin, String beginning, String end) throws Exception {
-    caller.send(beginning);
+  void sendParts(RawConnection client, int origin, String beginning, String end) throws Exception {
+    client.send(beginning);
     await(() -> opened(origin) != null && hasQueue(opened(origin)));
-    awaitRead();
-    caller.send(end);
-    awaitRead();
+    awaitAllRead();
+    client.send(end);
+    awaitAllRead();
   }
 
-  /** Sends an answer likewise, to a caller with a narrow socket. */
-  void answerInPieces(RawConnection origin, String beginning, String end) throws Exception {
+  /** Sends a response in the same way, to a client with a small receive buffer. */
+  void respondInParts(RawConnection origin, String beginning, String end) throws Exception {
     origin.send(beginning);
-    await(() -> hasQueue(narrowCaller));
-    awaitRead();
+    await(() -> hasQueue(narrowClient));
+    awaitAllRead();
     origin.send(end);
-    awaitRead();
+    awaitAllRead();
   }
 
   private static boolean hasQueue(NIOConnection connection) {
     return connection.getAsyncWriteQueue().spaceInBytes() > 0;
   }
 
-  /** Waits until the proxy has read all that was sent before. */
-  void awaitRead() throws IOException {
-    try (RawConnection caller = connect()) {
-      for (int turn = 0; turn < TURNS; turn++) {
-        caller.send("GET /refused HTTP/1.1\r\nHost: a\r\n\r\n");
-        caller.read();
+  /** Waits until the proxy has read everything that was sent before. */
+  void awaitAllRead() throws IOException {
+    try (RawConnection client = connect()) {
+      for (int round = 0; round < READ_ROUNDS; round++) {
+        client.send("GET /refused HTTP/1.1\r\nHost: a\r\n\r\n");
+        client.read();
       }
     }
   }
@@ -255,34 +255,34 @@
   private static void await(BooleanSupplier condition) throws Exception {
     long end = System.nanoTime() + TIMEOUT_MILLIS * 1_000_000L;
     while (!condition.getAsBoolean()) {
-      assertThat(System.nanoTime()).as("waited for too long").isLessThan(end);
+      assertThat(System.nanoTime()).as("condition within the timeout").isLessThan(end);
       Thread.sleep(POLL_MILLIS);
     }
   }
 
-  /** Resets an origin's connection, in such a way that a write finds out. */
+  /** Resets an origin's connection so that only a write finds out. */
   void breakOrigin(int origin) throws IOException {
     RawConnection accepted = acceptOrigin(origin);
     opened(origin).disableIOEvent(IOEvent.READ);
     accepted.reset();
   }
 
-  /** Resets a caller's connection, in such a way that a write finds out. */
-  void breakCaller(RawConnection caller) throws IOException {
-    narrowCaller.disableIOEvent(IOEvent.READ);
-    caller.reset();
+  /** Resets a client's connection so that only a write finds out. */
+  void breakClient(RawConnection client) throws IOException {
+    narrowClient.disableIOEvent(IOEvent.READ);
+    client.reset();
   }
 
   @Override
   public void close() throws IOException {
-    block.close();
+    selectorBlock.close();
     transport.stop();
     for (ServerSocket server : servers) {
       server.close();
     }
   }
 
-  /** Keeps callers' connections by the ports of their peers, and passes all on. */
+  /** Records client connections by the ports of their peers, and forwards all events. */
   private final class AcceptedConnections extends BaseFilter {
     private final InboundFilter next;
 
@@ -330,13 +330,13 @@
     @Override
     public Either<Refusal, RequestPlan> plan(RequestHead head, long nowMillis) {
       String path = head.path();
-      block.pass(path);
+      selectorBlock.blockIfRequested(path);
       if (REFUSED_FOR.containsKey(path)) {
         return Either.left(Refusal.notRun(REFUSED_FOR.get(path)));
       }
       if (path.equals("/answered")) {
-        narrowCaller = accepted.get(narrowPort);
-        narrow(narrowCaller);
+        narrowClient = accepted.get(narrowPort);
+        narrow(narrowClient);
       }
       return Either.right(new Plan(path));
     }
@@ -345,12 +345,12 @@
     public void dispatch(Exchange exchange) {
       String path = ((Plan) exchange.plan()).path();
       if (path.equals("/after")) {
-        heldBack = exchange;
+        heldExchange = exchange;
       } else if (path.startsWith("/fault")) {
         if (path.equals("/fault-after-sending")) {
           send(exchange, 1);
         }
-        throw new IllegalStateException("the handler fails");
+        throw new IllegalStateException("injected handler failure");
       } else {
         send(exchange, path.equals("/rest") || exchange.history().count() > 0 ? 1 : 0);
       }
@@ -367,12 +367,12 @@
       return permitted;
     }
 
-    /** The end of a request lets in the one that was held back. */
+    /** The end of a request admits the one that was held. */
     @Override
     public void ended(Exchange exchange, Verdict verdict) {
-      Exchange next = heldBack;
+      Exchange next = heldExchange;
       if (next != null && ((Plan) exchange.plan()) != null) {
-        heldBack = null;
+        heldExchange = null;
         send(next, 1);
       }
     }
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/UnreadRequestTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/UnreadRequestTest.java
@@ -7,95 +7,94 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * A connection that seems to rest, while a request of its caller lies unread in the socket.
+ * A connection that seems idle while a request of its client is still unread in the socket.
  *
- * <p>What happened: timers ran after a stretch in which the process had no processor, or was
- * paused, before the sockets were read. A connection whose request had arrived meanwhile had no
- * request under way by the node's own count, and was closed for having rested too long; its caller
- * had used it in time. Whether it rests is now asked on the thread that reads, after that thread
- * has read all that had arrived.
+ * <p>After a time in which the process got no CPU, or was paused, timers run before the sockets are
+ * read. A connection whose request had arrived meanwhile then had no request in flight by the
+ * node's count and was closed as idle, although its client had used it in time. Idleness must
+ * therefore be checked on the selector thread, after it has read all input that had arrived.
  */
 @Timeout(60)
 class UnreadRequestTest extends InboundFixtureTest {
   private static final long IDLE_MILLIS = 15_000;
-  private static final long DISCARD_MILLIS = 2_000;
+  private static final long LINGER_MILLIS = 2_000;
 
   @Test
-  void isAnsweredThoughTheConnectionSeemedToRestForTooLong() throws Exception {
-    try (RawConnection caller = fixture.connect()) {
-      fixture.exchange(caller);
-      fixture.blockReading();
-      caller.send(InboundFixture.REFUSED);
+  void isAnsweredThoughTheConnectionSeemedIdleForTooLong() throws Exception {
+    try (RawConnection client = fixture.connect()) {
+      fixture.exchange(client);
+      fixture.blockSelector();
+      client.send(InboundFixture.REFUSED);
       fixture.advance(IDLE_MILLIS);
-      fixture.filter().expire(IDLE_MILLIS, DISCARD_MILLIS);
-      fixture.readOn();
+      fixture.filter().expire(IDLE_MILLIS, LINGER_MILLIS);
+      fixture.unblockSelector();
 
-      Message answer = caller.read();
-      assertThat(answer).as("the connection was closed").isNotNull();
-      assertThat(answer.status()).isEqualTo(404);
+      Message response = client.read();
+      assertThat(response).as("the connection was closed").isNotNull();
+      assertThat(response.status()).isEqualTo(404);
     }
   }
 
   @Test
-  void aConnectionThatRestsIsEnded() throws Exception {
-    try (RawConnection caller = fixture.connect()) {
-      fixture.exchange(caller);
+  void idleConnectionIsEnded() throws Exception {
+    try (RawConnection client = fixture.connect()) {
+      fixture.exchange(client);
       fixture.advance(IDLE_MILLIS);
-      fixture.filter().expire(IDLE_MILLIS, DISCARD_MILLIS);
+      fixture.filter().expire(IDLE_MILLIS, LINGER_MILLIS);
 
-      assertThat(caller.endsNow()).isTrue();
+      assertThat(client.endsNow()).isTrue();
     }
   }
 
-  /** It arrives while the thread that reads is busy with the request in front. */
+  /** The request arrives while the selector thread is busy with the previous one. */
   @Test
-  void isAnsweredThoughTheNodeLeavesWithTheAnswerInFront() throws Exception {
-    try (RawConnection caller = fixture.connect()) {
-      fixture.exchange(caller);
-      fixture.leave();
-      fixture.blockReadingBehind(caller, "");
-      caller.send(InboundFixture.REFUSED);
-      fixture.readOn();
+  void isAnsweredThoughTheNodeDrainsWithThePreviousResponse() throws Exception {
+    try (RawConnection client = fixture.connect()) {
+      fixture.exchange(client);
+      fixture.startDraining();
+      fixture.blockSelectorBehind(client, "");
+      client.send(InboundFixture.REFUSED);
+      fixture.unblockSelector();
 
-      assertAnsweredLast(caller);
+      assertLastResponseCloses(client);
     }
   }
 
-  /** The codec has it in hand while the request in front is answered. */
+  /** The codec holds the request undecoded while the previous one is answered. */
   @Test
-  void isAnsweredThoughItWasReadTogetherWithTheOneInFront() throws Exception {
-    try (RawConnection caller = fixture.connect()) {
-      fixture.leave();
-      caller.send(InboundFixture.REFUSED + InboundFixture.REFUSED);
+  void isAnsweredThoughItWasReadWithThePreviousRequest() throws Exception {
+    try (RawConnection client = fixture.connect()) {
+      fixture.startDraining();
+      client.send(InboundFixture.REFUSED + InboundFixture.REFUSED);
 
-      assertAnsweredLast(caller);
+      assertLastResponseCloses(client);
     }
   }
 
-  /** The end of the process does not wait for what the codec has in hand. */
+  /** Shutdown must wait for a request that the codec holds undecoded. */
   @Test
-  void isAnsweredThoughTheConnectionEndsAtRest() throws Exception {
-    try (RawConnection caller = fixture.connect()) {
-      fixture.exchange(caller);
-      fixture.blockReadingBehind(caller, "");
-      caller.send(InboundFixture.REFUSED + InboundFixture.REFUSED);
+  void isAnsweredThoughTheConnectionEndsWhenIdle() throws Exception {
+    try (RawConnection client = fixture.connect()) {
+      fixture.exchange(client);
+      fixture.blockSelectorBehind(client, "");
+      client.send(InboundFixture.REFUSED + InboundFixture.REFUSED);
       fixture.filter().endConnections();
-      fixture.readOn();
+      fixture.unblockSelector();
 
       for (int count = 0; count < 3; count++) {
-        assertThat(caller.read().status()).isEqualTo(404);
+        assertThat(client.read().status()).isEqualTo(404);
       }
-      assertThat(caller.read()).isNull();
+      assertThat(client.read()).isNull();
     }
   }
 
-  private static void assertAnsweredLast(RawConnection caller) throws Exception {
-    RawConnection.Message first = caller.read();
+  private static void assertLastResponseCloses(RawConnection client) throws Exception {
+    RawConnection.Message first = client.read();
     assertThat(first.status()).isEqualTo(404);
     assertThat(first.header("Connection")).isNull();
-    RawConnection.Message second = caller.read();
-    assertThat(second).as("the connection ended over a request").isNotNull();
+    RawConnection.Message second = client.read();
+    assertThat(second).as("the connection was closed with a request unanswered").isNotNull();
     assertThat(second.header("Connection")).isEqualTo("close");
-    assertThat(caller.read()).isNull();
+    assertThat(client.read()).isNull();
   }
 }
