--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/http/ChunkedDecoder.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/http/ChunkedDecoder.java
@@ -59,14 +59,14 @@
   Result decode(Buffer buffer) {
     while (true) {
       if (state == State.DATA) {
-        return buffer.hasRemaining() ? takeData(buffer) : Result.NEEDS_MORE;
+        return buffer.hasRemaining() ? readData(buffer) : Result.NEEDS_MORE;
       }
       String line = readLine(buffer);
       if (line == null) {
         return Result.NEEDS_MORE;
       }
       if (state == State.SIZE) {
-        chunkRemaining = size(line);
+        chunkRemaining = parseSize(line);
         state = chunkRemaining == 0 ? State.TRAILERS : State.DATA;
       } else if (state == State.DATA_END) {
         requireEmpty(line);
@@ -79,7 +79,7 @@
     }
   }
 
-  private Result takeData(Buffer buffer) {
+  private Result readData(Buffer buffer) {
     dataLength = (int) Math.min(chunkRemaining, buffer.remaining());
     chunkRemaining -= dataLength;
     if (chunkRemaining == 0) {
@@ -116,7 +116,7 @@
     return new String(bytes, StandardCharsets.ISO_8859_1);
   }
 
-  private static long size(String line) {
+  private static long parseSize(String line) {
     if (line.isEmpty()) {
       throw new MalformedMessageException("chunk size is empty");
     }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/http/ChunkedEncoder.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/http/ChunkedEncoder.java
@@ -6,8 +6,8 @@
 
 /** Writes pieces of a body in the chunked transfer coding (RFC 9112, section 7.1). */
 public final class ChunkedEncoder {
-  private static final int FRAME_BYTES = 32;
-  private static final byte[] LINE_END = ascii("\r\n");
+  private static final int FRAMING_OVERHEAD_BYTES = 32;
+  private static final byte[] CRLF = ascii("\r\n");
   private static final byte[] LAST_CHUNK = ascii("0\r\n");
 
   private ChunkedEncoder() {}
@@ -18,17 +18,18 @@
    * @param trailers written behind the last piece
    */
   public static byte[] encode(Buffer content, boolean last, HeaderFields trailers) {
-    ByteArrayOutputStream bytes = new ByteArrayOutputStream(content.remaining() + FRAME_BYTES);
+    ByteArrayOutputStream bytes =
+        new ByteArrayOutputStream(content.remaining() + FRAMING_OVERHEAD_BYTES);
     if (content.hasRemaining()) {
       bytes.writeBytes(ascii(Integer.toHexString(content.remaining())));
-      bytes.writeBytes(LINE_END);
+      bytes.writeBytes(CRLF);
       bytes.writeBytes(BufferBytes.copyOf(content));
-      bytes.writeBytes(LINE_END);
+      bytes.writeBytes(CRLF);
     }
     if (last) {
       bytes.writeBytes(LAST_CHUNK);
       writeTrailers(bytes, trailers);
-      bytes.writeBytes(LINE_END);
+      bytes.writeBytes(CRLF);
     }
     return bytes.toByteArray();
   }
@@ -37,7 +38,7 @@
     for (HeaderFields.Field field : trailers.all()) {
       String line = field.name() + ": " + field.value();
       bytes.writeBytes(line.getBytes(StandardCharsets.ISO_8859_1));
-      bytes.writeBytes(LINE_END);
+      bytes.writeBytes(CRLF);
     }
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/http/ClientCodecFilter.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/http/ClientCodecFilter.java
@@ -19,23 +19,23 @@
  * for refused. Content codings pass through untouched.
  */
 public final class ClientCodecFilter extends HttpClientFilter {
-  private static final byte[] HTTP_1 = "HTTP/1.".getBytes(StandardCharsets.US_ASCII);
-  private static final int STATUS_OFFSET = HTTP_1.length + 2;
-  private static final int SWITCHING_PROTOCOLS_LAST_DIGIT = STATUS_OFFSET + 2;
+  private static final byte[] HTTP_1_PREFIX = "HTTP/1.".getBytes(StandardCharsets.US_ASCII);
+  private static final int STATUS_OFFSET = HTTP_1_PREFIX.length + 2;
+  private static final int STATUS_LAST_DIGIT_OFFSET = STATUS_OFFSET + 2;
 
   private static final int INCOMPLETE = -1;
   private static final int MALFORMED = -2;
 
-  private final AnswerObserver observer;
+  private final ClientCodecDelegate delegate;
 
   /**
    * Creates one for any number of connections.
    *
    * @param maxHeaderBytes largest answer head, and largest trailer section
    */
-  public ClientCodecFilter(int maxHeaderBytes, AnswerObserver observer) {
+  public ClientCodecFilter(int maxHeaderBytes, ClientCodecDelegate delegate) {
     super(maxHeaderBytes);
-    this.observer = observer;
+    this.delegate = delegate;
     setPreserveHeaderCase(true);
     for (ContentEncoding encoding : getContentEncodings()) {
       removeContentEncoding(encoding);
@@ -51,12 +51,12 @@
   @Override
   public NextAction handleRead(FilterChainContext context) throws IOException {
     Connection<?> connection = context.getConnection();
-    while (observer.awaitsHead(connection)) {
+    while (delegate.isAwaitingHead(connection)) {
       Buffer buffer = context.getMessage();
-      if (!mayBeInterim(buffer)) {
+      if (!mayBeInterimResponse(buffer)) {
         break;
       }
-      int end = passInterim(connection, buffer);
+      int end = forwardInterimResponse(connection, buffer);
       if (end == INCOMPLETE) {
         return context.getStopAction(buffer);
       }
@@ -65,15 +65,16 @@
       }
       context.setMessage(buffer.split(end));
     }
-    if (!observer.awaitsHead(connection) && !observer.inBody(connection)) {
-      observer.malformed(connection, new MalformedMessageException("bytes without a request"));
+    if (!delegate.isAwaitingHead(connection) && !delegate.isReadingBody(connection)) {
+      delegate.onMalformedResponse(
+          connection, new MalformedMessageException("bytes without a request"));
       return context.getStopAction();
     }
     return super.handleRead(context);
   }
 
   /** Passes an interim answer on; returns the index after it, or one of the constants. */
-  private int passInterim(Connection<?> connection, Buffer buffer) {
+  private int forwardInterimResponse(Connection<?> connection, Buffer buffer) {
     int start = buffer.position();
     int end;
     try {
@@ -81,29 +82,29 @@
       if (end < 0) {
         return INCOMPLETE;
       }
-      MessageHeadValidator.checkAnswer(buffer, start, end);
+      MessageHeadValidator.checkResponse(buffer, start, end);
       if (buffer.get(start + STATUS_OFFSET + 1) == '0'
-          && buffer.get(start + SWITCHING_PROTOCOLS_LAST_DIGIT) == '1') {
+          && buffer.get(start + STATUS_LAST_DIGIT_OFFSET) == '1') {
         throw new MalformedMessageException("answer 101 to a request without upgrade");
       }
     } catch (MalformedMessageException malformed) {
-      observer.malformed(connection, malformed);
+      delegate.onMalformedResponse(connection, malformed);
       return MALFORMED;
     }
     byte[] head = new byte[end - start];
     for (int index = 0; index < head.length; index++) {
       head[index] = buffer.get(start + index);
     }
-    observer.interim(connection, head);
+    delegate.onInterimResponse(connection, head);
     return end;
   }
 
   /** Whether the bytes so far are, or could become, the start of a 1xx answer. */
-  private static boolean mayBeInterim(Buffer buffer) {
+  private static boolean mayBeInterimResponse(Buffer buffer) {
     int start = buffer.position();
-    int known = Math.min(buffer.remaining(), HTTP_1.length);
-    for (int index = 0; index < known; index++) {
-      if (buffer.get(start + index) != HTTP_1[index]) {
+    int comparedBytes = Math.min(buffer.remaining(), HTTP_1_PREFIX.length);
+    for (int index = 0; index < comparedBytes; index++) {
+      if (buffer.get(start + index) != HTTP_1_PREFIX[index]) {
         return false;
       }
     }
@@ -118,10 +119,10 @@
     if (end < 0) {
       return false;
     }
-    MessageHeadValidator.checkAnswer(buffer, buffer.position(), end);
+    MessageHeadValidator.checkResponse(buffer, buffer.position(), end);
     boolean complete = super.decodeHttpPacket(context, packet, buffer);
     if (complete) {
-      observer.headDecoded(context.getConnection());
+      delegate.onHeadDecoded(context.getConnection());
     }
     return complete;
   }
@@ -142,7 +143,7 @@
 
   @Override
   protected void onHttpHeaderError(HttpHeader header, FilterChainContext context, Throwable error) {
-    observer.malformed(context.getConnection(), error);
+    delegate.onMalformedResponse(context.getConnection(), error);
   }
 
   @Override
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/http/HeaderCopier.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/http/HeaderCopier.java
@@ -14,26 +14,26 @@
  * behind.
  */
 public final class HeaderCopier {
-  private static final Set<String> NOT_COPIED = notCopied();
+  private static final Set<String> EXCLUDED_HEADERS = excludedHeaders();
 
   private HeaderCopier() {}
 
   /** Copies from one message to another, and leaves out the given names too. */
-  public static void copy(HeaderFields from, HttpHeader to, Set<String> alsoLeftOut) {
+  public static void copy(HeaderFields from, HttpHeader to, Set<String> additionalExclusions) {
     MimeHeaders target = to.getHeaders();
-    List<String> named = namedByConnection(from);
+    List<String> connectionOptions = connectionOptions(from);
     for (HeaderFields.Field field : from.all()) {
       String name = field.name();
-      if (!NOT_COPIED.contains(name)
+      if (!EXCLUDED_HEADERS.contains(name)
           && !ProxyHeaders.isInternal(name)
-          && !alsoLeftOut.contains(name)
-          && !containsIgnoreCase(named, name)) {
+          && !additionalExclusions.contains(name)
+          && !containsIgnoreCase(connectionOptions, name)) {
         target.addValue(name).setString(field.value());
       }
     }
   }
 
-  private static List<String> namedByConnection(HeaderFields fields) {
+  private static List<String> connectionOptions(HeaderFields fields) {
     List<String> names = new ArrayList<>();
     for (HeaderFields.Field field : fields.all()) {
       if (field.name().equalsIgnoreCase(Header.Connection.toString())) {
@@ -54,7 +54,7 @@
     return false;
   }
 
-  private static Set<String> notCopied() {
+  private static Set<String> excludedHeaders() {
     Set<String> names = new TreeSet<>(String.CASE_INSENSITIVE_ORDER);
     names.addAll(
         List.of(
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/http/HeaderFields.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/http/HeaderFields.java
@@ -25,8 +25,8 @@
   }
 
   /** The trailers that come with a piece of a body; none with most. */
-  public static HeaderFields trailersOf(HttpContent piece) {
-    return piece instanceof HttpTrailer trailer ? of(trailer.getHeaders()) : NONE;
+  public static HeaderFields trailersOf(HttpContent content) {
+    return content instanceof HttpTrailer trailer ? of(trailer.getHeaders()) : NONE;
   }
 
   /** Copies the codec's. */
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/http/HttpDates.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/http/HttpDates.java
@@ -14,23 +14,23 @@
     "Jan", "Feb", "Mar", "Apr", "May", "Jun", "Jul", "Aug", "Sep", "Oct", "Nov", "Dec"
   };
   private static final long MILLIS_PER_SECOND = 1_000;
-  private static final int TEN = 10;
+  private static final int MIN_TWO_DIGIT_NUMBER = 10;
 
-  private record Second(long epochSecond, String text) {}
+  private record FormattedSecond(long epochSecond, String text) {}
 
-  private static volatile Second last = new Second(Long.MIN_VALUE, "");
+  private static volatile FormattedSecond cached = new FormattedSecond(Long.MIN_VALUE, "");
 
   private HttpDates() {}
 
   /** The text of a time of day, milliseconds since 1970. */
   static String of(long epochMillis) {
     long epochSecond = Math.floorDiv(epochMillis, MILLIS_PER_SECOND);
-    Second known = last;
-    if (known.epochSecond() != epochSecond) {
-      known = new Second(epochSecond, format(epochSecond));
-      last = known;
+    FormattedSecond current = cached;
+    if (current.epochSecond() != epochSecond) {
+      current = new FormattedSecond(epochSecond, format(epochSecond));
+      cached = current;
     }
-    return known.text();
+    return current.text();
   }
 
   private static String format(long epochSecond) {
@@ -38,14 +38,16 @@
         LocalDateTime.ofInstant(Instant.ofEpochSecond(epochSecond), ZoneOffset.UTC);
     StringBuilder text = new StringBuilder(32);
     text.append(DAYS[time.getDayOfWeek().ordinal()]).append(", ");
-    twoDigits(text, time.getDayOfMonth()).append(' ').append(MONTHS[time.getMonthValue() - 1]);
+    appendTwoDigits(text, time.getDayOfMonth())
+        .append(' ')
+        .append(MONTHS[time.getMonthValue() - 1]);
     text.append(' ').append(time.getYear()).append(' ');
-    twoDigits(text, time.getHour()).append(':');
-    twoDigits(text, time.getMinute()).append(':');
-    return twoDigits(text, time.getSecond()).append(" GMT").toString();
+    appendTwoDigits(text, time.getHour()).append(':');
+    appendTwoDigits(text, time.getMinute()).append(':');
+    return appendTwoDigits(text, time.getSecond()).append(" GMT").toString();
   }
 
-  private static StringBuilder twoDigits(StringBuilder text, int number) {
-    return (number < TEN ? text.append('0') : text).append(number);
+  private static StringBuilder appendTwoDigits(StringBuilder text, int number) {
+    return (number < MIN_TWO_DIGIT_NUMBER ? text.append('0') : text).append(number);
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/http/MessageHeadValidator.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/http/MessageHeadValidator.java
@@ -13,17 +13,17 @@
   private static final byte[] TRANSFER_ENCODING = ascii("transfer-encoding");
   private static final byte[] HOST = ascii("host");
   private static final byte[] CHUNKED = ascii("chunked");
-  private static final byte[] HTTP_1 = ascii("HTTP/1.");
-  private static final boolean[] TOKEN = tokenBytes();
+  private static final byte[] HTTP_1_PREFIX = ascii("HTTP/1.");
+  private static final boolean[] IS_TOKEN_BYTE = tokenBytes();
   private static final int STATUS_DIGITS = 3;
   private static final int MAX_LENGTH_DIGITS = 18;
 
   private final Buffer buffer;
   private final int limit;
-  private int contentLengths;
-  private int transferEncodings;
-  private int hosts;
-  private boolean version11;
+  private int contentLengthCount;
+  private int transferEncodingCount;
+  private int hostCount;
+  private boolean http11;
 
   private MessageHeadValidator(Buffer buffer, int limit) {
     this.buffer = buffer;
@@ -65,13 +65,13 @@
    */
   static void checkRequest(Buffer buffer, int start, int limit) {
     MessageHeadValidator validator = new MessageHeadValidator(buffer, limit);
-    int end = validator.lineEnd(start);
-    validator.requestLine(start, end);
-    validator.headers(end + 2);
-    if (validator.version11 && validator.hosts != 1) {
+    int end = validator.findLineEnd(start);
+    validator.checkRequestLine(start, end);
+    validator.checkHeaders(end + 2);
+    if (validator.http11 && validator.hostCount != 1) {
       throw new MalformedMessageException("request needs exactly one Host header");
     }
-    if (validator.hosts > 1) {
+    if (validator.hostCount > 1) {
       throw new MalformedMessageException("request has several Host headers");
     }
   }
@@ -83,19 +83,19 @@
    * @param limit index after its final empty line
    * @throws MalformedMessageException if it is not canonical
    */
-  static void checkAnswer(Buffer buffer, int start, int limit) {
+  static void checkResponse(Buffer buffer, int start, int limit) {
     MessageHeadValidator validator = new MessageHeadValidator(buffer, limit);
-    int end = validator.lineEnd(start);
-    validator.statusLine(start, end);
-    validator.headers(end + 2);
+    int end = validator.findLineEnd(start);
+    validator.checkStatusLine(start, end);
+    validator.checkHeaders(end + 2);
   }
 
-  private void requestLine(int start, int end) {
+  private void checkRequestLine(int start, int end) {
     int methodEnd = start;
-    while (methodEnd < end && TOKEN[buffer.get(methodEnd) & 0xff]) {
+    while (methodEnd < end && IS_TOKEN_BYTE[buffer.get(methodEnd) & 0xff]) {
       methodEnd++;
     }
-    int versionStart = end - HTTP_1.length - 1;
+    int versionStart = end - HTTP_1_PREFIX.length - 1;
     if (methodEnd == start || versionStart - 1 <= methodEnd + 1) {
       throw new MalformedMessageException("request line is not 'method target HTTP/1.x'");
     }
@@ -108,16 +108,16 @@
         throw new MalformedMessageException("request target has a byte outside visible ASCII");
       }
     }
-    version(versionStart);
+    checkVersion(versionStart);
   }
 
-  private void statusLine(int start, int end) {
-    int statusStart = start + HTTP_1.length + 2;
+  private void checkStatusLine(int start, int end) {
+    int statusStart = start + HTTP_1_PREFIX.length + 2;
     int statusEnd = statusStart + STATUS_DIGITS;
     if (statusEnd > end || buffer.get(statusStart - 1) != ' ') {
       throw new MalformedMessageException("status line is not 'HTTP/1.x status reason'");
     }
-    version(start);
+    checkVersion(start);
     for (int index = statusStart; index < statusEnd; index++) {
       if (!isDigit(buffer.get(index))) {
         throw new MalformedMessageException("status is not three digits");
@@ -131,43 +131,45 @@
     }
   }
 
-  private void version(int start) {
-    for (int index = 0; index < HTTP_1.length; index++) {
-      if (buffer.get(start + index) != HTTP_1[index]) {
+  private void checkVersion(int start) {
+    for (int index = 0; index < HTTP_1_PREFIX.length; index++) {
+      if (buffer.get(start + index) != HTTP_1_PREFIX[index]) {
         throw new MalformedMessageException("version is not HTTP/1.x");
       }
     }
-    byte minor = buffer.get(start + HTTP_1.length);
+    byte minor = buffer.get(start + HTTP_1_PREFIX.length);
     if (minor != '0' && minor != '1') {
       throw new MalformedMessageException("version is neither HTTP/1.0 nor HTTP/1.1");
     }
-    version11 = minor == '1';
+    http11 = minor == '1';
   }
 
-  private void headers(int start) {
+  private void checkHeaders(int start) {
     int lineStart = start;
     while (lineStart < limit) {
-      int end = lineEnd(lineStart);
+      int end = findLineEnd(lineStart);
       if (end == lineStart) {
         break;
       }
-      header(lineStart, end);
+      checkHeader(lineStart, end);
       lineStart = end + 2;
     }
     if (lineStart + 2 != limit) {
       throw new MalformedMessageException("head does not end with one empty line");
     }
-    if (contentLengths > 1 || transferEncodings > 1 || contentLengths + transferEncodings > 1) {
+    if (contentLengthCount > 1
+        || transferEncodingCount > 1
+        || contentLengthCount + transferEncodingCount > 1) {
       throw new MalformedMessageException("more than one header states the body's length");
     }
-    if (transferEncodings > 0 && !version11) {
+    if (transferEncodingCount > 0 && !http11) {
       throw new MalformedMessageException("Transfer-Encoding in HTTP/1.0");
     }
   }
 
-  private void header(int start, int end) {
+  private void checkHeader(int start, int end) {
     int colon = start;
-    while (colon < end && TOKEN[buffer.get(colon) & 0xff]) {
+    while (colon < end && IS_TOKEN_BYTE[buffer.get(colon) & 0xff]) {
       colon++;
     }
     if (colon == start || colon == end || buffer.get(colon) != ':') {
@@ -181,20 +183,20 @@
     while (valueEnd > valueStart && isBlank(buffer.get(valueEnd - 1))) {
       valueEnd--;
     }
-    if (matches(CONTENT_LENGTH, start, colon)) {
-      contentLengths++;
-      digits(valueStart, valueEnd);
-    } else if (matches(TRANSFER_ENCODING, start, colon)) {
-      transferEncodings++;
-      if (!matches(CHUNKED, valueStart, valueEnd)) {
+    if (equalsIgnoreCase(CONTENT_LENGTH, start, colon)) {
+      contentLengthCount++;
+      checkContentLength(valueStart, valueEnd);
+    } else if (equalsIgnoreCase(TRANSFER_ENCODING, start, colon)) {
+      transferEncodingCount++;
+      if (!equalsIgnoreCase(CHUNKED, valueStart, valueEnd)) {
         throw new MalformedMessageException("Transfer-Encoding is not exactly 'chunked'");
       }
-    } else if (matches(HOST, start, colon)) {
-      hosts++;
+    } else if (equalsIgnoreCase(HOST, start, colon)) {
+      hostCount++;
     }
   }
 
-  private void digits(int start, int end) {
+  private void checkContentLength(int start, int end) {
     if (start == end || end - start > MAX_LENGTH_DIGITS) {
       throw new MalformedMessageException("Content-Length is empty or too long");
     }
@@ -206,7 +208,7 @@
   }
 
   /** Index of the CR of this line; refuses control bytes and lone line ends. */
-  private int lineEnd(int start) {
+  private int findLineEnd(int start) {
     for (int index = start; index < limit; index++) {
       int value = buffer.get(index) & 0xff;
       if (value == '\r') {
@@ -222,14 +224,14 @@
     throw new MalformedMessageException("head ends within a line");
   }
 
-  private boolean matches(byte[] lowerCase, int start, int end) {
-    if (end - start != lowerCase.length) {
+  private boolean equalsIgnoreCase(byte[] expectedLowerCase, int start, int end) {
+    if (end - start != expectedLowerCase.length) {
       return false;
     }
-    for (int index = 0; index < lowerCase.length; index++) {
+    for (int index = 0; index < expectedLowerCase.length; index++) {
       int value = buffer.get(start + index);
       int lower = value >= 'A' && value <= 'Z' ? value + ('a' - 'A') : value;
-      if (lower != lowerCase[index]) {
+      if (lower != expectedLowerCase[index]) {
         return false;
       }
     }
@@ -257,8 +259,8 @@
     for (char digit = '0'; digit <= '9'; digit++) {
       token[digit] = true;
     }
-    for (char mark : "!#$%&'*+-.^_`|~".toCharArray()) {
-      token[mark] = true;
+    for (char symbol : "!#$%&'*+-.^_`|~".toCharArray()) {
+      token[symbol] = true;
     }
     return token;
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/http/ServerCodecFilter.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/http/ServerCodecFilter.java
@@ -32,7 +32,7 @@
    */
   @SuppressWarnings("deprecation") // the default settings allow 256 requests on a connection
   public ServerCodecFilter(int maxHeaderBytes) {
-    super(true, maxHeaderBytes, unlimited(), null);
+    super(true, maxHeaderBytes, unlimitedKeepAlive(), null);
     setPreserveHeaderCase(true);
     setAllowPayloadForUndefinedHttpMethods(true);
     replaceChunkedEncoding(maxHeaderBytes);
@@ -47,7 +47,7 @@
     addTransferEncoding(new StrictChunkedEncoding(maxTrailerBytes));
   }
 
-  private static KeepAlive unlimited() {
+  private static KeepAlive unlimitedKeepAlive() {
     KeepAlive keepAlive = new KeepAlive();
     keepAlive.setMaxRequestsCount(-1);
     return keepAlive;
@@ -57,9 +57,9 @@
   public NextAction handleRead(FilterChainContext context) throws IOException {
     PendingAnswers pending = PendingAnswers.of(context.getConnection());
     if (pending != null && pending.isEnded()) {
-      Buffer dropped = context.getMessage();
-      pending.dropped(dropped.remaining());
-      dropped.tryDispose();
+      Buffer discarded = context.getMessage();
+      pending.dropped(discarded.remaining());
+      discarded.tryDispose();
       return context.getStopAction();
     }
     NextAction action = super.handleRead(context);
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/http/StrictChunkedEncoding.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/http/StrictChunkedEncoding.java
@@ -57,25 +57,25 @@
     }
     return switch (decoder.decode(buffer)) {
       case NEEDS_MORE -> ParsingResult.create(null, buffer.hasRemaining() ? buffer : null);
-      case DATA -> data(header, buffer, decoder.dataLength());
-      case END -> ParsingResult.create(trailer(header, decoder), remainder(buffer));
+      case DATA -> dataResult(header, buffer, decoder.dataLength());
+      case END -> ParsingResult.create(buildTrailer(header, decoder), splitRemainder(buffer));
     };
   }
 
-  private static ParsingResult data(HttpHeader header, Buffer buffer, int length) {
+  private static ParsingResult dataResult(HttpHeader header, Buffer buffer, int length) {
     Buffer remainder =
         buffer.remaining() > length ? buffer.split(buffer.position() + length) : null;
     HttpContent content = header.httpContentBuilder().content(buffer).last(false).build();
     return ParsingResult.create(content, remainder);
   }
 
-  private static HttpTrailer trailer(HttpHeader header, ChunkedDecoder decoder) {
+  private static HttpTrailer buildTrailer(HttpHeader header, ChunkedDecoder decoder) {
     HttpTrailer.Builder builder = header.httpTrailerBuilder();
     decoder.trailers().forEach((name, value) -> builder.header(name, value));
     return builder.build();
   }
 
-  private static Buffer remainder(Buffer buffer) {
+  private static Buffer splitRemainder(Buffer buffer) {
     return buffer.hasRemaining() ? buffer.split(buffer.position()) : null;
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/http/VerdictHeader.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/http/VerdictHeader.java
@@ -15,10 +15,10 @@
   /** The header's value; {@code completed} for a completed request. */
   public static String format(Verdict verdict) {
     if (verdict instanceof Verdict.NotRun notRun) {
-      return NOT_RUN + REASON + name(notRun.reason());
+      return NOT_RUN + REASON + reasonName(notRun.reason());
     }
     if (verdict instanceof Verdict.MayHaveRun mayHaveRun) {
-      return MAY_HAVE_RUN + REASON + name(mayHaveRun.reason());
+      return MAY_HAVE_RUN + REASON + reasonName(mayHaveRun.reason());
     }
     return "completed";
   }
@@ -29,7 +29,7 @@
     if (separator < 0) {
       return Optional.empty();
     }
-    Optional<Verdict.Reason> reason = reason(value.substring(separator + REASON.length()));
+    Optional<Verdict.Reason> reason = parseReason(value.substring(separator + REASON.length()));
     return switch (value.substring(0, separator)) {
       case NOT_RUN -> reason.map(Verdict.NotRun::new);
       case MAY_HAVE_RUN -> reason.map(Verdict.MayHaveRun::new);
@@ -49,13 +49,13 @@
   }
 
   /** Lower-case name of a reason, words joined by hyphens. */
-  public static String name(Verdict.Reason reason) {
+  public static String reasonName(Verdict.Reason reason) {
     return reason.name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
 
-  private static Optional<Verdict.Reason> reason(String text) {
+  private static Optional<Verdict.Reason> parseReason(String text) {
     for (Verdict.Reason reason : Verdict.Reason.values()) {
-      if (name(reason).equals(text)) {
+      if (reasonName(reason).equals(text)) {
         return Optional.of(reason);
       }
     }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/OriginFilter.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/OriginFilter.java
@@ -2,7 +2,7 @@
 
 import io.umberpath.model.Verdict;
 import io.umberpath.node.proxy.http.AnswerHead;
-import io.umberpath.node.proxy.http.AnswerObserver;
+import io.umberpath.node.proxy.http.ClientCodecDelegate;
 import io.umberpath.node.proxy.http.HeaderFields;
 import java.io.EOFException;
 import java.util.function.Consumer;
@@ -16,7 +16,7 @@
 import org.glassfish.grizzly.http.HttpResponsePacket;
 
 /** Hands decoded answers to the attempt of their connection. Stateless. */
-public final class OriginFilter extends BaseFilter implements AnswerObserver {
+public final class OriginFilter extends BaseFilter implements ClientCodecDelegate {
   private final Consumer<OriginConnection> onReusable;
 
   /**
@@ -84,24 +84,24 @@
   }
 
   @Override
-  public boolean awaitsHead(Connection<?> connection) {
+  public boolean isAwaitingHead(Connection<?> connection) {
     OriginConnection origin = OriginConnection.of(connection);
     return origin != null && origin.awaitsHead();
   }
 
   @Override
-  public boolean inBody(Connection<?> connection) {
+  public boolean isReadingBody(Connection<?> connection) {
     OriginConnection origin = OriginConnection.of(connection);
     return origin != null && origin.inBody();
   }
 
   @Override
-  public void headDecoded(Connection<?> connection) {
+  public void onHeadDecoded(Connection<?> connection) {
     OriginConnection.of(connection).headDecoded();
   }
 
   @Override
-  public void interim(Connection<?> connection, byte[] head) {
+  public void onInterimResponse(Connection<?> connection, byte[] head) {
     AnswerListener listener = OriginConnection.of(connection).listener();
     if (listener != null) {
       listener.onInterim(head);
@@ -109,7 +109,7 @@
   }
 
   @Override
-  public void malformed(Connection<?> connection, Throwable error) {
+  public void onMalformedResponse(Connection<?> connection, Throwable error) {
     OriginConnection origin = OriginConnection.of(connection);
     if (origin == null) {
       connection.terminateSilently();
