--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/backend/BackendMonitor.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/backend/BackendMonitor.java
@@ -15,8 +15,8 @@
  * be ready. {@link #tick} is called by one thread.
  */
 public final class BackendMonitor {
-  private static final String PATH = "/health";
-  private static final long NEVER = 0;
+  private static final String HEALTH_PATH = "/health";
+  private static final long PROBING_DISABLED = 0;
   private static final int LOAD_STEP_PERCENT = 25;
   private static final int FULL_LOAD_PERCENT = 100;
   private static final long MIN_PROBE_TIMEOUT_MILLIS = 1_000;
@@ -32,7 +32,7 @@
   private long probeStartMillis;
   private Phase publishedPhase;
   private int publishedLoad;
-  private long counter;
+  private long observationSequence;
 
   /**
    * Creates a monitor that has not probed yet.
@@ -57,7 +57,7 @@
   /** Probes when it is time to, and publishes what has changed. */
   public void tick() {
     long now = clockMillis.getAsLong();
-    if (backend.probeMillis() == NEVER) {
+    if (backend.probeMillis() == PROBING_DISABLED) {
       status.assumeReady();
     } else if (probe == null || now - probeStartMillis >= backend.probeMillis()) {
       probe(now);
@@ -66,25 +66,25 @@
   }
 
   private void probe(long nowMillis) {
-    long timeout = Math.max(MIN_PROBE_TIMEOUT_MILLIS, backend.probeMillis());
-    boolean mayTakeLonger = probe != null && nowMillis - probeStartMillis < timeout;
+    long timeoutMillis = Math.max(MIN_PROBE_TIMEOUT_MILLIS, backend.probeMillis());
+    boolean isWithinTimeout = probe != null && nowMillis - probeStartMillis < timeoutMillis;
     if (probe != null && probe.isUnderWay()) {
-      if (mayTakeLonger) {
+      if (isWithinTimeout) {
         return;
       }
       if (probe.giveUp()) {
-        status.probeFailed();
+        status.onProbeFailure();
       }
     }
     probeStartMillis = nowMillis;
-    probe = new HealthProbe(pool, PATH, this::answered, status::probeFailed);
+    probe = new HealthProbe(pool, HEALTH_PATH, this::onProbeResponse, status::onProbeFailure);
     probe.start();
   }
 
-  private void answered(AnswerHead head, String body) {
-    status.probed(HealthReport.of(head, body), clockMillis.getAsLong());
+  private void onProbeResponse(AnswerHead head, String body) {
+    status.onProbeResponse(HealthReport.of(head, body), clockMillis.getAsLong());
     if (status.phase() == Phase.READY) {
-      pool.openAhead(backend.slots());
+      pool.preconnect(backend.slots());
     }
   }
 
@@ -98,8 +98,9 @@
     if (phase != publishedPhase || load != publishedLoad) {
       publishedPhase = phase;
       publishedLoad = load;
-      counter++;
-      control.observe(new ObservedBackend(backend.id(), incarnation, counter, phase, load));
+      observationSequence++;
+      control.observe(
+          new ObservedBackend(backend.id(), incarnation, observationSequence, phase, load));
     }
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/backend/BackendStatus.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/backend/BackendStatus.java
@@ -11,7 +11,7 @@
   private static final long MAX_SHEDDING_MILLIS = 10_000;
 
   private Phase phase = Phase.WARMING;
-  private int failures;
+  private int consecutiveFailures;
   private boolean shedding;
   private long sheddingUntilMillis;
   private boolean nodeDraining;
@@ -43,7 +43,7 @@
     if (draining) {
       phase = Phase.DRAINING;
     }
-    shed(report, nowMillis);
+    updateShedding(report, nowMillis);
   }
 
   /** Nothing is known but what its answers say. */
@@ -53,23 +53,23 @@
     }
   }
 
-  synchronized void probed(HealthReport report, long nowMillis) {
-    failures = 0;
+  synchronized void onProbeResponse(HealthReport report, long nowMillis) {
+    consecutiveFailures = 0;
     report.phase().ifPresent(reported -> phase = reported);
     if (report.phase().isEmpty() && phase == Phase.DOWN) {
       phase = Phase.WARMING;
     }
-    shed(report, nowMillis);
+    updateShedding(report, nowMillis);
   }
 
-  synchronized void probeFailed() {
-    failures++;
-    if (failures >= FAILURES_UNTIL_DOWN) {
+  synchronized void onProbeFailure() {
+    consecutiveFailures++;
+    if (consecutiveFailures >= FAILURES_UNTIL_DOWN) {
       phase = Phase.DOWN;
     }
   }
 
-  private void shed(HealthReport report, long nowMillis) {
+  private void updateShedding(HealthReport report, long nowMillis) {
     if (report.isShedding()) {
       long millis = Math.min(MAX_SHEDDING_MILLIS, report.retryAfterMillis().orElse(0L));
       shedding = true;
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/backend/HealthProbe.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/backend/HealthProbe.java
@@ -21,27 +21,27 @@
 
   private final ConnectionPool pool;
   private final String path;
-  private final BiConsumer<AnswerHead, String> onAnswer;
+  private final BiConsumer<AnswerHead, String> onResponse;
   private final Runnable onFailure;
   private final StringBuilder body = new StringBuilder();
   private OriginConnection connection;
-  private boolean over;
+  private boolean finished;
 
   /**
    * Creates a probe that has not been sent.
    *
    * @param path what to ask for
-   * @param onAnswer takes head and text of the answer, possibly shortened
+   * @param onResponse takes head and text of the answer, possibly shortened
    * @param onFailure runs if there is no whole answer
    */
   public HealthProbe(
       ConnectionPool pool,
       String path,
-      BiConsumer<AnswerHead, String> onAnswer,
+      BiConsumer<AnswerHead, String> onResponse,
       Runnable onFailure) {
     this.pool = pool;
     this.path = path;
-    this.onAnswer = onAnswer;
+    this.onResponse = onResponse;
     this.onFailure = onFailure;
   }
 
@@ -52,21 +52,21 @@
 
   /** Whether neither callback has been called. */
   public synchronized boolean isUnderWay() {
-    return !over;
+    return !finished;
   }
 
   /** Gives up; returns whether it was still under way. */
   public boolean giveUp() {
-    OriginConnection used;
+    OriginConnection currentConnection;
     synchronized (this) {
-      if (over) {
+      if (finished) {
         return false;
       }
-      over = true;
-      used = connection;
+      finished = true;
+      currentConnection = connection;
     }
-    if (used != null) {
-      used.abandon();
+    if (currentConnection != null) {
+      currentConnection.abandon();
     }
     return true;
   }
@@ -74,7 +74,7 @@
   @Override
   public void connected(OriginConnection opened) {
     synchronized (this) {
-      if (!over) {
+      if (!finished) {
         connection = opened;
         opened.begin(this);
         opened.write(request(), true);
@@ -105,10 +105,10 @@
 
   private void fail() {
     synchronized (this) {
-      if (over) {
+      if (finished) {
         return;
       }
-      over = true;
+      finished = true;
     }
     onFailure.run();
   }
@@ -122,12 +122,12 @@
   public boolean onAnswerPart(AnswerPart part) {
     synchronized (this) {
       append(part.content());
-      if (over || !part.last()) {
+      if (finished || !part.last()) {
         return true;
       }
-      over = true;
+      finished = true;
     }
-    onAnswer.accept(part.head(), body.toString());
+    onResponse.accept(part.head(), body.toString());
     return true;
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/backend/HealthReport.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/backend/HealthReport.java
@@ -42,8 +42,8 @@
     if (text.contains("warming")) {
       return Optional.of(Phase.WARMING);
     }
-    boolean healthy = status >= OK && status < MULTIPLE_CHOICES;
-    return healthy ? Optional.of(Phase.READY) : Optional.empty();
+    boolean isHealthy = status >= OK && status < MULTIPLE_CHOICES;
+    return isHealthy ? Optional.of(Phase.READY) : Optional.empty();
   }
 
   /** Whether it refuses work for a while. */
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/AttemptLog.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/AttemptLog.java
@@ -25,7 +25,7 @@
         attempt.origin(),
         VerdictHeader.format(attempt.verdict()),
         attempt.requestBytes(),
-        attempt.micros());
+        attempt.durationMicros());
   }
 
   /** Logs a request that the bound of a planned stop cut off. */
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/OriginConnection.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/OriginConnection.java
@@ -25,35 +25,35 @@
 
   private enum Stage {
     IDLE,
-    AWAITS_HEAD,
-    IN_BODY,
+    AWAITING_HEAD,
+    READING_BODY,
     BROKEN
   }
 
   private final Connection<?> connection;
-  private final Consumer<OriginConnection> owner;
+  private final Consumer<OriginConnection> releaseHandler;
   private final Consumer<OriginConnection> onClosed;
-  private final AtomicBoolean gone = new AtomicBoolean();
+  private final AtomicBoolean closeHandled = new AtomicBoolean();
   private volatile Stage stage = Stage.IDLE;
   private volatile AnswerListener listener;
   private volatile boolean requestComplete;
-  private volatile boolean answerReusable;
-  private volatile AnswerHead endsWithConnection;
+  private volatile boolean reusableAfterResponse;
+  private volatile AnswerHead closeDelimitedHead;
   private volatile long idleSinceMillis;
-  private volatile boolean rested;
+  private volatile boolean hasBeenIdle;
 
   /**
    * Wraps a connection that has just been opened.
    *
-   * @param owner takes it back when an attempt has left it reusable
+   * @param releaseHandler takes it back when an attempt has left it reusable
    * @param onClosed hears once that it is gone
    */
   public OriginConnection(
       Connection<?> connection,
-      Consumer<OriginConnection> owner,
+      Consumer<OriginConnection> releaseHandler,
       Consumer<OriginConnection> onClosed) {
     this.connection = connection;
-    this.owner = owner;
+    this.releaseHandler = releaseHandler;
     this.onClosed = onClosed;
     ATTRIBUTE.set(connection, this);
   }
@@ -64,8 +64,8 @@
   }
 
   /** Who takes it back. */
-  public Consumer<OriginConnection> owner() {
-    return owner;
+  public Consumer<OriginConnection> releaseHandler() {
+    return releaseHandler;
   }
 
   /** Whether it can carry another attempt. */
@@ -86,9 +86,9 @@
   public synchronized void begin(AnswerListener newListener) {
     listener = newListener;
     requestComplete = false;
-    answerReusable = false;
-    endsWithConnection = null;
-    stage = Stage.AWAITS_HEAD;
+    reusableAfterResponse = false;
+    closeDelimitedHead = null;
+    stage = Stage.AWAITING_HEAD;
   }
 
   /**
@@ -128,14 +128,14 @@
   }
 
   /** Notes when it became idle. */
-  public void idleSince(long nowMillis) {
+  public void markIdle(long nowMillis) {
     idleSinceMillis = nowMillis;
-    rested = true;
+    hasBeenIdle = true;
   }
 
   /** Whether it has been idle: its peer may end it then at any time. */
   public boolean hasRested() {
-    return rested;
+    return hasBeenIdle;
   }
 
   /** Closes an idle connection. */
@@ -143,16 +143,16 @@
     connection.closeSilently();
   }
 
-  boolean awaitsHead() {
-    return stage == Stage.AWAITS_HEAD;
+  boolean isAwaitingHead() {
+    return stage == Stage.AWAITING_HEAD;
   }
 
-  boolean inBody() {
-    return stage == Stage.IN_BODY;
+  boolean isReadingBody() {
+    return stage == Stage.READING_BODY;
   }
 
-  void headDecoded() {
-    stage = Stage.IN_BODY;
+  void onHeadDecoded() {
+    stage = Stage.READING_BODY;
   }
 
   /** Who hears of the attempt under way; null if there is none. */
@@ -161,15 +161,15 @@
   }
 
   /** The whole answer has been decoded. */
-  synchronized void answerComplete(boolean keepAlive) {
+  synchronized void completeResponse(boolean keepAlive) {
     listener = null;
-    answerReusable = keepAlive && requestComplete;
-    stage = answerReusable ? Stage.IDLE : Stage.BROKEN;
+    reusableAfterResponse = keepAlive && requestComplete;
+    stage = reusableAfterResponse ? Stage.IDLE : Stage.BROKEN;
   }
 
   /** Whether the finished attempt left the connection in perfect order. */
   boolean isReusable() {
-    return answerReusable && isIdle();
+    return reusableAfterResponse && isIdle();
   }
 
   void fail(Verdict.Reason reason) {
@@ -186,29 +186,29 @@
   }
 
   /** The answer has no stated length: it is whole if the peer closes in good order. */
-  void endsWithConnection(AnswerHead head) {
-    endsWithConnection = head;
+  void setCloseDelimitedHead(AnswerHead head) {
+    closeDelimitedHead = head;
   }
 
   /**
    * The connection is gone; only the first call counts. Its owner hears at once, so that another
    * may be opened in its place, and the attempt under way in a turn of its own.
    *
-   * @param inGoodOrder whether the peer ended it, and not a fault
+   * @param isOrderly whether the peer ended it, and not a fault
    */
-  public void closed(boolean inGoodOrder) {
-    if (!gone.compareAndSet(false, true)) {
+  public void onConnectionClosed(boolean isOrderly) {
+    if (!closeHandled.compareAndSet(false, true)) {
       return;
     }
     onClosed.accept(this);
-    OwnTurn.run(connection, () -> endAttempt(inGoodOrder));
+    OwnTurn.run(connection, () -> endAttempt(isOrderly));
   }
 
-  private void endAttempt(boolean inGoodOrder) {
-    AnswerHead head = endsWithConnection;
+  private void endAttempt(boolean isOrderly) {
+    AnswerHead head = closeDelimitedHead;
     AnswerListener current = listener;
-    if (head != null && current != null && inGoodOrder) {
-      answerComplete(false);
+    if (head != null && current != null && isOrderly) {
+      completeResponse(false);
       current.onAnswerPart(
           new AnswerPart(head, false, Buffers.EMPTY_BUFFER, true, HeaderFields.NONE));
     } else {
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/OriginFilter.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/OriginFilter.java
@@ -42,14 +42,14 @@
     boolean first = !head.isCommitted();
     head.setCommitted(true);
     if (first && !last && !head.isChunked() && head.getContentLength() < 0) {
-      origin.endsWithConnection(AnswerHead.of(head));
+      origin.setCloseDelimitedHead(AnswerHead.of(head));
     }
     if (last) {
-      origin.answerComplete(head.getProcessingState().isKeepAlive());
+      origin.completeResponse(head.getProcessingState().isKeepAlive());
       // Bytes after the answer are seen before the chain completes; only then is it reusable.
       context.addCompletionListener(completed -> release(origin));
     }
-    AnswerPart part = part(content, AnswerHead.of(head), first, last);
+    AnswerPart part = toResponsePart(content, AnswerHead.of(head), first, last);
     if (listener.onAnswerPart(part) || last) {
       return context.getStopAction();
     }
@@ -59,7 +59,7 @@
     return suspend;
   }
 
-  private static AnswerPart part(
+  private static AnswerPart toResponsePart(
       HttpContent content, AnswerHead head, boolean first, boolean last) {
     return new AnswerPart(
         head, first, content.getContent(), last, HeaderFields.trailersOf(content));
@@ -78,7 +78,7 @@
     OriginConnection origin = OriginConnection.of(context.getConnection());
     if (origin != null) {
       CloseReason reason = context.getConnection().getCloseReason();
-      origin.closed(reason == null || reason.getCause() instanceof EOFException);
+      origin.onConnectionClosed(reason == null || reason.getCause() instanceof EOFException);
     }
     return context.getStopAction();
   }
@@ -86,18 +86,18 @@
   @Override
   public boolean isAwaitingHead(Connection<?> connection) {
     OriginConnection origin = OriginConnection.of(connection);
-    return origin != null && origin.awaitsHead();
+    return origin != null && origin.isAwaitingHead();
   }
 
   @Override
   public boolean isReadingBody(Connection<?> connection) {
     OriginConnection origin = OriginConnection.of(connection);
-    return origin != null && origin.inBody();
+    return origin != null && origin.isReadingBody();
   }
 
   @Override
   public void onHeadDecoded(Connection<?> connection) {
-    OriginConnection.of(connection).headDecoded();
+    OriginConnection.of(connection).onHeadDecoded();
   }
 
   @Override
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/OriginManager.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/OriginManager.java
@@ -10,7 +10,7 @@
 /** The pools of connections to other nodes, one per address; disused ones go away. Thread-safe. */
 public final class OriginManager {
   private static final int MAX_CONNECTIONS_PER_NODE = 256;
-  private static final long DISUSED_MILLIS = 60_000;
+  private static final long UNUSED_POOL_MILLIS = 60_000;
   private static final long DEFAULT_CONNECT_TIMEOUT_MILLIS = 1_000;
 
   private final Connector connector;
@@ -50,12 +50,12 @@
     for (ConnectionPool pool : pools.values()) {
       pool.expire(idleMillis);
     }
-    pools.values().removeIf(pool -> pool.isDisused(DISUSED_MILLIS));
+    pools.values().removeIf(pool -> pool.isUnused(UNUSED_POOL_MILLIS));
   }
 
   /** Connections that are open, those in use included. */
   public int open() {
-    return pools.values().stream().mapToInt(ConnectionPool::open).sum();
+    return pools.values().stream().mapToInt(ConnectionPool::openCount).sum();
   }
 
   /** Gives up connections that have not opened within their time. */
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/RequestAttempt.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/RequestAttempt.java
@@ -11,7 +11,7 @@
  * @param origin where it was sent
  * @param verdict how it ended
  * @param requestBytes body bytes received from the caller so far
- * @param micros time it took
+ * @param durationMicros time it took
  */
 public record RequestAttempt(
     String requestId,
@@ -20,4 +20,4 @@
     String origin,
     Verdict verdict,
     long requestBytes,
-    long micros) {}
+    long durationMicros) {}
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/ShortAnswer.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/ShortAnswer.java
@@ -22,15 +22,15 @@
 
   /** Takes a piece; returns what is to be passed on now, if anything is. */
   public Optional<AnswerPart> take(AnswerPart part) {
-    boolean begins = part.first() && !part.last() && isShort(part.head());
-    if (begins) {
+    boolean startsBuffering = part.first() && !part.last() && isShort(part.head());
+    if (startsBuffering) {
       head = part.head();
     }
     if (head == null) {
       return Optional.of(part);
     }
-    hold(part.content());
-    return part.last() ? Optional.of(whole(part)) : Optional.empty();
+    appendToBody(part.content());
+    return part.last() ? Optional.of(bufferedResponse(part)) : Optional.empty();
   }
 
   private static boolean isShort(AnswerHead head) {
@@ -38,14 +38,14 @@
     return !head.isChunked() && length >= 0 && length <= MAX_BYTES;
   }
 
-  private void hold(Buffer content) {
+  private void appendToBody(Buffer content) {
     if (content == null) {
       return;
     }
     body.writeBytes(BufferBytes.copyOf(content));
   }
 
-  private AnswerPart whole(AnswerPart last) {
+  private AnswerPart bufferedResponse(AnswerPart last) {
     Buffer content = Buffers.wrap(MemoryManager.DEFAULT_MEMORY_MANAGER, body.toByteArray());
     return new AnswerPart(head, true, content, true, last.trailers());
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/pool/ConnectionPool.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/pool/ConnectionPool.java
@@ -27,8 +27,8 @@
   private final LongSupplier clockMillis;
   private final long connectTimeoutMillis;
   private final Deque<OriginConnection> idle = new ArrayDeque<>();
-  private final Set<Opening> openings = new HashSet<>();
-  private int open;
+  private final Set<PendingConnection> pendingConnections = new HashSet<>();
+  private int openCount;
   private long lastUsedMillis;
 
   /**
@@ -84,89 +84,90 @@
 
   /** Opens a connection for the waiter, also if others are idle: tells whether somebody listens. */
   public void acquireNew(ConnectionWaiter waiter) {
-    Opening opening = null;
+    PendingConnection pending = null;
     synchronized (this) {
       lastUsedMillis = clockMillis.getAsLong();
-      if (open + openings.size() < maxConnections) {
-        opening = new Opening(waiter, lastUsedMillis);
-        openings.add(opening);
+      if (openCount + pendingConnections.size() < maxConnections) {
+        pending = new PendingConnection(waiter, lastUsedMillis);
+        pendingConnections.add(pending);
       }
     }
-    if (opening != null) {
-      connector.connect(address, opening);
+    if (pending != null) {
+      connector.connect(address, pending);
     } else {
       waiter.notConnected(Verdict.Reason.OVERLOADED);
     }
   }
 
   /** Opens connections until the given number exists, so that no request waits for one. */
-  public void openAhead(int count) {
-    List<Opening> started = new ArrayList<>();
+  public void preconnect(int count) {
+    List<PendingConnection> started = new ArrayList<>();
     synchronized (this) {
-      int wanted = Math.min(count, maxConnections) - open - openings.size();
-      for (int index = 0; index < wanted; index++) {
-        Opening opening = new Opening(null, clockMillis.getAsLong());
-        openings.add(opening);
-        started.add(opening);
+      int missing = Math.min(count, maxConnections) - openCount - pendingConnections.size();
+      for (int index = 0; index < missing; index++) {
+        PendingConnection pending = new PendingConnection(null, clockMillis.getAsLong());
+        pendingConnections.add(pending);
+        started.add(pending);
       }
     }
-    started.forEach(opening -> connector.connect(address, opening));
+    started.forEach(pending -> connector.connect(address, pending));
   }
 
   /** Takes back a connection whose attempt ended in perfect order. */
   public synchronized void release(OriginConnection connection) {
-    connection.idleSince(clockMillis.getAsLong());
+    connection.markIdle(clockMillis.getAsLong());
     idle.addFirst(connection);
   }
 
   /** Gives a connection back to the pool that opened it. */
   public static void giveBack(OriginConnection connection) {
-    connection.owner().accept(connection);
+    connection.releaseHandler().accept(connection);
   }
 
   /** Closes connections idle for longer, fails openings that take too long. */
   public void expire(long idleMillis) {
     long now = clockMillis.getAsLong();
-    List<OriginConnection> aged = new ArrayList<>();
+    List<OriginConnection> expired = new ArrayList<>();
     synchronized (this) {
       while (!idle.isEmpty() && idle.peekLast().idleSinceMillis() + idleMillis <= now) {
-        aged.add(idle.pollLast());
+        expired.add(idle.pollLast());
       }
     }
-    aged.forEach(OriginConnection::close);
+    expired.forEach(OriginConnection::close);
     giveUpLate();
   }
 
   /** Gives up connections that have not opened within their time. */
   public void giveUpLate() {
-    List<Opening> late;
+    List<PendingConnection> overdue;
     synchronized (this) {
-      if (openings.isEmpty()) {
+      if (pendingConnections.isEmpty()) {
         return;
       }
       long now = clockMillis.getAsLong();
-      late = new ArrayList<>();
-      for (Iterator<Opening> each = openings.iterator(); each.hasNext(); ) {
-        Opening opening = each.next();
-        if (opening.startedMillis + connectTimeoutMillis <= now) {
-          each.remove();
-          late.add(opening);
+      overdue = new ArrayList<>();
+      for (Iterator<PendingConnection> iterator = pendingConnections.iterator();
+          iterator.hasNext(); ) {
+        PendingConnection pending = iterator.next();
+        if (pending.startedMillis + connectTimeoutMillis <= now) {
+          iterator.remove();
+          overdue.add(pending);
         }
       }
     }
-    late.forEach(Opening::giveUp);
+    overdue.forEach(PendingConnection::notifyFailed);
   }
 
   /** Whether nobody has used it for so long, and nothing is open. */
-  public synchronized boolean isDisused(long disusedMillis) {
-    return open == 0
-        && openings.isEmpty()
-        && lastUsedMillis + disusedMillis <= clockMillis.getAsLong();
+  public synchronized boolean isUnused(long unusedMillis) {
+    return openCount == 0
+        && pendingConnections.isEmpty()
+        && lastUsedMillis + unusedMillis <= clockMillis.getAsLong();
   }
 
   /** Open connections, those in use included. */
-  public synchronized int open() {
-    return open;
+  public synchronized int openCount() {
+    return openCount;
   }
 
   private OriginConnection pollIdle() {
@@ -177,18 +178,18 @@
     return connection;
   }
 
-  private synchronized void closed(OriginConnection connection) {
-    open--;
+  private synchronized void onClosed(OriginConnection connection) {
+    openCount--;
     idle.remove(connection);
   }
 
   /** A connection being opened; its waiter is null if it is opened ahead of need. */
   @SuppressWarnings("rawtypes") // Grizzly's own signature
-  private final class Opening extends EmptyCompletionHandler<Connection> {
+  private final class PendingConnection extends EmptyCompletionHandler<Connection> {
     private final ConnectionWaiter waiter;
     private final long startedMillis;
 
-    Opening(ConnectionWaiter waiter, long startedMillis) {
+    PendingConnection(ConnectionWaiter waiter, long startedMillis) {
       this.waiter = waiter;
       this.startedMillis = startedMillis;
     }
@@ -197,18 +198,18 @@
     public void completed(Connection connection) {
       OriginConnection origin;
       synchronized (ConnectionPool.this) {
-        if (!openings.remove(this)) {
+        if (!pendingConnections.remove(this)) {
           connection.terminateSilently();
           return;
         }
-        open++;
+        openCount++;
         origin =
             new OriginConnection(
-                connection, ConnectionPool.this::release, ConnectionPool.this::closed);
+                connection, ConnectionPool.this::release, ConnectionPool.this::onClosed);
       }
       if (!connection.isOpen()) {
         // It may have closed before it was wrapped, when nobody listened.
-        origin.closed(false);
+        origin.onConnectionClosed(false);
       }
       if (waiter == null) {
         release(origin);
@@ -220,11 +221,11 @@
     @Override
     public void failed(Throwable error) {
       synchronized (ConnectionPool.this) {
-        if (!openings.remove(this)) {
+        if (!pendingConnections.remove(this)) {
           return;
         }
       }
-      giveUp();
+      notifyFailed();
     }
 
     @Override
@@ -232,7 +233,7 @@
       failed(new java.util.concurrent.CancellationException());
     }
 
-    private void giveUp() {
+    private void notifyFailed() {
       if (waiter != null) {
         waiter.notConnected(Verdict.Reason.UNREACHABLE);
       }
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/origin/OwnTurnTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/origin/OwnTurnTest.java
@@ -38,7 +38,7 @@
     transport.shutdownNow();
   }
 
-  private void end(String name) {
+  private void recordLast(String name) {
     seen.add(name);
     done.countDown();
   }
@@ -48,13 +48,13 @@
   }
 
   @Test
-  void runsOnTheSelectorThreadOnceTheCallerIsThrough() throws Exception {
+  void runsOnSelectorThreadAfterCurrentTask() throws Exception {
     Thread selector = ((NIOConnection) connection).getSelectorRunner().getRunnerThread();
 
     OwnTurn.run(
         connection,
         () -> {
-          OwnTurn.run(connection, () -> end("inner on " + Thread.currentThread().getName()));
+          OwnTurn.run(connection, () -> recordLast("inner on " + Thread.currentThread().getName()));
           seen.add("outer");
         });
 
@@ -63,26 +63,26 @@
   }
 
   @Test
-  void runsTasksOfAClosedConnectionInTheirOrder() throws Exception {
+  void runsTasksOfClosedConnectionInOrder() throws Exception {
     connection.terminateSilently();
 
     for (String name : List.of("first", "second")) {
       OwnTurn.run(connection, () -> seen.add(name));
     }
-    OwnTurn.run(connection, () -> end("third"));
+    OwnTurn.run(connection, () -> recordLast("third"));
 
     awaitDone();
     assertThat(seen).containsExactly("first", "second", "third");
   }
 
   @Test
-  void goesOnAfterATaskThatThrows() throws Exception {
+  void continuesAfterTaskThrows() throws Exception {
     OwnTurn.run(
         connection,
         () -> {
           throw new IllegalStateException("meant to be thrown");
         });
-    OwnTurn.run(connection, () -> end("next"));
+    OwnTurn.run(connection, () -> recordLast("next"));
 
     awaitDone();
     assertThat(seen).containsExactly("next");
