--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/http/AnswerHead.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/http/AnswerHead.java
@@ -6,18 +6,21 @@
 import org.glassfish.grizzly.http.HttpResponsePacket;
 
 /**
- * The head of an answer.
+ * The status line and header fields of a response.
  *
- * @param reason the reason phrase, if it is not the usual one of its status
+ * @param reason the reason phrase, if it differs from the standard phrase of the status
  */
 public record AnswerHead(
     int status, Optional<String> reason, HeaderFields fields, long contentLength, boolean isChunked)
     implements MessageHead {
 
   private static final Attribute<AnswerHead> ATTRIBUTE =
-      AttributeBuilder.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("umberpath.answerHead");
+      AttributeBuilder.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("umberpath.responseHead");
 
-  /** Copies the head of an answer that was just decoded, and lets go of the codec's buffer. */
+  /**
+   * Copies the head of a newly decoded response, so that the packet no longer refers to the codec's
+   * buffer.
+   */
   static AnswerHead detach(HttpResponsePacket packet) {
     Optional<String> reason =
         packet.isCustomReasonPhraseSet() ? Optional.of(packet.getReasonPhrase()) : Optional.empty();
@@ -33,7 +36,7 @@
     return head;
   }
 
-  /** The head of a decoded answer. */
+  /** Returns the head of a decoded response. */
   public static AnswerHead of(HttpResponsePacket packet) {
     AnswerHead head = ATTRIBUTE.get(packet);
     return head == null ? detach(packet) : head;
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/http/BufferBytes.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/http/BufferBytes.java
@@ -2,11 +2,11 @@
 
 import org.glassfish.grizzly.Buffer;
 
-/** Copies what a buffer of the codec holds. */
+/** Copies the content of codec buffers. */
 public final class BufferBytes {
   private BufferBytes() {}
 
-  /** A copy of what remains; the buffer's own position stays. */
+  /** Copies the remaining bytes without moving the buffer's position. */
   public static byte[] copyOf(Buffer content) {
     byte[] bytes = new byte[content.remaining()];
     content.duplicate().get(bytes);
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/http/ChunkedDecoder.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/http/ChunkedDecoder.java
@@ -7,15 +7,15 @@
 import java.util.Set;
 import org.glassfish.grizzly.Buffer;
 
-/** Decoding state of one chunked body. Not thread-safe. */
+/** Incremental decoder for one chunked body. Not thread-safe. */
 final class ChunkedDecoder {
-  /** What a call found. */
+  /** Outcome of a {@link #decode} call. */
   enum Result {
-    /** The buffer ended before a piece of the body was complete; its rest must be kept. */
+    /** The buffer ended within a line of the framing; its remaining bytes must be kept. */
     NEEDS_MORE,
-    /** The buffer stands on body bytes, see {@link #dataLength()}. */
+    /** The buffer is positioned at body bytes, see {@link #dataLength()}. */
     DATA,
-    /** The body is over; the buffer stands on what follows it. */
+    /** The body is complete; the buffer is positioned after it. */
     END
   }
 
@@ -41,20 +41,20 @@
     this.maxTrailerBytes = maxTrailerBytes;
   }
 
-  /** Body bytes at the buffer's position after {@link Result#DATA}. */
+  /** Number of body bytes at the buffer's position, valid after {@link Result#DATA}. */
   int dataLength() {
     return dataLength;
   }
 
-  /** Trailers after {@link Result#END}. */
+  /** Trailer fields, complete after {@link Result#END}. */
   Map<String, String> trailers() {
     return trailers;
   }
 
   /**
-   * Decodes on from the buffer's position.
+   * Continues decoding at the buffer's position.
    *
-   * @throws MalformedMessageException at the first byte that breaks the grammar
+   * @throws MalformedMessageException at the first violation of the grammar
    */
   Result decode(Buffer buffer) {
     while (true) {
@@ -142,13 +142,14 @@
     trailerBytes += line.length() + 2;
     int colon = line.indexOf(':');
     if (trailerBytes > maxTrailerBytes || colon <= 0) {
-      throw new MalformedMessageException("trailers are too long or have no name");
+      throw new MalformedMessageException("trailers are too large, or a trailer line has no name");
     }
     String name = line.substring(0, colon);
     boolean plain = name.chars().allMatch(c -> c > ' ' && c < 0x7f && c != '(' && c != ')');
     String value = line.substring(colon + 1).strip();
     if (!plain || value.chars().anyMatch(c -> c < ' ' && c != '\t' || c == 0x7f)) {
-      throw new MalformedMessageException("trailer has a control byte or blank in its name");
+      throw new MalformedMessageException(
+          "trailer has an invalid name or a control byte in its value");
     }
     if (!FORBIDDEN_TRAILERS.contains(name.toLowerCase(Locale.ROOT))
         && !ProxyHeaders.isInternal(name)) {
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/http/ChunkedEncoder.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/http/ChunkedEncoder.java
@@ -4,7 +4,7 @@
 import java.nio.charset.StandardCharsets;
 import org.glassfish.grizzly.Buffer;
 
-/** Writes pieces of a body in the chunked transfer coding (RFC 9112, section 7.1). */
+/** Encodes body content in the chunked transfer coding (RFC 9112, section 7.1). */
 public final class ChunkedEncoder {
   private static final int FRAMING_OVERHEAD_BYTES = 32;
   private static final byte[] CRLF = ascii("\r\n");
@@ -13,9 +13,10 @@
   private ChunkedEncoder() {}
 
   /**
-   * A piece as a chunk, if it has any bytes, and what ends the body if it is the last.
+   * Encodes the content as one chunk unless it is empty, followed by the last chunk and the
+   * trailers if it ends the body.
    *
-   * @param trailers written behind the last piece
+   * @param trailers written after the last chunk
    */
   public static byte[] encode(Buffer content, boolean last, HeaderFields trailers) {
     ByteArrayOutputStream bytes =
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/http/ClientCodecDelegate.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/http/ClientCodecDelegate.java
@@ -2,24 +2,30 @@
 
 import org.glassfish.grizzly.Connection;
 
-/** What the client codec asks and tells about a connection, besides the messages it decodes. */
+/**
+ * Supplies the client codec with the state of a connection, and receives its events other than
+ * decoded messages.
+ */
 public interface ClientCodecDelegate {
-  /** Whether a request is under way whose final answer head has not come yet. */
+  /** Whether a request is in flight whose final response head has not been received. */
   boolean isAwaitingHead(Connection<?> connection);
 
-  /** Whether the connection is in the body of an answer. */
+  /** Whether a response body is being received on the connection. */
   boolean isReadingBody(Connection<?> connection);
 
-  /** A final answer head has been decoded. */
+  /** Called when the head of a final response has been decoded. */
   void onHeadDecoded(Connection<?> connection);
 
   /**
-   * An interim answer (1xx other than 101) arrived.
+   * Called for an interim response (1xx other than 101).
    *
-   * @param head its raw bytes, checked
+   * @param head its raw bytes, already validated
    */
   void onInterimResponse(Connection<?> connection, byte[] head);
 
-  /** What arrived is no valid answer, or no request waits for one; the connection is unusable. */
+  /**
+   * Called for bytes that are not a valid response, or that no request is waiting for; the
+   * connection cannot be used again.
+   */
   void onMalformedResponse(Connection<?> connection, Throwable error);
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/http/ClientCodecFilter.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/http/ClientCodecFilter.java
@@ -15,8 +15,8 @@
 import org.glassfish.grizzly.http.TransferEncoding;
 
 /**
- * Grizzly's client codec with strict framing, interim answers passed on, and answers nobody waits
- * for refused. Content codings pass through untouched.
+ * Grizzly's client codec with strict framing. It forwards interim responses, rejects bytes that no
+ * request is waiting for, and leaves content codings untouched.
  */
 public final class ClientCodecFilter extends HttpClientFilter {
   private static final byte[] HTTP_1_PREFIX = "HTTP/1.".getBytes(StandardCharsets.US_ASCII);
@@ -29,9 +29,9 @@
   private final ClientCodecDelegate delegate;
 
   /**
-   * Creates one for any number of connections.
+   * Creates a filter that any number of connections can share.
    *
-   * @param maxHeaderBytes largest answer head, and largest trailer section
+   * @param maxHeaderBytes limit for a response head, and for a trailer section
    */
   public ClientCodecFilter(int maxHeaderBytes, ClientCodecDelegate delegate) {
     super(maxHeaderBytes);
@@ -67,13 +67,17 @@
     }
     if (!delegate.isAwaitingHead(connection) && !delegate.isReadingBody(connection)) {
       delegate.onMalformedResponse(
-          connection, new MalformedMessageException("bytes without a request"));
+          connection,
+          new MalformedMessageException("received bytes while no request is in flight"));
       return context.getStopAction();
     }
     return super.handleRead(context);
   }
 
-  /** Passes an interim answer on; returns the index after it, or one of the constants. */
+  /**
+   * Forwards an interim response; returns the index after it, {@link #INCOMPLETE} or {@link
+   * #MALFORMED}.
+   */
   private int forwardInterimResponse(Connection<?> connection, Buffer buffer) {
     int start = buffer.position();
     int end;
@@ -85,7 +89,7 @@
       MessageHeadValidator.checkResponse(buffer, start, end);
       if (buffer.get(start + STATUS_OFFSET + 1) == '0'
           && buffer.get(start + STATUS_LAST_DIGIT_OFFSET) == '1') {
-        throw new MalformedMessageException("answer 101 to a request without upgrade");
+        throw new MalformedMessageException("101 response to a request without Upgrade");
       }
     } catch (MalformedMessageException malformed) {
       delegate.onMalformedResponse(connection, malformed);
@@ -99,7 +103,7 @@
     return end;
   }
 
-  /** Whether the bytes so far are, or could become, the start of a 1xx answer. */
+  /** Whether the bytes received so far are, or could become, the start of a 1xx response. */
   private static boolean mayBeInterimResponse(Buffer buffer) {
     int start = buffer.position();
     int comparedBytes = Math.min(buffer.remaining(), HTTP_1_PREFIX.length);
@@ -114,7 +118,8 @@
   @Override
   protected boolean decodeHttpPacket(
       FilterChainContext context, HttpPacketParsing packet, Buffer buffer) {
-    // The codec overwrites folded lines, so the whole head is checked before it sees any of it.
+    // The codec overwrites folded lines in the buffer, so the whole head is validated before the
+    // codec parses any of it.
     int end = MessageHeadValidator.findEnd(buffer, maxHeadersSize);
     if (end < 0) {
       return false;
@@ -137,7 +142,8 @@
 
   @Override
   protected void onIncomingUpgrade(FilterChainContext context, HttpHeader header) {
-    // The codec would stop framing the body; no upgrade was asked for, so the header is ignored.
+    // With an upgrade set, the codec would stop framing the body. No upgrade was requested, so the
+    // header is ignored.
     header.setUpgrade(null);
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/http/HeaderCopier.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/http/HeaderCopier.java
@@ -9,16 +9,16 @@
 import org.glassfish.grizzly.http.util.MimeHeaders;
 
 /**
- * Copies the end-to-end headers of a message (RFC 9110, section 7.6.1). Hop-by-hop headers, headers
- * named by {@code Connection}, those that state the body's length and the project's own stay
- * behind.
+ * Copies the end-to-end headers of a message (RFC 9110, section 7.6.1). Leaves out hop-by-hop
+ * headers, headers listed in {@code Connection}, headers that state the body's length, and
+ * Umberpath's own headers.
  */
 public final class HeaderCopier {
   private static final Set<String> EXCLUDED_HEADERS = excludedHeaders();
 
   private HeaderCopier() {}
 
-  /** Copies from one message to another, and leaves out the given names too. */
+  /** Copies the end-to-end headers, except those whose names are in the given set. */
   public static void copy(HeaderFields from, HttpHeader to, Set<String> additionalExclusions) {
     MimeHeaders target = to.getHeaders();
     List<String> connectionOptions = connectionOptions(from);
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/http/HeaderFields.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/http/HeaderFields.java
@@ -8,14 +8,14 @@
 import org.glassfish.grizzly.http.util.MimeHeaders;
 
 /**
- * Header or trailer fields of a message in their order, as strings of their own: the codec's refer
- * to the buffer that they were read into. Immutable.
+ * Header or trailer fields of a message in the order received. The strings are copies, since the
+ * codec's own fields refer to the read buffer. Immutable.
  */
 public final class HeaderFields {
-  /** No fields. */
+  /** The empty list of fields. */
   public static final HeaderFields NONE = new HeaderFields(List.of());
 
-  /** One field line. */
+  /** One field line, with its value as received. */
   public record Field(String name, String value) {}
 
   private final List<Field> fields;
@@ -24,12 +24,12 @@
     this.fields = fields;
   }
 
-  /** The trailers that come with a piece of a body; none with most. */
+  /** Returns the trailers if the content is the end of a chunked body, else {@link #NONE}. */
   public static HeaderFields trailersOf(HttpContent content) {
     return content instanceof HttpTrailer trailer ? of(trailer.getHeaders()) : NONE;
   }
 
-  /** Copies the codec's. */
+  /** Copies the fields of the codec. */
   private static HeaderFields of(MimeHeaders headers) {
     List<Field> fields = new ArrayList<>(headers.size());
     for (int index = 0; index < headers.size(); index++) {
@@ -38,7 +38,7 @@
     return fields.isEmpty() ? NONE : new HeaderFields(fields);
   }
 
-  /** Copies the codec's, and has the codec refer to the copies from now on. */
+  /** Copies the fields of the codec, and replaces them by the copies there. */
   static HeaderFields detach(MimeHeaders headers) {
     HeaderFields fields = of(headers);
     headers.clear();
@@ -46,17 +46,17 @@
     return fields;
   }
 
-  /** Adds them to the codec's. */
+  /** Adds these fields to the headers of a codec packet. */
   public void addTo(MimeHeaders headers) {
     fields.forEach(field -> headers.addValue(field.name()).setString(field.value()));
   }
 
-  /** All of them, in their order. */
+  /** All fields in the order received. */
   public Iterable<Field> all() {
     return fields;
   }
 
-  /** Value of the first field of a name, compared without case. */
+  /** Value of the first field with the name, ignoring case. */
   public Optional<String> first(String name) {
     for (Field field : fields) {
       if (field.name().equalsIgnoreCase(name)) {
@@ -66,7 +66,7 @@
     return Optional.empty();
   }
 
-  /** Whether there is none. */
+  /** Whether there are no fields. */
   public boolean isEmpty() {
     return fields.isEmpty();
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/http/HttpDates.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/http/HttpDates.java
@@ -5,8 +5,9 @@
 import java.time.ZoneOffset;
 
 /**
- * The time of day as HTTP writes it (RFC 9110, 5.6.7), made once a second. The runtime's formats
- * load what they know of languages, which takes a hundredth of a start. Thread-safe.
+ * Formats dates for HTTP headers (RFC 9110, section 5.6.7) and caches the text of the current
+ * second. It does not use the JDK's formatters because they load locale data, which takes one
+ * hundredth of the startup time. Thread-safe.
  */
 final class HttpDates {
   private static final String[] DAYS = {"Mon", "Tue", "Wed", "Thu", "Fri", "Sat", "Sun"};
@@ -22,7 +23,7 @@
 
   private HttpDates() {}
 
-  /** The text of a time of day, milliseconds since 1970. */
+  /** Formats a time given in milliseconds since 1970-01-01 UTC. */
   static String of(long epochMillis) {
     long epochSecond = Math.floorDiv(epochMillis, MILLIS_PER_SECOND);
     FormattedSecond current = cached;
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/http/MalformedMessageException.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/http/MalformedMessageException.java
@@ -1,12 +1,15 @@
 package io.umberpath.node.proxy.http;
 
-/** A message whose framing or shape is doubtful; its connection must be closed. */
+/**
+ * Thrown for a message whose syntax or framing is invalid or ambiguous; its connection must be
+ * closed.
+ */
 public final class MalformedMessageException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
   private final boolean tooLarge;
 
-  /** Creates one; the message names the fault and never quotes header values. */
+  /** Creates an exception. The message describes the violation and must not quote header values. */
   public MalformedMessageException(String message) {
     this(message, false);
   }
@@ -16,12 +19,12 @@
     this.tooLarge = tooLarge;
   }
 
-  /** A message beyond a limit. */
+  /** Creates an exception for a message that exceeds a size limit. */
   static MalformedMessageException tooLarge(String message) {
     return new MalformedMessageException(message, true);
   }
 
-  /** Whether it exceeds a limit, and has no other fault so far. */
+  /** Whether the message exceeds a size limit, and no other violation was found before. */
   boolean isTooLarge() {
     return tooLarge;
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/http/MessageHead.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/http/MessageHead.java
@@ -2,18 +2,21 @@
 
 import java.util.Optional;
 
-/** The head of a message that was read: its own copy, which outlives the read. Immutable. */
+/**
+ * Start line and header fields of a received message. It is a copy that stays valid after the read
+ * buffer is released. Immutable.
+ */
 public interface MessageHead {
-  /** Its header fields. */
+  /** The header fields. */
   HeaderFields fields();
 
-  /** Length of its body, bytes; -1 if it states none. */
+  /** Value of {@code Content-Length}, bytes; -1 if there is none. */
   long contentLength();
 
-  /** Whether its body comes in chunks. */
+  /** Whether the body uses the chunked transfer coding. */
   boolean isChunked();
 
-  /** Value of the first header field of a name, compared without case. */
+  /** Value of the first header field with the name, ignoring case. */
   default Optional<String> field(String name) {
     return fields().first(name);
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/http/MessageHeadValidator.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/http/MessageHeadValidator.java
@@ -4,9 +4,10 @@
 import org.glassfish.grizzly.Buffer;
 
 /**
- * Checks the raw bytes of a message head (RFC 9112) before anyone acts on it. The codec is lenient;
- * two parsers that read one message differently are how requests are smuggled, so whatever is not
- * canonical is refused. Not thread-safe; one instance checks one head.
+ * Validates the raw bytes of a message head (RFC 9112) before the codec parses it. The codec is
+ * lenient, and request smuggling exploits parsers that interpret the same bytes differently;
+ * therefore every head that is not canonical is rejected. Not thread-safe; one instance checks one
+ * head.
  */
 final class MessageHeadValidator {
   private static final byte[] CONTENT_LENGTH = ascii("content-length");
@@ -33,8 +34,8 @@
   /**
    * Finds the end of the head that begins at the buffer's position.
    *
-   * @param maxBytes longest head
-   * @return index after its final empty line, or -1 if that has not come yet
+   * @param maxBytes limit for the length of the head
+   * @return index after its final empty line, or -1 if the head is incomplete
    * @throws MalformedMessageException if it is too long or has an LF without CR
    */
   static int findEnd(Buffer buffer, int maxBytes) {
@@ -69,15 +70,15 @@
     validator.checkRequestLine(start, end);
     validator.checkHeaders(end + 2);
     if (validator.http11 && validator.hostCount != 1) {
-      throw new MalformedMessageException("request needs exactly one Host header");
+      throw new MalformedMessageException("HTTP/1.1 request must have exactly one Host header");
     }
     if (validator.hostCount > 1) {
-      throw new MalformedMessageException("request has several Host headers");
+      throw new MalformedMessageException("request has more than one Host header");
     }
   }
 
   /**
-   * Checks the head of an answer.
+   * Checks a response head.
    *
    * @param start index of its first byte
    * @param limit index after its final empty line
@@ -173,7 +174,7 @@
       colon++;
     }
     if (colon == start || colon == end || buffer.get(colon) != ':') {
-      throw new MalformedMessageException("header line has no plain name before its colon");
+      throw new MalformedMessageException("header line has no valid name before its colon");
     }
     int valueStart = colon + 1;
     while (valueStart < end && isBlank(buffer.get(valueStart))) {
@@ -207,7 +208,10 @@
     }
   }
 
-  /** Index of the CR of this line; refuses control bytes and lone line ends. */
+  /**
+   * Returns the index of the CR that ends this line; rejects control bytes, CR without LF and LF
+   * without CR.
+   */
   private int findLineEnd(int start) {
     for (int index = start; index < limit; index++) {
       int value = buffer.get(index) & 0xff;
@@ -221,7 +225,7 @@
         throw new MalformedMessageException("head has a control byte or an LF without CR");
       }
     }
-    throw new MalformedMessageException("head ends within a line");
+    throw new MalformedMessageException("head ends before the line is complete");
   }
 
   private boolean equalsIgnoreCase(byte[] expectedLowerCase, int start, int end) {
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/http/PendingAnswers.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/http/PendingAnswers.java
@@ -4,31 +4,36 @@
 import org.glassfish.grizzly.attributes.Attribute;
 import org.glassfish.grizzly.attributes.AttributeBuilder;
 
-/** The answers that a caller's connection still owes, for what the codec itself answers. */
+/**
+ * Queue of the responses that are still to be written on a client's connection. The codec uses it
+ * to order the error responses that it sends itself.
+ */
 public interface PendingAnswers {
-  /** Where a connection's own is kept. */
+  /** Attribute that holds the queue of a connection. */
   Attribute<PendingAnswers> ATTRIBUTE =
-      AttributeBuilder.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("umberpath.pendingAnswers");
+      AttributeBuilder.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("umberpath.pendingResponses");
 
-  /** Makes it the connection's own. */
+  /** Attaches the queue to a connection. */
   static void attach(Connection<?> connection, PendingAnswers answers) {
     ATTRIBUTE.set(connection, answers);
   }
 
-  /** The connection's own; null if it has none. */
+  /** Returns the queue of a connection; null if none is attached. */
   static PendingAnswers of(Connection<?> connection) {
     return ATTRIBUTE.get(connection);
   }
 
-  /** Whether nothing more is written; what still arrives is dropped. */
+  /**
+   * Whether the connection accepts no more responses; bytes received from then on are discarded.
+   */
   boolean isEnded();
 
-  /** Whether the codec keeps bytes behind the message that it hands on. */
+  /** Tells whether the codec holds received bytes after the message that it passed on. */
   void keepsUndecoded(boolean isKept);
 
-  /** Bytes have arrived since, and are dropped. */
+  /** Reports bytes that were received after the end and discarded. */
   void dropped(int bytes);
 
-  /** Writes an answer after all that are owed, and ends the connection. */
+  /** Writes a response after all pending ones, and then closes the connection. */
   void writeLast(Object message);
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/http/ProxyHeaders.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/http/ProxyHeaders.java
@@ -1,29 +1,29 @@
 package io.umberpath.node.proxy.http;
 
-/** Names of the project's own HTTP headers; documented in docs/operations/verdicts.md. */
+/** Names of Umberpath's own HTTP headers; documented in docs/operations/verdicts.md. */
 public final class ProxyHeaders {
-  /** Every header with this prefix is removed from what callers and back ends send. */
+  /** Headers with this prefix are removed from messages of clients and backends. */
   public static final String PREFIX = "Umberpath-";
 
-  /** Answer: why a request was refused and whether it may have run. */
+  /** Response: why a request was rejected, and whether it may have been executed. */
   public static final String VERDICT = "Umberpath-Verdict";
 
-  /** Request: milliseconds until the caller gives up. */
+  /** Request: milliseconds left until the client's deadline. */
   public static final String DEADLINE = "Umberpath-Deadline-Ms";
 
   /**
-   * Request between nodes: milliseconds for which it may have lain unread at the nodes before. They
-   * count towards its deadline, though its caller may have sent it later.
+   * Request between nodes: milliseconds for which it may have waited unread at the previous nodes.
+   * They count against its deadline, although the client may have sent it later.
    */
   public static final String UNREAD = "Umberpath-Unread-Ms";
 
   /**
-   * Request to a node or back end, echoed in a node's answer: names one attempt of one request. A
-   * back end may echo it too; an answer that names another request is refused.
+   * Request to a node or backend, echoed in a node's response: identifies one attempt of one
+   * request. A backend may echo it too; a response with the ID of another request is rejected.
    */
   public static final String REQUEST_ID = "Umberpath-Request-Id";
 
-  /** Request between nodes: number of the attempt, from 1. */
+  /** Request between nodes: number of the attempt, starting at 1. */
   public static final String ATTEMPT = "Umberpath-Attempt";
 
   /** Request between nodes: name of the route. */
@@ -36,20 +36,21 @@
   public static final String TIER = "Umberpath-Tier";
 
   /**
-   * Refusal between nodes: milliseconds to leave the back end alone. {@code Retry-After} has whole
-   * seconds, in which a back end of few slots would stand idle.
+   * Rejection between nodes: milliseconds to wait before sending to the backend again. {@code
+   * Retry-After} only has whole seconds, and a backend with few slots would stay idle for that
+   * long.
    */
   public static final String RETRY_AFTER_MILLIS = "Umberpath-Retry-After-Ms";
 
-  /** Answer of a back end: it is leaving and takes no new work. */
+  /** Response of a backend: it is draining and accepts no new requests. */
   public static final String DRAINING = "Umberpath-Draining";
 
-  /** A caller's name for its request, the same in each repeat. */
+  /** Request: identifier chosen by the client, the same in each of its retries. */
   public static final String IDEMPOTENCY_KEY = "Idempotency-Key";
 
   private ProxyHeaders() {}
 
-  /** Whether the name belongs to the project. */
+  /** Whether the name is that of an Umberpath header. */
   public static boolean isInternal(String name) {
     return name.regionMatches(true, 0, PREFIX, 0, PREFIX.length());
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/http/RequestHead.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/http/RequestHead.java
@@ -6,10 +6,11 @@
 import org.glassfish.grizzly.http.HttpRequestPacket;
 
 /**
- * The head of a request.
+ * The request line and header fields of a request.
  *
- * @param path its path, undecoded
- * @param query what follows the question mark, undecoded; empty if there is none
+ * @param path path of the request target, not decoded
+ * @param query query of the request target without the question mark, not decoded; empty if there
+ *     is none
  */
 public record RequestHead(
     String method,
@@ -23,7 +24,10 @@
   private static final Attribute<RequestHead> ATTRIBUTE =
       AttributeBuilder.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("umberpath.requestHead");
 
-  /** Copies the head of a request that was just decoded, and lets go of the codec's buffer. */
+  /**
+   * Copies the head of a newly decoded request, so that the packet no longer refers to the codec's
+   * buffer.
+   */
   static RequestHead detach(HttpRequestPacket packet) {
     RequestHead head =
         new RequestHead(
@@ -41,7 +45,7 @@
     return head;
   }
 
-  /** The head of a decoded request. */
+  /** Returns the head of a decoded request. */
   public static RequestHead of(HttpRequestPacket packet) {
     RequestHead head = ATTRIBUTE.get(packet);
     return head == null ? detach(packet) : head;
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/http/ServerCodecFilter.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/http/ServerCodecFilter.java
@@ -20,17 +20,17 @@
 import org.glassfish.grizzly.http.util.Header;
 
 /**
- * Grizzly's server codec with strict framing. A malformed head is answered here with the verdict
- * "not run" and the connection is closed; a malformed body reaches the next filter as broken
- * content.
+ * Grizzly's server codec with strict framing. For a malformed head this filter sends an error
+ * response with the verdict "not run" and closes the connection; a malformed body reaches the next
+ * filter as broken content.
  */
 public final class ServerCodecFilter extends HttpServerFilter {
   /**
-   * Creates one for any number of connections.
+   * Creates a filter that any number of connections can share.
    *
-   * @param maxHeaderBytes largest request head, and largest trailer section
+   * @param maxHeaderBytes limit for a request head, and for a trailer section
    */
-  @SuppressWarnings("deprecation") // the default settings allow 256 requests on a connection
+  @SuppressWarnings("deprecation") // the default settings limit a connection to 256 requests
   public ServerCodecFilter(int maxHeaderBytes) {
     super(true, maxHeaderBytes, unlimitedKeepAlive(), null);
     setPreserveHeaderCase(true);
@@ -64,7 +64,7 @@
     }
     NextAction action = super.handleRead(context);
     if (pending != null) {
-      // Actions that carry a rest are objects of their own.
+      // An action that carries undecoded bytes is neither of the two shared instances.
       pending.keepsUndecoded(
           action != context.getInvokeAction() && action != context.getStopAction());
     }
@@ -74,7 +74,8 @@
   @Override
   protected boolean decodeHttpPacket(
       FilterChainContext context, HttpPacketParsing packet, Buffer buffer) {
-    // The codec overwrites folded lines, so the whole head is checked before it sees any of it.
+    // The codec overwrites folded lines in the buffer, so the whole head is validated before the
+    // codec parses any of it.
     int end = MessageHeadValidator.findEnd(buffer, maxHeadersSize);
     if (end < 0) {
       return false;
@@ -87,7 +88,7 @@
   protected Buffer encodeHttpPacket(FilterChainContext context, HttpPacket packet) {
     HttpHeader head = packet.getHttpHeader();
     if (!head.isCommitted() && !head.containsHeader(Header.Date)) {
-      // The codec would format one itself.
+      // Without a Date header, the codec would format the date itself.
       head.setHeader(Header.Date, HttpDates.of(System.currentTimeMillis()));
     }
     return super.encodeHttpPacket(context, packet);
@@ -98,7 +99,7 @@
       HttpHeader header, Buffer buffer, FilterChainContext context) {
     Method method = ((HttpRequestPacket) header).getMethod();
     if (method == Method.CONNECT || method == Method.TRACE || method == Method.PRI) {
-      // The codec does not frame the bodies of these.
+      // The codec does not frame the bodies of these methods.
       throw new MalformedMessageException("method is not supported");
     }
     boolean isComplete = super.onHttpHeaderParsed(header, buffer, context);
@@ -108,14 +109,15 @@
 
   @Override
   protected void onIncomingUpgrade(FilterChainContext context, HttpHeader header) {
-    // The codec would stop framing the body; no upgrade is supported, so the header is ignored.
+    // With an upgrade set, the codec would stop framing the body. Upgrades are not supported, so
+    // the header is ignored.
     header.setUpgrade(null);
   }
 
   @Override
   protected void onHttpHeaderError(HttpHeader header, FilterChainContext context, Throwable error)
       throws IOException {
-    // The answer must not repeat a version that the codec does not know.
+    // The response must not echo a protocol version that the codec does not know.
     header.setProtocol(Protocol.HTTP_1_1);
     HttpResponsePacket response = responseOf(header);
     response.setStatus(reasonOf(error).status());
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/http/StrictChunkedEncoding.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/http/StrictChunkedEncoding.java
@@ -12,9 +12,9 @@
 import org.glassfish.grizzly.http.TransferEncoding;
 
 /**
- * Chunked transfer coding that decodes exactly the grammar of RFC 9112, section 7.1, without chunk
- * extensions, and refuses everything else; encoding is Grizzly's. Thread-safe: the state of a
- * message is kept with its header.
+ * Chunked transfer coding that accepts exactly the grammar of RFC 9112, section 7.1, without chunk
+ * extensions; encoding is delegated to Grizzly. Thread-safe: the decoding state is stored as an
+ * attribute of the message's header.
  */
 final class StrictChunkedEncoding implements TransferEncoding {
   private static final Attribute<ChunkedDecoder> DECODER =
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/http/VerdictHeader.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/http/VerdictHeader.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** Text form of a verdict, for example {@code not-run; reason=overloaded}. */
+/** Formats and parses the verdict header, for example {@code not-run; reason=overloaded}. */
 public final class VerdictHeader {
   private static final String NOT_RUN = "not-run";
   private static final String MAY_HAVE_RUN = "may-have-run";
@@ -12,7 +12,7 @@
 
   private VerdictHeader() {}
 
-  /** The header's value; {@code completed} for a completed request. */
+  /** Formats the header's value; {@code completed} for a completed request. */
   public static String format(Verdict verdict) {
     if (verdict instanceof Verdict.NotRun notRun) {
       return NOT_RUN + REASON + reasonName(notRun.reason());
@@ -23,7 +23,7 @@
     return "completed";
   }
 
-  /** Reads a refusal; empty for anything that is not exactly one. */
+  /** Parses the value for a rejected or failed request; empty for any other text. */
   public static Optional<Verdict> parse(String value) {
     int separator = value.indexOf(REASON);
     if (separator < 0) {
@@ -37,7 +37,7 @@
     };
   }
 
-  /** The reason of a refusal. */
+  /** Returns the reason why a request was rejected or failed. */
   public static Verdict.Reason reasonOf(Verdict verdict) {
     if (verdict instanceof Verdict.NotRun notRun) {
       return notRun.reason();
@@ -48,7 +48,7 @@
     throw new IllegalArgumentException("a completed request has no reason");
   }
 
-  /** Lower-case name of a reason, words joined by hyphens. */
+  /** Name of a reason in lower case, with hyphens between words. */
   public static String reasonName(Verdict.Reason reason) {
     return reason.name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/http/package-info.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/http/package-info.java
@@ -1,5 +1,5 @@
 /**
- * HTTP/1.1 messages on Grizzly's codec filters: strict checks of what the codec would tolerate,
- * header rules of a proxy, and the project's own headers.
+ * HTTP/1.1 messages on top of Grizzly's codec filters: strict validation of input that the codec
+ * would tolerate, the header rules for a proxy, and Umberpath's own headers.
  */
 package io.umberpath.node.proxy.http;
