--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/backend/BackendMonitor.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/backend/BackendMonitor.java
@@ -10,9 +10,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * Probes the back end beside this node, opens connections ahead of need, and tells the fleet about
- * changes of its phase and load. A back end whose probe interval is 0 is never probed and taken to
- * be ready. {@link #tick} is called by one thread.
+ * Probes the local backend, opens connections to it in advance, and publishes changes of its phase
+ * and load to the fleet. A backend whose probe interval is 0 is not probed and is assumed to be
+ * ready. {@link #tick} must be called from a single thread.
  */
 public final class BackendMonitor {
   private static final String HEALTH_PATH = "/health";
@@ -37,7 +37,7 @@
   /**
    * Creates a monitor that has not probed yet.
    *
-   * @param loadPercent requests running or queued over slots
+   * @param loadPercent running and queued requests in percent of the backend's slots
    */
   public BackendMonitor(
       NodeSettings.Backend backend,
@@ -54,7 +54,7 @@
     this.clockMillis = clockMillis;
   }
 
-  /** Probes when it is time to, and publishes what has changed. */
+  /** Starts a probe if one is due, and publishes changes of phase and load. */
   public void tick() {
     long now = clockMillis.getAsLong();
     if (backend.probeMillis() == PROBING_DISABLED) {
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/backend/BackendStatus.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/backend/BackendStatus.java
@@ -3,7 +3,7 @@
 import io.umberpath.model.ObservedBackend.Phase;
 
 /**
- * Phase and shedding of the back end beside this node, from its probes and its answers.
+ * Phase and load shedding of the local backend, derived from health probes and responses.
  * Thread-safe.
  */
 public final class BackendStatus {
@@ -16,27 +16,30 @@
   private long sheddingUntilMillis;
   private boolean nodeDraining;
 
-  /** The phase to publish. */
+  /** The phase to publish: draining if this node or the backend drains. */
   public synchronized Phase phase() {
     return nodeDraining ? Phase.DRAINING : phase;
   }
 
-  /** Whether new work is to be refused because the back end, or this node, is leaving. */
+  /** Whether new requests must be rejected because the backend or this node is draining. */
   public synchronized boolean isDraining() {
     return phase() == Phase.DRAINING;
   }
 
-  /** How long the back end still asks to be left alone; 0 if it does not. */
+  /**
+   * Remaining time for which the backend asked to receive no requests, milliseconds; 0 if it is not
+   * shedding load.
+   */
   public synchronized long sheddingMillis(long nowMillis) {
     return shedding ? Math.max(0, sheddingUntilMillis - nowMillis) : 0;
   }
 
-  /** This node is leaving, whatever the back end says. */
+  /** Marks this node as draining, whatever phase the backend reports. */
   public synchronized void nodeDrains() {
     nodeDraining = true;
   }
 
-  /** An answer to a request. */
+  /** Records the response to a request. */
   public synchronized void answered(
       int status, boolean draining, java.util.Optional<Long> retryAfterMillis, long nowMillis) {
     HealthReport report = new HealthReport(status, draining, retryAfterMillis, "");
@@ -46,7 +49,7 @@
     updateShedding(report, nowMillis);
   }
 
-  /** Nothing is known but what its answers say. */
+  /** Treats a backend that is not probed as ready, unless its responses reported another phase. */
   synchronized void assumeReady() {
     if (phase == Phase.WARMING) {
       phase = Phase.READY;
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/backend/HealthProbe.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/backend/HealthProbe.java
@@ -15,7 +15,7 @@
 import org.glassfish.grizzly.http.Protocol;
 import org.glassfish.grizzly.http.util.Header;
 
-/** One {@code GET} of a back end's health path. Thread-safe. */
+/** One {@code GET} request for a backend's health path. Thread-safe. */
 public final class HealthProbe implements ConnectionWaiter, AnswerListener {
   private static final int MAX_BODY_CHARACTERS = 4_096;
 
@@ -30,9 +30,10 @@
   /**
    * Creates a probe that has not been sent.
    *
-   * @param path what to ask for
-   * @param onResponse takes head and text of the answer, possibly shortened
-   * @param onFailure runs if there is no whole answer
+   * @param path path of the request
+   * @param onResponse receives the head and the body text of the response; the text may be
+   *     truncated
+   * @param onFailure called if there is no complete response
    */
   public HealthProbe(
       ConnectionPool pool,
@@ -45,17 +46,19 @@
     this.onFailure = onFailure;
   }
 
-  /** Sends the probe; exactly one of the callbacks follows, unless it is given up. */
+  /**
+   * Sends the probe. Exactly one of the callbacks is called, unless the probe is cancelled first.
+   */
   public void start() {
     pool.acquire(this);
   }
 
-  /** Whether neither callback has been called. */
+  /** Whether the probe has neither finished nor been cancelled. */
   public synchronized boolean isUnderWay() {
     return !finished;
   }
 
-  /** Gives up; returns whether it was still under way. */
+  /** Cancels the probe; returns whether it was still in progress. */
   public boolean giveUp() {
     OriginConnection currentConnection;
     synchronized (this) {
@@ -115,7 +118,7 @@
 
   @Override
   public void onInterim(byte[] head) {
-    // Only the final answer counts.
+    // Only the final response matters.
   }
 
   @Override
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/backend/HealthReport.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/backend/HealthReport.java
@@ -9,12 +9,13 @@
 import org.glassfish.grizzly.http.util.Header;
 
 /**
- * What a back end said in one answer.
+ * Health information from one response of a backend.
  *
  * @param status HTTP status
- * @param draining whether it said that it is leaving
- * @param retryAfterMillis how long it asked to be left alone; empty if it did not
- * @param body text of the answer, possibly shortened
+ * @param draining whether the backend reported that it is draining
+ * @param retryAfterMillis time for which the backend asked to receive no requests; empty if it did
+ *     not
+ * @param body body text of the response, possibly truncated
  */
 record HealthReport(int status, boolean draining, Optional<Long> retryAfterMillis, String body) {
   private static final long MILLIS_PER_SECOND = 1_000;
@@ -22,7 +23,7 @@
   private static final int MULTIPLE_CHOICES = 300;
   private static final int SERVICE_UNAVAILABLE = 503;
 
-  /** Reads an answer. */
+  /** Extracts the report from a response. */
   static HealthReport of(AnswerHead head, String body) {
     return new HealthReport(
         head.status(),
@@ -33,7 +34,7 @@
         body);
   }
 
-  /** The phase that an answer to a health probe stands for; empty if it proves nothing. */
+  /** The phase that a health probe's response indicates; empty if it indicates none. */
   Optional<Phase> phase() {
     String text = body.toLowerCase(Locale.ROOT);
     if (draining || text.contains("draining")) {
@@ -46,7 +47,7 @@
     return isHealthy ? Optional.of(Phase.READY) : Optional.empty();
   }
 
-  /** Whether it refuses work for a while. */
+  /** Whether the backend is shedding load for a limited time. */
   boolean isShedding() {
     return status == SERVICE_UNAVAILABLE && retryAfterMillis.isPresent();
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/backend/package-info.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/backend/package-info.java
@@ -1,2 +1,4 @@
-/** What the node beside a back end knows of it: probes, phases, shedding, and what it publishes. */
+/**
+ * State of the local backend: health probes, phases, load shedding, and publication to the fleet.
+ */
 package io.umberpath.node.proxy.backend;
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/AnswerListener.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/AnswerListener.java
@@ -2,21 +2,21 @@
 
 import io.umberpath.model.Verdict;
 
-/** Receives what happens on a connection during one attempt; called from I/O threads, in order. */
+/** Receives the response events of one attempt, in order, on I/O threads. */
 public interface AnswerListener {
-  /** An interim answer, raw. */
+  /** Called with the raw head of an interim (1xx) response. */
   void onInterim(byte[] head);
 
   /**
-   * A piece of the answer.
+   * Called with the next part of the response.
    *
-   * @return whether to go on reading; if not, {@link #whenReadyForMore} is called next
+   * @return whether to continue reading; if not, {@link #whenReadyForMore} is called next
    */
   boolean onAnswerPart(AnswerPart part);
 
-  /** Runs the action once more of the answer can be taken, possibly at once. */
+  /** Runs the action when the listener can accept more of the response, possibly immediately. */
   void whenReadyForMore(Runnable resume);
 
-  /** The attempt is over without a whole answer. */
+  /** Called when the attempt has ended without a complete response. */
   void onBroken(Verdict.Reason reason);
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/AnswerPart.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/AnswerPart.java
@@ -5,13 +5,13 @@
 import org.glassfish.grizzly.Buffer;
 
 /**
- * A piece of an answer, in order.
+ * One part of a response; parts are delivered in order.
  *
- * @param head the answer's head
- * @param first whether this is the first piece
- * @param content body bytes, possibly none
- * @param last whether the answer is complete with this piece
- * @param trailers trailers of a complete chunked answer
+ * @param head head of the response
+ * @param first whether this is the first part
+ * @param content body bytes, possibly empty
+ * @param last whether this part completes the response
+ * @param trailers trailers, if this part completes a chunked response
  */
 public record AnswerPart(
     AnswerHead head, boolean first, Buffer content, boolean last, HeaderFields trailers) {}
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/AttemptLog.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/AttemptLog.java
@@ -3,18 +3,18 @@
 import com.google.common.flogger.FluentLogger;
 import io.umberpath.node.proxy.http.VerdictHeader;
 
-/** Logs attempts that failed. Thread-safe. */
+/** Logs failed attempts and requests that were cut off. Thread-safe. */
 public class AttemptLog {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  /** For handlers that log the attempts that failed themselves. */
+  /** Does not log failed attempts, for handlers that log them themselves. */
   public static final AttemptLog CUT_OFF_ONLY =
       new AttemptLog() {
         @Override
         public void failed(RequestAttempt attempt) {}
       };
 
-  /** Logs an attempt that ended without a whole answer. */
+  /** Logs an attempt that ended without a complete response. */
   public void failed(RequestAttempt attempt) {
     logger.atInfo().log(
         "attempt failed: request=%s attempt=%d route=%s origin=%s verdict=\"%s\""
@@ -28,7 +28,7 @@
         attempt.durationMicros());
   }
 
-  /** Logs a request that the bound of a planned stop cut off. */
+  /** Logs a request that was cut off because the drain timeout of a graceful shutdown expired. */
   public void cutOff(String requestId, String route, long requestBytes) {
     logger.atWarning().log(
         "drain bound cut a request off: request=%s route=%s requestBytes=%d",
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/OriginConnection.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/OriginConnection.java
@@ -16,8 +16,8 @@
 import org.glassfish.grizzly.memory.Buffers;
 
 /**
- * One client connection; carries one attempt at a time and is never reused after any doubt about
- * framing. Thread-safe.
+ * A connection to a node or backend. It carries one attempt at a time, and is not reused if the
+ * framing of a message on it is in doubt. Thread-safe.
  */
 public final class OriginConnection {
   private static final Attribute<OriginConnection> ATTRIBUTE =
@@ -43,10 +43,10 @@
   private volatile boolean hasBeenIdle;
 
   /**
-   * Wraps a connection that has just been opened.
+   * Wraps a newly opened connection.
    *
-   * @param releaseHandler takes it back when an attempt has left it reusable
-   * @param onClosed hears once that it is gone
+   * @param releaseHandler takes the connection back after an attempt that left it reusable
+   * @param onClosed called once when the connection has closed
    */
   public OriginConnection(
       Connection<?> connection,
@@ -58,22 +58,24 @@
     ATTRIBUTE.set(connection, this);
   }
 
-  /** The wrapper of a connection, or null before it is wrapped. */
+  /** Returns the wrapper of a connection, or null if it is not wrapped yet. */
   public static OriginConnection of(Connection<?> connection) {
     return ATTRIBUTE.get(connection);
   }
 
-  /** Who takes it back. */
+  /** The handler that takes the connection back for reuse. */
   public Consumer<OriginConnection> releaseHandler() {
     return releaseHandler;
   }
 
-  /** Whether it can carry another attempt. */
+  /** Whether the connection is open and has no attempt in flight. */
   public boolean isIdle() {
     return stage == Stage.IDLE && connection.isOpen();
   }
 
-  /** Runs work on a selector thread, at once if that has read what has arrived. */
+  /**
+   * Runs work on a selector thread, immediately if that thread has already read all received data.
+   */
   public void runOrDefer(Runnable work) {
     if (EventLoop.isSelectorThread()) {
       EventLoop.runOrDefer(work);
@@ -82,7 +84,7 @@
     }
   }
 
-  /** Begins an attempt: answers go to the listener from now on. */
+  /** Begins an attempt whose response events go to the listener. */
   public synchronized void begin(AnswerListener newListener) {
     listener = newListener;
     requestComplete = false;
@@ -94,7 +96,7 @@
   /**
    * Writes a part of the request.
    *
-   * @param last whether the request is complete with it
+   * @param last whether this part completes the request
    */
   public void write(HttpPacket packet, boolean last) {
     if (last) {
@@ -103,17 +105,17 @@
     connection.write(packet, new WriteFailure<>());
   }
 
-  /** Whether more may be written without queueing beyond the bound. */
+  /** Whether more can be written without exceeding the limit of the write queue. */
   public boolean canWrite() {
     return connection.canWrite();
   }
 
-  /** Runs the action when {@link #canWrite} holds again or the connection is gone. */
+  /** Runs the action when {@link #canWrite} becomes true again, or the connection has closed. */
   public void whenWritable(Runnable action) {
     connection.notifyCanWrite(new WhenWritable(connection, action));
   }
 
-  /** Gives the attempt up: the connection is closed and its listener hears nothing more. */
+  /** Abandons the attempt: closes the connection and calls its listener no more. */
   public void abandon() {
     synchronized (this) {
       listener = null;
@@ -122,18 +124,20 @@
     connection.terminateSilently();
   }
 
-  /** Milliseconds on the pool's clock since when it has been idle. */
+  /** Time on the pool's clock when the connection became idle, milliseconds. */
   public long idleSinceMillis() {
     return idleSinceMillis;
   }
 
-  /** Notes when it became idle. */
+  /** Records the time when the connection became idle. */
   public void markIdle(long nowMillis) {
     idleSinceMillis = nowMillis;
     hasBeenIdle = true;
   }
 
-  /** Whether it has been idle: its peer may end it then at any time. */
+  /**
+   * Whether the connection has ever been idle; the peer may close an idle connection at any time.
+   */
   public boolean hasRested() {
     return hasBeenIdle;
   }
@@ -155,19 +159,19 @@
     stage = Stage.READING_BODY;
   }
 
-  /** Who hears of the attempt under way; null if there is none. */
+  /** Listener of the attempt in flight; null if there is none. */
   public AnswerListener listener() {
     return listener;
   }
 
-  /** The whole answer has been decoded. */
+  /** Ends the attempt after its complete response has been decoded. */
   synchronized void completeResponse(boolean keepAlive) {
     listener = null;
     reusableAfterResponse = keepAlive && requestComplete;
     stage = reusableAfterResponse ? Stage.IDLE : Stage.BROKEN;
   }
 
-  /** Whether the finished attempt left the connection in perfect order. */
+  /** Whether the finished attempt left the connection usable for another one. */
   boolean isReusable() {
     return reusableAfterResponse && isIdle();
   }
@@ -185,16 +189,20 @@
     }
   }
 
-  /** The answer has no stated length: it is whole if the peer closes in good order. */
+  /**
+   * Marks the response as delimited by the end of the connection: it is complete if the peer closes
+   * in an orderly way.
+   */
   void setCloseDelimitedHead(AnswerHead head) {
     closeDelimitedHead = head;
   }
 
   /**
-   * The connection is gone; only the first call counts. Its owner hears at once, so that another
-   * may be opened in its place, and the attempt under way in a turn of its own.
+   * Handles the end of the connection; calls after the first have no effect. The pool is notified
+   * immediately, so that it can open a replacement, and the attempt in flight is ended in a
+   * separate task of the selector thread.
    *
-   * @param isOrderly whether the peer ended it, and not a fault
+   * @param isOrderly whether the peer closed the connection, as opposed to an error
    */
   public void onConnectionClosed(boolean isOrderly) {
     if (!closeHandled.compareAndSet(false, true)) {
@@ -223,7 +231,7 @@
     }
   }
 
-  /** Adapts an action to Grizzly's write handler. */
+  /** Runs an action when Grizzly reports that the connection is writable or has failed. */
   public record WhenWritable(Connection<?> connection, Runnable action) implements WriteHandler {
     @Override
     public void onWritePossible() {
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/OriginFilter.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/OriginFilter.java
@@ -15,14 +15,14 @@
 import org.glassfish.grizzly.http.HttpContent;
 import org.glassfish.grizzly.http.HttpResponsePacket;
 
-/** Hands decoded answers to the attempt of their connection. Stateless. */
+/** Passes decoded responses to the listener of the attempt on their connection. Stateless. */
 public final class OriginFilter extends BaseFilter implements ClientCodecDelegate {
   private final Consumer<OriginConnection> onReusable;
 
   /**
-   * Creates one for any number of connections.
+   * Creates a filter that any number of connections can share.
    *
-   * @param onReusable takes a connection whose attempt is over and that may carry another
+   * @param onReusable takes a connection whose attempt has ended and that can be reused
    */
   public OriginFilter(Consumer<OriginConnection> onReusable) {
     this.onReusable = onReusable;
@@ -46,7 +46,8 @@
     }
     if (last) {
       origin.completeResponse(head.getProcessingState().isKeepAlive());
-      // Bytes after the answer are seen before the chain completes; only then is it reusable.
+      // Excess bytes after the response are detected before the chain completes; only then is it
+      // known whether the connection is reusable.
       context.addCompletionListener(completed -> release(origin));
     }
     AnswerPart part = toResponsePart(content, AnswerHead.of(head), first, last);
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/OriginManager.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/OriginManager.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.LongSupplier;
 
-/** The pools of connections to other nodes, one per address; disused ones go away. Thread-safe. */
+/** Connection pools for other nodes, one per address; unused pools are removed. Thread-safe. */
 public final class OriginManager {
   private static final int MAX_CONNECTIONS_PER_NODE = 256;
   private static final long UNUSED_POOL_MILLIS = 60_000;
@@ -26,7 +26,7 @@
   /**
    * Creates a manager without pools.
    *
-   * @param connectTimeoutMillis how long opening a connection may take
+   * @param connectTimeoutMillis timeout for opening a connection
    */
   public OriginManager(Connector connector, LongSupplier clockMillis, long connectTimeoutMillis) {
     this.connectTimeoutMillis = connectTimeoutMillis;
@@ -34,7 +34,7 @@
     this.clockMillis = clockMillis;
   }
 
-  /** The pool of an address. */
+  /** Returns the pool of an address, and creates it if needed. */
   public ConnectionPool poolOf(PeerAddress address) {
     ConnectionPool pool = pools.get(address);
     return pool != null ? pool : pools.computeIfAbsent(address, this::newPool);
@@ -45,7 +45,7 @@
         address, connector, MAX_CONNECTIONS_PER_NODE, clockMillis, connectTimeoutMillis);
   }
 
-  /** Closes aged connections and forgets disused pools. */
+  /** Closes connections that have been idle for the given time, and removes unused pools. */
   public void expire(long idleMillis) {
     for (ConnectionPool pool : pools.values()) {
       pool.expire(idleMillis);
@@ -53,12 +53,12 @@
     pools.values().removeIf(pool -> pool.isUnused(UNUSED_POOL_MILLIS));
   }
 
-  /** Connections that are open, those in use included. */
+  /** Number of open connections, including those in use. */
   public int open() {
     return pools.values().stream().mapToInt(ConnectionPool::openCount).sum();
   }
 
-  /** Gives up connections that have not opened within their time. */
+  /** Fails the connection attempts that have exceeded the connect timeout. */
   public void giveUpLate() {
     pools.values().forEach(ConnectionPool::giveUpLate);
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/OwnTurn.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/OwnTurn.java
@@ -7,13 +7,13 @@
 import org.glassfish.grizzly.nio.SelectorRunner;
 
 /**
- * Runs what follows from the end of a connection in a turn of its own on that connection's selector
- * thread, never within the event or write that found out.
+ * Runs the handling of a connection's end as a separate task on the connection's selector thread,
+ * never within the event or write that detected the end.
  */
 public final class OwnTurn {
   private OwnTurn() {}
 
-  /** Runs the task soon; at once if the connection has no selector thread. */
+  /** Queues the task on the selector thread; runs it immediately if the connection has none. */
   public static void run(Connection<?> connection, Runnable task) {
     SelectorRunner runner =
         connection instanceof NIOConnection nio ? nio.getSelectorRunner() : null;
@@ -22,13 +22,13 @@
       return;
     }
     // The transport reports a failed write while the thread's direct buffer still holds the bytes
-    // of that write: what is written from within the report would go out behind them.
+    // of that write. Data written from within that callback would be sent after those bytes.
     ((NIOTransport) connection.getTransport())
         .getSelectorHandler()
         .enque(
             runner,
             () -> {
-              EventLoop.runGuarded(task, "end of a connection was not handled");
+              EventLoop.runGuarded(task, "failed to handle the end of a connection");
               return true;
             },
             null);
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/RequestAttempt.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/RequestAttempt.java
@@ -3,15 +3,15 @@
 import io.umberpath.model.Verdict;
 
 /**
- * One attempt to have a request served.
+ * One attempt of a request, for the log.
  *
- * @param requestId names the request
- * @param number from 1
- * @param route the request's route
- * @param origin where it was sent
- * @param verdict how it ended
- * @param requestBytes body bytes received from the caller so far
- * @param durationMicros time it took
+ * @param requestId ID of the request
+ * @param number number of the attempt, starting at 1
+ * @param route name of the route
+ * @param origin address that the attempt was sent to
+ * @param verdict outcome of the attempt
+ * @param requestBytes body bytes received from the client so far
+ * @param durationMicros duration of the attempt, microseconds
  */
 public record RequestAttempt(
     String requestId,
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/ShortAnswer.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/ShortAnswer.java
@@ -9,18 +9,21 @@
 import org.glassfish.grizzly.memory.MemoryManager;
 
 /**
- * Holds an answer that states a short length until it is whole. One that has begun to go out and
- * breaks off can only end its caller's connection, with the answers behind it; one that has not can
- * be refused, or asked for again.
+ * Buffers a response with a small {@code Content-Length} until it is complete. If a response fails
+ * after part of it was forwarded, the client's connection must be closed, which also loses the
+ * pipelined responses after it; while nothing has been forwarded, the request can still be rejected
+ * or retried.
  */
 public final class ShortAnswer {
-  /** Longest body that is held, bytes: longer ones are passed on as they come. */
+  /** Largest body that is buffered, bytes; larger ones are forwarded as they arrive. */
   private static final long MAX_BYTES = 16 * 1024;
 
   private final ByteArrayOutputStream body = new ByteArrayOutputStream();
   private AnswerHead head;
 
-  /** Takes a piece; returns what is to be passed on now, if anything is. */
+  /**
+   * Adds a part; returns the part to forward now, or empty while the response is being buffered.
+   */
   public Optional<AnswerPart> take(AnswerPart part) {
     boolean startsBuffering = part.first() && !part.last() && isShort(part.head());
     if (startsBuffering) {
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/package-info.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/package-info.java
@@ -1,2 +1,2 @@
-/** Where requests are sent: connections to nodes and back ends, and the attempts made on them. */
+/** Upstream side of the proxy: connections to nodes and backends, and the attempts sent on them. */
 package io.umberpath.node.proxy.origin;
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/pool/ConnectionPool.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/pool/ConnectionPool.java
@@ -15,8 +15,9 @@
 import org.glassfish.grizzly.EmptyCompletionHandler;
 
 /**
- * Connections to one address. Never holds more than its maximum, those being opened included. The
- * most recently used idle connection goes first, so that the others can age and close. Thread-safe.
+ * Pool of connections to one address. The maximum includes connections that are being opened. The
+ * most recently used idle connection is handed out first, so that the others can reach the idle
+ * timeout. Thread-safe.
  */
 public final class ConnectionPool {
   private static final long DEFAULT_CONNECT_TIMEOUT_MILLIS = 1_000;
@@ -47,7 +48,7 @@
    *
    * @param maxConnections most connections at a time
    * @param clockMillis rising clock, milliseconds
-   * @param connectTimeoutMillis how long opening a connection may take; kept by {@link #expire}
+   * @param connectTimeoutMillis timeout for opening a connection; enforced by {@link #expire}
    */
   public ConnectionPool(
       PeerAddress address,
@@ -63,12 +64,12 @@
     this.lastUsedMillis = clockMillis.getAsLong();
   }
 
-  /** Where its connections lead. */
+  /** Address that the pool connects to. */
   public PeerAddress address() {
     return address;
   }
 
-  /** Gives the waiter an idle connection at once, or opens one. */
+  /** Passes an idle connection to the waiter immediately, or opens a new one. */
   public void acquire(ConnectionWaiter waiter) {
     OriginConnection connection;
     synchronized (this) {
@@ -82,7 +83,10 @@
     }
   }
 
-  /** Opens a connection for the waiter, also if others are idle: tells whether somebody listens. */
+  /**
+   * Opens a new connection for the waiter even if others are idle, to find out whether the address
+   * accepts connections.
+   */
   public void acquireNew(ConnectionWaiter waiter) {
     PendingConnection pending = null;
     synchronized (this) {
@@ -99,7 +103,9 @@
     }
   }
 
-  /** Opens connections until the given number exists, so that no request waits for one. */
+  /**
+   * Opens connections up to the given number in advance, so that requests need not wait for them.
+   */
   public void preconnect(int count) {
     List<PendingConnection> started = new ArrayList<>();
     synchronized (this) {
@@ -113,18 +119,21 @@
     started.forEach(pending -> connector.connect(address, pending));
   }
 
-  /** Takes back a connection whose attempt ended in perfect order. */
+  /** Takes back a connection that can carry another attempt. */
   public synchronized void release(OriginConnection connection) {
     connection.markIdle(clockMillis.getAsLong());
     idle.addFirst(connection);
   }
 
-  /** Gives a connection back to the pool that opened it. */
+  /** Returns a connection to the pool that opened it. */
   public static void giveBack(OriginConnection connection) {
     connection.releaseHandler().accept(connection);
   }
 
-  /** Closes connections idle for longer, fails openings that take too long. */
+  /**
+   * Closes connections that have been idle for the given time, and fails connection attempts that
+   * have exceeded the connect timeout.
+   */
   public void expire(long idleMillis) {
     long now = clockMillis.getAsLong();
     List<OriginConnection> expired = new ArrayList<>();
@@ -137,7 +146,7 @@
     giveUpLate();
   }
 
-  /** Gives up connections that have not opened within their time. */
+  /** Fails the connection attempts that have exceeded the connect timeout. */
   public void giveUpLate() {
     List<PendingConnection> overdue;
     synchronized (this) {
@@ -158,14 +167,16 @@
     overdue.forEach(PendingConnection::notifyFailed);
   }
 
-  /** Whether nobody has used it for so long, and nothing is open. */
+  /**
+   * Whether the pool has not been used for the given time, and has no open or pending connections.
+   */
   public synchronized boolean isUnused(long unusedMillis) {
     return openCount == 0
         && pendingConnections.isEmpty()
         && lastUsedMillis + unusedMillis <= clockMillis.getAsLong();
   }
 
-  /** Open connections, those in use included. */
+  /** Number of open connections, including those in use. */
   public synchronized int openCount() {
     return openCount;
   }
@@ -183,7 +194,7 @@
     idle.remove(connection);
   }
 
-  /** A connection being opened; its waiter is null if it is opened ahead of need. */
+  /** A connection that is being opened; its waiter is null if it is opened in advance. */
   @SuppressWarnings("rawtypes") // Grizzly's own signature
   private final class PendingConnection extends EmptyCompletionHandler<Connection> {
     private final ConnectionWaiter waiter;
@@ -208,7 +219,7 @@
                 connection, ConnectionPool.this::release, ConnectionPool.this::onClosed);
       }
       if (!connection.isOpen()) {
-        // It may have closed before it was wrapped, when nobody listened.
+        // It may have closed before it was wrapped, when no handler was registered for its end.
         origin.onConnectionClosed(false);
       }
       if (waiter == null) {
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/pool/ConnectionWaiter.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/pool/ConnectionWaiter.java
@@ -3,11 +3,14 @@
 import io.umberpath.model.Verdict;
 import io.umberpath.node.proxy.origin.OriginConnection;
 
-/** Waits for a connection; exactly one method is called, once, without the pool's lock. */
+/**
+ * Callback for a requested connection. Exactly one method is called, once, and the pool's lock is
+ * not held.
+ */
 public interface ConnectionWaiter {
-  /** A connection is the waiter's own until released or abandoned. */
+  /** Called with a connection for exclusive use until it is released or abandoned. */
   void connected(OriginConnection connection);
 
-  /** There is none, and nothing has been sent. */
+  /** Called if no connection is available; nothing has been sent. */
   void notConnected(Verdict.Reason reason);
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/pool/Connector.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/pool/Connector.java
@@ -4,10 +4,13 @@
 import org.glassfish.grizzly.CompletionHandler;
 import org.glassfish.grizzly.Connection;
 
-/** Opens client connections. */
+/** Opens connections to an address. */
 @FunctionalInterface
 public interface Connector {
-  /** Opens one; the handler is called once, from any thread, possibly before this returns. */
+  /**
+   * Opens a connection. The handler is called once, on any thread, possibly before this method
+   * returns.
+   */
   @SuppressWarnings("rawtypes") // Grizzly's own signature
   void connect(PeerAddress address, CompletionHandler<Connection> handler);
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/pool/package-info.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/pool/package-info.java
@@ -1,2 +1,2 @@
-/** Pools of connections to other nodes and to the back end beside this node. */
+/** Pools of connections to other nodes and to the local backend. */
 package io.umberpath.node.proxy.pool;
