--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/http/PendingAnswers.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/http/PendingAnswers.java
@@ -14,8 +14,8 @@
       AttributeBuilder.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("umberpath.pendingResponses");
 
   /** Attaches the queue to a connection. */
-  static void attach(Connection<?> connection, PendingAnswers answers) {
-    ATTRIBUTE.set(connection, answers);
+  static void attach(Connection<?> connection, PendingAnswers pending) {
+    ATTRIBUTE.set(connection, pending);
   }
 
   /** Returns the queue of a connection; null if none is attached. */
@@ -29,7 +29,7 @@
   boolean isEnded();
 
   /** Tells whether the codec holds received bytes after the message that it passed on. */
-  void keepsUndecoded(boolean isKept);
+  void keepsUndecoded(boolean hasUndecodedBytes);
 
   /** Reports bytes that were received after the end and discarded. */
   void dropped(int bytes);
