--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/backend/BackendStatus.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/backend/BackendStatus.java
@@ -16,7 +16,7 @@
   private long sheddingUntilMillis;
   private boolean nodeDraining;
 
-  /** The phase to publish: draining if this node or the backend drains. */
+  /** The phase to publish: draining if this node or the backend is draining. */
   public synchronized Phase phase() {
     return nodeDraining ? Phase.DRAINING : phase;
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/OriginConnection.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/OriginConnection.java
@@ -115,7 +115,7 @@
     connection.notifyCanWrite(new WhenWritable(connection, action));
   }
 
-  /** Abandons the attempt: closes the connection and calls its listener no more. */
+  /** Abandons the attempt: closes the connection and stops calling its listener. */
   public void abandon() {
     synchronized (this) {
       listener = null;
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/pool/ConnectionPool.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/pool/ConnectionPool.java
@@ -35,8 +35,8 @@
   /**
    * Creates an empty pool.
    *
-   * @param maxConnections most connections at a time
-   * @param clockMillis rising clock, milliseconds
+   * @param maxConnections maximum number of connections, including those being opened
+   * @param clockMillis monotonic clock, milliseconds
    */
   public ConnectionPool(
       PeerAddress address, Connector connector, int maxConnections, LongSupplier clockMillis) {
@@ -46,8 +46,8 @@
   /**
    * Creates an empty pool.
    *
-   * @param maxConnections most connections at a time
-   * @param clockMillis rising clock, milliseconds
+   * @param maxConnections maximum number of connections, including those being opened
+   * @param clockMillis monotonic clock, milliseconds
    * @param connectTimeoutMillis timeout for opening a connection; enforced by {@link #expire}
    */
   public ConnectionPool(
