--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/backend/BackendMonitor.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/backend/BackendMonitor.java
@@ -10,13 +10,13 @@
 import java.util.function.LongSupplier;
 
 /**
- * Probes the back end beside this node, opens connections ahead of need, and tells the fleet about
- * changes of its phase and load. A back end whose probe interval is 0 is never probed and taken to
- * be ready. {@link #tick} is called by one thread.
+ * Probes the local backend, opens connections to it in advance, and publishes changes of its phase
+ * and load to the fleet. A backend whose probe interval is 0 is not probed and is assumed to be
+ * ready. {@link #tick} must be called from a single thread.
  */
 public final class BackendMonitor {
-  private static final String PATH = "/health";
-  private static final long NEVER = 0;
+  private static final String HEALTH_PATH = "/health";
+  private static final long PROBING_DISABLED = 0;
   private static final int LOAD_STEP_PERCENT = 25;
   private static final int FULL_LOAD_PERCENT = 100;
   private static final long MIN_PROBE_TIMEOUT_MILLIS = 1_000;
@@ -32,12 +32,12 @@
   private long probeStartMillis;
   private Phase publishedPhase;
   private int publishedLoad;
-  private long counter;
+  private long observationSequence;
 
   /**
    * Creates a monitor that has not probed yet.
    *
-   * @param loadPercent requests running or queued over slots
+   * @param loadPercent running and queued requests in percent of the backend's slots
    */
   public BackendMonitor(
       NodeSettings.Backend backend,
@@ -54,10 +54,10 @@
     this.clockMillis = clockMillis;
   }
 
-  /** Probes when it is time to, and publishes what has changed. */
+  /** Starts a probe if one is due, and publishes changes of phase and load. */
   public void tick() {
     long now = clockMillis.getAsLong();
-    if (backend.probeMillis() == NEVER) {
+    if (backend.probeMillis() == PROBING_DISABLED) {
       status.assumeReady();
     } else if (probe == null || now - probeStartMillis >= backend.probeMillis()) {
       probe(now);
@@ -66,25 +66,25 @@
   }
 
   private void probe(long nowMillis) {
-    long timeout = Math.max(MIN_PROBE_TIMEOUT_MILLIS, backend.probeMillis());
-    boolean mayTakeLonger = probe != null && nowMillis - probeStartMillis < timeout;
+    long timeoutMillis = Math.max(MIN_PROBE_TIMEOUT_MILLIS, backend.probeMillis());
+    boolean isWithinTimeout = probe != null && nowMillis - probeStartMillis < timeoutMillis;
     if (probe != null && probe.isUnderWay()) {
-      if (mayTakeLonger) {
+      if (isWithinTimeout) {
         return;
       }
       if (probe.giveUp()) {
-        status.probeFailed();
+        status.onProbeFailure();
       }
     }
     probeStartMillis = nowMillis;
-    probe = new HealthProbe(pool, PATH, this::answered, status::probeFailed);
+    probe = new HealthProbe(pool, HEALTH_PATH, this::onProbeResponse, status::onProbeFailure);
     probe.start();
   }
 
-  private void answered(AnswerHead head, String body) {
-    status.probed(HealthReport.of(head, body), clockMillis.getAsLong());
+  private void onProbeResponse(AnswerHead head, String body) {
+    status.onProbeResponse(HealthReport.of(head, body), clockMillis.getAsLong());
     if (status.phase() == Phase.READY) {
-      pool.openAhead(backend.slots());
+      pool.preconnect(backend.slots());
     }
   }
 
@@ -98,8 +98,9 @@
     if (phase != publishedPhase || load != publishedLoad) {
       publishedPhase = phase;
       publishedLoad = load;
-      counter++;
-      control.observe(new ObservedBackend(backend.id(), incarnation, counter, phase, load));
+      observationSequence++;
+      control.observe(
+          new ObservedBackend(backend.id(), incarnation, observationSequence, phase, load));
     }
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/backend/BackendStatus.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/backend/BackendStatus.java
@@ -3,7 +3,7 @@
 import io.umberpath.model.ObservedBackend.Phase;
 
 /**
- * Phase and shedding of the back end beside this node, from its probes and its answers.
+ * Phase and load shedding of the local backend, derived from health probes and responses.
  * Thread-safe.
  */
 public final class BackendStatus {
@@ -11,65 +11,68 @@
   private static final long MAX_SHEDDING_MILLIS = 10_000;
 
   private Phase phase = Phase.WARMING;
-  private int failures;
+  private int consecutiveFailures;
   private boolean shedding;
   private long sheddingUntilMillis;
   private boolean nodeDraining;
 
-  /** The phase to publish. */
+  /** The phase to publish: draining if this node or the backend is draining. */
   public synchronized Phase phase() {
     return nodeDraining ? Phase.DRAINING : phase;
   }
 
-  /** Whether new work is to be refused because the back end, or this node, is leaving. */
+  /** Whether new requests must be rejected because the backend or this node is draining. */
   public synchronized boolean isDraining() {
     return phase() == Phase.DRAINING;
   }
 
-  /** How long the back end still asks to be left alone; 0 if it does not. */
+  /**
+   * Remaining time for which the backend asked to receive no requests, milliseconds; 0 if it is not
+   * shedding load.
+   */
   public synchronized long sheddingMillis(long nowMillis) {
     return shedding ? Math.max(0, sheddingUntilMillis - nowMillis) : 0;
   }
 
-  /** This node is leaving, whatever the back end says. */
+  /** Marks this node as draining, whatever phase the backend reports. */
   public synchronized void nodeDrains() {
     nodeDraining = true;
   }
 
-  /** An answer to a request. */
+  /** Records the response to a request. */
   public synchronized void answered(
       int status, boolean draining, java.util.Optional<Long> retryAfterMillis, long nowMillis) {
     HealthReport report = new HealthReport(status, draining, retryAfterMillis, "");
     if (draining) {
       phase = Phase.DRAINING;
     }
-    shed(report, nowMillis);
+    updateShedding(report, nowMillis);
   }
 
-  /** Nothing is known but what its answers say. */
+  /** Treats a backend that is not probed as ready, unless its responses reported another phase. */
   synchronized void assumeReady() {
     if (phase == Phase.WARMING) {
       phase = Phase.READY;
     }
   }
 
-  synchronized void probed(HealthReport report, long nowMillis) {
-    failures = 0;
+  synchronized void onProbeResponse(HealthReport report, long nowMillis) {
+    consecutiveFailures = 0;
     report.phase().ifPresent(reported -> phase = reported);
     if (report.phase().isEmpty() && phase == Phase.DOWN) {
       phase = Phase.WARMING;
     }
-    shed(report, nowMillis);
+    updateShedding(report, nowMillis);
   }
 
-  synchronized void probeFailed() {
-    failures++;
-    if (failures >= FAILURES_UNTIL_DOWN) {
+  synchronized void onProbeFailure() {
+    consecutiveFailures++;
+    if (consecutiveFailures >= FAILURES_UNTIL_DOWN) {
       phase = Phase.DOWN;
     }
   }
 
-  private void shed(HealthReport report, long nowMillis) {
+  private void updateShedding(HealthReport report, long nowMillis) {
     if (report.isShedding()) {
       long millis = Math.min(MAX_SHEDDING_MILLIS, report.retryAfterMillis().orElse(0L));
       shedding = true;
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/backend/HealthProbe.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/backend/HealthProbe.java
@@ -15,58 +15,61 @@
 import org.glassfish.grizzly.http.Protocol;
 import org.glassfish.grizzly.http.util.Header;
 
-/** One {@code GET} of a back end's health path. Thread-safe. */
+/** One {@code GET} request for a backend's health path. Thread-safe. */
 public final class HealthProbe implements ConnectionWaiter, AnswerListener {
   private static final int MAX_BODY_CHARACTERS = 4_096;
 
   private final ConnectionPool pool;
   private final String path;
-  private final BiConsumer<AnswerHead, String> onAnswer;
+  private final BiConsumer<AnswerHead, String> onResponse;
   private final Runnable onFailure;
   private final StringBuilder body = new StringBuilder();
   private OriginConnection connection;
-  private boolean over;
+  private boolean finished;
 
   /**
    * Creates a probe that has not been sent.
    *
-   * @param path what to ask for
-   * @param onAnswer takes head and text of the answer, possibly shortened
-   * @param onFailure runs if there is no whole answer
+   * @param path path of the request
+   * @param onResponse receives the head and the body text of the response; the text may be
+   *     truncated
+   * @param onFailure called if there is no complete response
    */
   public HealthProbe(
       ConnectionPool pool,
       String path,
-      BiConsumer<AnswerHead, String> onAnswer,
+      BiConsumer<AnswerHead, String> onResponse,
       Runnable onFailure) {
     this.pool = pool;
     this.path = path;
-    this.onAnswer = onAnswer;
+    this.onResponse = onResponse;
     this.onFailure = onFailure;
   }
 
-  /** Sends the probe; exactly one of the callbacks follows, unless it is given up. */
+  /**
+   * Sends the probe. Exactly one of the callbacks is called, unless the probe is cancelled first.
+   */
   public void start() {
     pool.acquire(this);
   }
 
-  /** Whether neither callback has been called. */
+  /** Whether the probe has neither finished nor been cancelled. */
   public synchronized boolean isUnderWay() {
-    return !over;
+    return !finished;
   }
 
-  /** Gives up; returns whether it was still under way. */
+  /** Cancels the probe; returns whether it was still in progress. */
   public boolean giveUp() {
-    OriginConnection used;
+    OriginConnection currentConnection;
     synchronized (this) {
-      if (over) {
+      if (finished) {
         return false;
       }
-      over = true;
-      used = connection;
+      finished = true;
+      currentConnection = connection;
     }
-    if (used != null) {
-      used.abandon();
+    if (currentConnection != null) {
+      currentConnection.abandon();
     }
     return true;
   }
@@ -74,7 +77,7 @@
   @Override
   public void connected(OriginConnection opened) {
     synchronized (this) {
-      if (!over) {
+      if (!finished) {
         connection = opened;
         opened.begin(this);
         opened.write(request(), true);
@@ -105,29 +108,29 @@
 
   private void fail() {
     synchronized (this) {
-      if (over) {
+      if (finished) {
         return;
       }
-      over = true;
+      finished = true;
     }
     onFailure.run();
   }
 
   @Override
   public void onInterim(byte[] head) {
-    // Only the final answer counts.
+    // Only the final response matters.
   }
 
   @Override
   public boolean onAnswerPart(AnswerPart part) {
     synchronized (this) {
       append(part.content());
-      if (over || !part.last()) {
+      if (finished || !part.last()) {
         return true;
       }
-      over = true;
+      finished = true;
     }
-    onAnswer.accept(part.head(), body.toString());
+    onResponse.accept(part.head(), body.toString());
     return true;
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/http/ClientCodecFilter.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/http/ClientCodecFilter.java
@@ -15,27 +15,27 @@
 import org.glassfish.grizzly.http.TransferEncoding;
 
 /**
- * Grizzly's client codec with strict framing, interim answers passed on, and answers nobody waits
- * for refused. Content codings pass through untouched.
+ * Grizzly's client codec with strict framing. It forwards interim responses, rejects bytes that no
+ * request is waiting for, and leaves content codings untouched.
  */
 public final class ClientCodecFilter extends HttpClientFilter {
-  private static final byte[] HTTP_1 = "HTTP/1.".getBytes(StandardCharsets.US_ASCII);
-  private static final int STATUS_OFFSET = HTTP_1.length + 2;
-  private static final int SWITCHING_PROTOCOLS_LAST_DIGIT = STATUS_OFFSET + 2;
+  private static final byte[] HTTP_1_PREFIX = "HTTP/1.".getBytes(StandardCharsets.US_ASCII);
+  private static final int STATUS_OFFSET = HTTP_1_PREFIX.length + 2;
+  private static final int STATUS_LAST_DIGIT_OFFSET = STATUS_OFFSET + 2;
 
   private static final int INCOMPLETE = -1;
   private static final int MALFORMED = -2;
 
-  private final AnswerObserver observer;
+  private final ClientCodecDelegate delegate;
 
   /**
-   * Creates one for any number of connections.
+   * Creates a filter that any number of connections can share.
    *
-   * @param maxHeaderBytes largest answer head, and largest trailer section
+   * @param maxHeaderBytes limit for a response head, and for a trailer section
    */
-  public ClientCodecFilter(int maxHeaderBytes, AnswerObserver observer) {
+  public ClientCodecFilter(int maxHeaderBytes, ClientCodecDelegate delegate) {
     super(maxHeaderBytes);
-    this.observer = observer;
+    this.delegate = delegate;
     setPreserveHeaderCase(true);
     for (ContentEncoding encoding : getContentEncodings()) {
       removeContentEncoding(encoding);
@@ -51,12 +51,12 @@
   @Override
   public NextAction handleRead(FilterChainContext context) throws IOException {
     Connection<?> connection = context.getConnection();
-    while (observer.awaitsHead(connection)) {
+    while (delegate.isAwaitingHead(connection)) {
       Buffer buffer = context.getMessage();
-      if (!mayBeInterim(buffer)) {
+      if (!mayBeInterimResponse(buffer)) {
         break;
       }
-      int end = passInterim(connection, buffer);
+      int end = forwardInterimResponse(connection, buffer);
       if (end == INCOMPLETE) {
         return context.getStopAction(buffer);
       }
@@ -65,15 +65,20 @@
       }
       context.setMessage(buffer.split(end));
     }
-    if (!observer.awaitsHead(connection) && !observer.inBody(connection)) {
-      observer.malformed(connection, new MalformedMessageException("bytes without a request"));
+    if (!delegate.isAwaitingHead(connection) && !delegate.isReadingBody(connection)) {
+      delegate.onMalformedResponse(
+          connection,
+          new MalformedMessageException("received bytes while no request is in flight"));
       return context.getStopAction();
     }
     return super.handleRead(context);
   }
 
-  /** Passes an interim answer on; returns the index after it, or one of the constants. */
-  private int passInterim(Connection<?> connection, Buffer buffer) {
+  /**
+   * Forwards an interim response; returns the index after it, {@link #INCOMPLETE} or {@link
+   * #MALFORMED}.
+   */
+  private int forwardInterimResponse(Connection<?> connection, Buffer buffer) {
     int start = buffer.position();
     int end;
     try {
@@ -81,29 +86,29 @@
       if (end < 0) {
         return INCOMPLETE;
       }
-      MessageHeadValidator.checkAnswer(buffer, start, end);
+      MessageHeadValidator.checkResponse(buffer, start, end);
       if (buffer.get(start + STATUS_OFFSET + 1) == '0'
-          && buffer.get(start + SWITCHING_PROTOCOLS_LAST_DIGIT) == '1') {
-        throw new MalformedMessageException("answer 101 to a request without upgrade");
+          && buffer.get(start + STATUS_LAST_DIGIT_OFFSET) == '1') {
+        throw new MalformedMessageException("101 response to a request without Upgrade");
       }
     } catch (MalformedMessageException malformed) {
-      observer.malformed(connection, malformed);
+      delegate.onMalformedResponse(connection, malformed);
       return MALFORMED;
     }
     byte[] head = new byte[end - start];
     for (int index = 0; index < head.length; index++) {
       head[index] = buffer.get(start + index);
     }
-    observer.interim(connection, head);
+    delegate.onInterimResponse(connection, head);
     return end;
   }
 
-  /** Whether the bytes so far are, or could become, the start of a 1xx answer. */
-  private static boolean mayBeInterim(Buffer buffer) {
+  /** Whether the bytes received so far are, or could become, the start of a 1xx response. */
+  private static boolean mayBeInterimResponse(Buffer buffer) {
     int start = buffer.position();
-    int known = Math.min(buffer.remaining(), HTTP_1.length);
-    for (int index = 0; index < known; index++) {
-      if (buffer.get(start + index) != HTTP_1[index]) {
+    int comparedBytes = Math.min(buffer.remaining(), HTTP_1_PREFIX.length);
+    for (int index = 0; index < comparedBytes; index++) {
+      if (buffer.get(start + index) != HTTP_1_PREFIX[index]) {
         return false;
       }
     }
@@ -113,15 +118,16 @@
   @Override
   protected boolean decodeHttpPacket(
       FilterChainContext context, HttpPacketParsing packet, Buffer buffer) {
-    // The codec overwrites folded lines, so the whole head is checked before it sees any of it.
+    // The codec overwrites folded lines in the buffer, so the whole head is validated before the
+    // codec parses any of it.
     int end = MessageHeadValidator.findEnd(buffer, maxHeadersSize);
     if (end < 0) {
       return false;
     }
-    MessageHeadValidator.checkAnswer(buffer, buffer.position(), end);
+    MessageHeadValidator.checkResponse(buffer, buffer.position(), end);
     boolean complete = super.decodeHttpPacket(context, packet, buffer);
     if (complete) {
-      observer.headDecoded(context.getConnection());
+      delegate.onHeadDecoded(context.getConnection());
     }
     return complete;
   }
@@ -136,13 +142,14 @@
 
   @Override
   protected void onIncomingUpgrade(FilterChainContext context, HttpHeader header) {
-    // The codec would stop framing the body; no upgrade was asked for, so the header is ignored.
+    // With an upgrade set, the codec would stop framing the body. No upgrade was requested, so the
+    // header is ignored.
     header.setUpgrade(null);
   }
 
   @Override
   protected void onHttpHeaderError(HttpHeader header, FilterChainContext context, Throwable error) {
-    observer.malformed(context.getConnection(), error);
+    delegate.onMalformedResponse(context.getConnection(), error);
   }
 
   @Override
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/http/StrictChunkedEncoding.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/http/StrictChunkedEncoding.java
@@ -12,9 +12,9 @@
 import org.glassfish.grizzly.http.TransferEncoding;
 
 /**
- * Chunked transfer coding that decodes exactly the grammar of RFC 9112, section 7.1, without chunk
- * extensions, and refuses everything else; encoding is Grizzly's. Thread-safe: the state of a
- * message is kept with its header.
+ * Chunked transfer coding that accepts exactly the grammar of RFC 9112, section 7.1, without chunk
+ * extensions; encoding is delegated to Grizzly. Thread-safe: the decoding state is stored as an
+ * attribute of the message's header.
  */
 final class StrictChunkedEncoding implements TransferEncoding {
   private static final Attribute<ChunkedDecoder> DECODER =
@@ -57,25 +57,25 @@
     }
     return switch (decoder.decode(buffer)) {
       case NEEDS_MORE -> ParsingResult.create(null, buffer.hasRemaining() ? buffer : null);
-      case DATA -> data(header, buffer, decoder.dataLength());
-      case END -> ParsingResult.create(trailer(header, decoder), remainder(buffer));
+      case DATA -> dataResult(header, buffer, decoder.dataLength());
+      case END -> ParsingResult.create(buildTrailer(header, decoder), splitRemainder(buffer));
     };
   }
 
-  private static ParsingResult data(HttpHeader header, Buffer buffer, int length) {
+  private static ParsingResult dataResult(HttpHeader header, Buffer buffer, int length) {
     Buffer remainder =
         buffer.remaining() > length ? buffer.split(buffer.position() + length) : null;
     HttpContent content = header.httpContentBuilder().content(buffer).last(false).build();
     return ParsingResult.create(content, remainder);
   }
 
-  private static HttpTrailer trailer(HttpHeader header, ChunkedDecoder decoder) {
+  private static HttpTrailer buildTrailer(HttpHeader header, ChunkedDecoder decoder) {
     HttpTrailer.Builder builder = header.httpTrailerBuilder();
     decoder.trailers().forEach((name, value) -> builder.header(name, value));
     return builder.build();
   }
 
-  private static Buffer remainder(Buffer buffer) {
+  private static Buffer splitRemainder(Buffer buffer) {
     return buffer.hasRemaining() ? buffer.split(buffer.position()) : null;
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/OriginConnection.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/OriginConnection.java
@@ -16,8 +16,8 @@
 import org.glassfish.grizzly.memory.Buffers;
 
 /**
- * One client connection; carries one attempt at a time and is never reused after any doubt about
- * framing. Thread-safe.
+ * A connection to a node or backend. It carries one attempt at a time, and is not reused if the
+ * framing of a message on it is in doubt. Thread-safe.
  */
 public final class OriginConnection {
   private static final Attribute<OriginConnection> ATTRIBUTE =
@@ -25,55 +25,57 @@
 
   private enum Stage {
     IDLE,
-    AWAITS_HEAD,
-    IN_BODY,
+    AWAITING_HEAD,
+    READING_BODY,
     BROKEN
   }
 
   private final Connection<?> connection;
-  private final Consumer<OriginConnection> owner;
+  private final Consumer<OriginConnection> releaseHandler;
   private final Consumer<OriginConnection> onClosed;
-  private final AtomicBoolean gone = new AtomicBoolean();
+  private final AtomicBoolean closeHandled = new AtomicBoolean();
   private volatile Stage stage = Stage.IDLE;
   private volatile AnswerListener listener;
   private volatile boolean requestComplete;
-  private volatile boolean answerReusable;
-  private volatile AnswerHead endsWithConnection;
+  private volatile boolean reusableAfterResponse;
+  private volatile AnswerHead closeDelimitedHead;
   private volatile long idleSinceMillis;
-  private volatile boolean rested;
+  private volatile boolean hasBeenIdle;
 
   /**
-   * Wraps a connection that has just been opened.
+   * Wraps a newly opened connection.
    *
-   * @param owner takes it back when an attempt has left it reusable
-   * @param onClosed hears once that it is gone
+   * @param releaseHandler takes the connection back after an attempt that left it reusable
+   * @param onClosed called once when the connection has closed
    */
   public OriginConnection(
       Connection<?> connection,
-      Consumer<OriginConnection> owner,
+      Consumer<OriginConnection> releaseHandler,
       Consumer<OriginConnection> onClosed) {
     this.connection = connection;
-    this.owner = owner;
+    this.releaseHandler = releaseHandler;
     this.onClosed = onClosed;
     ATTRIBUTE.set(connection, this);
   }
 
-  /** The wrapper of a connection, or null before it is wrapped. */
+  /** Returns the wrapper of a connection, or null if it is not wrapped yet. */
   public static OriginConnection of(Connection<?> connection) {
     return ATTRIBUTE.get(connection);
   }
 
-  /** Who takes it back. */
-  public Consumer<OriginConnection> owner() {
-    return owner;
+  /** The handler that takes the connection back for reuse. */
+  public Consumer<OriginConnection> releaseHandler() {
+    return releaseHandler;
   }
 
-  /** Whether it can carry another attempt. */
+  /** Whether the connection is open and has no attempt in flight. */
   public boolean isIdle() {
     return stage == Stage.IDLE && connection.isOpen();
   }
 
-  /** Runs work on a selector thread, at once if that has read what has arrived. */
+  /**
+   * Runs work on a selector thread, immediately if that thread has already read all received data.
+   */
   public void runOrDefer(Runnable work) {
     if (EventLoop.isSelectorThread()) {
       EventLoop.runOrDefer(work);
@@ -82,19 +84,19 @@
     }
   }
 
-  /** Begins an attempt: answers go to the listener from now on. */
+  /** Begins an attempt whose response events go to the listener. */
   public synchronized void begin(AnswerListener newListener) {
     listener = newListener;
     requestComplete = false;
-    answerReusable = false;
-    endsWithConnection = null;
-    stage = Stage.AWAITS_HEAD;
+    reusableAfterResponse = false;
+    closeDelimitedHead = null;
+    stage = Stage.AWAITING_HEAD;
   }
 
   /**
    * Writes a part of the request.
    *
-   * @param last whether the request is complete with it
+   * @param last whether this part completes the request
    */
   public void write(HttpPacket packet, boolean last) {
     if (last) {
@@ -103,17 +105,17 @@
     connection.write(packet, new WriteFailure<>());
   }
 
-  /** Whether more may be written without queueing beyond the bound. */
+  /** Whether more can be written without exceeding the limit of the write queue. */
   public boolean canWrite() {
     return connection.canWrite();
   }
 
-  /** Runs the action when {@link #canWrite} holds again or the connection is gone. */
+  /** Runs the action when {@link #canWrite} becomes true again, or the connection has closed. */
   public void whenWritable(Runnable action) {
     connection.notifyCanWrite(new WhenWritable(connection, action));
   }
 
-  /** Gives the attempt up: the connection is closed and its listener hears nothing more. */
+  /** Abandons the attempt: closes the connection and stops calling its listener. */
   public void abandon() {
     synchronized (this) {
       listener = null;
@@ -122,20 +124,22 @@
     connection.terminateSilently();
   }
 
-  /** Milliseconds on the pool's clock since when it has been idle. */
+  /** Time on the pool's clock when the connection became idle, milliseconds. */
   public long idleSinceMillis() {
     return idleSinceMillis;
   }
 
-  /** Notes when it became idle. */
-  public void idleSince(long nowMillis) {
+  /** Records the time when the connection became idle. */
+  public void markIdle(long nowMillis) {
     idleSinceMillis = nowMillis;
-    rested = true;
+    hasBeenIdle = true;
   }
 
-  /** Whether it has been idle: its peer may end it then at any time. */
+  /**
+   * Whether the connection has ever been idle; the peer may close an idle connection at any time.
+   */
   public boolean hasRested() {
-    return rested;
+    return hasBeenIdle;
   }
 
   /** Closes an idle connection. */
@@ -143,33 +147,33 @@
     connection.closeSilently();
   }
 
-  boolean awaitsHead() {
-    return stage == Stage.AWAITS_HEAD;
+  boolean isAwaitingHead() {
+    return stage == Stage.AWAITING_HEAD;
   }
 
-  boolean inBody() {
-    return stage == Stage.IN_BODY;
+  boolean isReadingBody() {
+    return stage == Stage.READING_BODY;
   }
 
-  void headDecoded() {
-    stage = Stage.IN_BODY;
+  void onHeadDecoded() {
+    stage = Stage.READING_BODY;
   }
 
-  /** Who hears of the attempt under way; null if there is none. */
+  /** Listener of the attempt in flight; null if there is none. */
   public AnswerListener listener() {
     return listener;
   }
 
-  /** The whole answer has been decoded. */
-  synchronized void answerComplete(boolean keepAlive) {
+  /** Ends the attempt after its complete response has been decoded. */
+  synchronized void completeResponse(boolean keepAlive) {
     listener = null;
-    answerReusable = keepAlive && requestComplete;
-    stage = answerReusable ? Stage.IDLE : Stage.BROKEN;
+    reusableAfterResponse = keepAlive && requestComplete;
+    stage = reusableAfterResponse ? Stage.IDLE : Stage.BROKEN;
   }
 
-  /** Whether the finished attempt left the connection in perfect order. */
+  /** Whether the finished attempt left the connection usable for another one. */
   boolean isReusable() {
-    return answerReusable && isIdle();
+    return reusableAfterResponse && isIdle();
   }
 
   void fail(Verdict.Reason reason) {
@@ -185,30 +189,34 @@
     }
   }
 
-  /** The answer has no stated length: it is whole if the peer closes in good order. */
-  void endsWithConnection(AnswerHead head) {
-    endsWithConnection = head;
+  /**
+   * Marks the response as delimited by the end of the connection: it is complete if the peer closes
+   * in an orderly way.
+   */
+  void setCloseDelimitedHead(AnswerHead head) {
+    closeDelimitedHead = head;
   }
 
   /**
-   * The connection is gone; only the first call counts. Its owner hears at once, so that another
-   * may be opened in its place, and the attempt under way in a turn of its own.
+   * Handles the end of the connection; calls after the first have no effect. The pool is notified
+   * immediately, so that it can open a replacement, and the attempt in flight is ended in a
+   * separate task of the selector thread.
    *
-   * @param inGoodOrder whether the peer ended it, and not a fault
+   * @param isOrderly whether the peer closed the connection, as opposed to an error
    */
-  public void closed(boolean inGoodOrder) {
-    if (!gone.compareAndSet(false, true)) {
+  public void onConnectionClosed(boolean isOrderly) {
+    if (!closeHandled.compareAndSet(false, true)) {
       return;
     }
     onClosed.accept(this);
-    OwnTurn.run(connection, () -> endAttempt(inGoodOrder));
+    OwnTurn.run(connection, () -> endAttempt(isOrderly));
   }
 
-  private void endAttempt(boolean inGoodOrder) {
-    AnswerHead head = endsWithConnection;
+  private void endAttempt(boolean isOrderly) {
+    AnswerHead head = closeDelimitedHead;
     AnswerListener current = listener;
-    if (head != null && current != null && inGoodOrder) {
-      answerComplete(false);
+    if (head != null && current != null && isOrderly) {
+      completeResponse(false);
       current.onAnswerPart(
           new AnswerPart(head, false, Buffers.EMPTY_BUFFER, true, HeaderFields.NONE));
     } else {
@@ -223,7 +231,7 @@
     }
   }
 
-  /** Adapts an action to Grizzly's write handler. */
+  /** Runs an action when Grizzly reports that the connection is writable or has failed. */
   public record WhenWritable(Connection<?> connection, Runnable action) implements WriteHandler {
     @Override
     public void onWritePossible() {
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/OriginFilter.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/OriginFilter.java
@@ -2,7 +2,7 @@
 
 import io.umberpath.model.Verdict;
 import io.umberpath.node.proxy.http.AnswerHead;
-import io.umberpath.node.proxy.http.AnswerObserver;
+import io.umberpath.node.proxy.http.ClientCodecDelegate;
 import io.umberpath.node.proxy.http.HeaderFields;
 import java.io.EOFException;
 import java.util.function.Consumer;
@@ -15,14 +15,14 @@
 import org.glassfish.grizzly.http.HttpContent;
 import org.glassfish.grizzly.http.HttpResponsePacket;
 
-/** Hands decoded answers to the attempt of their connection. Stateless. */
-public final class OriginFilter extends BaseFilter implements AnswerObserver {
+/** Passes decoded responses to the listener of the attempt on their connection. Stateless. */
+public final class OriginFilter extends BaseFilter implements ClientCodecDelegate {
   private final Consumer<OriginConnection> onReusable;
 
   /**
-   * Creates one for any number of connections.
+   * Creates a filter that any number of connections can share.
    *
-   * @param onReusable takes a connection whose attempt is over and that may carry another
+   * @param onReusable takes a connection whose attempt has ended and that can be reused
    */
   public OriginFilter(Consumer<OriginConnection> onReusable) {
     this.onReusable = onReusable;
@@ -42,14 +42,15 @@
     boolean first = !head.isCommitted();
     head.setCommitted(true);
     if (first && !last && !head.isChunked() && head.getContentLength() < 0) {
-      origin.endsWithConnection(AnswerHead.of(head));
+      origin.setCloseDelimitedHead(AnswerHead.of(head));
     }
     if (last) {
-      origin.answerComplete(head.getProcessingState().isKeepAlive());
-      // Bytes after the answer are seen before the chain completes; only then is it reusable.
+      origin.completeResponse(head.getProcessingState().isKeepAlive());
+      // Excess bytes after the response are detected before the chain completes; only then is it
+      // known whether the connection is reusable.
       context.addCompletionListener(completed -> release(origin));
     }
-    AnswerPart part = part(content, AnswerHead.of(head), first, last);
+    AnswerPart part = toResponsePart(content, AnswerHead.of(head), first, last);
     if (listener.onAnswerPart(part) || last) {
       return context.getStopAction();
     }
@@ -59,7 +60,7 @@
     return suspend;
   }
 
-  private static AnswerPart part(
+  private static AnswerPart toResponsePart(
       HttpContent content, AnswerHead head, boolean first, boolean last) {
     return new AnswerPart(
         head, first, content.getContent(), last, HeaderFields.trailersOf(content));
@@ -78,30 +79,30 @@
     OriginConnection origin = OriginConnection.of(context.getConnection());
     if (origin != null) {
       CloseReason reason = context.getConnection().getCloseReason();
-      origin.closed(reason == null || reason.getCause() instanceof EOFException);
+      origin.onConnectionClosed(reason == null || reason.getCause() instanceof EOFException);
     }
     return context.getStopAction();
   }
 
   @Override
-  public boolean awaitsHead(Connection<?> connection) {
+  public boolean isAwaitingHead(Connection<?> connection) {
     OriginConnection origin = OriginConnection.of(connection);
-    return origin != null && origin.awaitsHead();
+    return origin != null && origin.isAwaitingHead();
   }
 
   @Override
-  public boolean inBody(Connection<?> connection) {
+  public boolean isReadingBody(Connection<?> connection) {
     OriginConnection origin = OriginConnection.of(connection);
-    return origin != null && origin.inBody();
+    return origin != null && origin.isReadingBody();
   }
 
   @Override
-  public void headDecoded(Connection<?> connection) {
-    OriginConnection.of(connection).headDecoded();
+  public void onHeadDecoded(Connection<?> connection) {
+    OriginConnection.of(connection).onHeadDecoded();
   }
 
   @Override
-  public void interim(Connection<?> connection, byte[] head) {
+  public void onInterimResponse(Connection<?> connection, byte[] head) {
     AnswerListener listener = OriginConnection.of(connection).listener();
     if (listener != null) {
       listener.onInterim(head);
@@ -109,7 +110,7 @@
   }
 
   @Override
-  public void malformed(Connection<?> connection, Throwable error) {
+  public void onMalformedResponse(Connection<?> connection, Throwable error) {
     OriginConnection origin = OriginConnection.of(connection);
     if (origin == null) {
       connection.terminateSilently();
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/pool/ConnectionPool.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/pool/ConnectionPool.java
@@ -15,8 +15,9 @@
 import org.glassfish.grizzly.EmptyCompletionHandler;
 
 /**
- * Connections to one address. Never holds more than its maximum, those being opened included. The
- * most recently used idle connection goes first, so that the others can age and close. Thread-safe.
+ * Pool of connections to one address. The maximum includes connections that are being opened. The
+ * most recently used idle connection is handed out first, so that the others can reach the idle
+ * timeout. Thread-safe.
  */
 public final class ConnectionPool {
   private static final long DEFAULT_CONNECT_TIMEOUT_MILLIS = 1_000;
@@ -27,15 +28,15 @@
   private final LongSupplier clockMillis;
   private final long connectTimeoutMillis;
   private final Deque<OriginConnection> idle = new ArrayDeque<>();
-  private final Set<Opening> openings = new HashSet<>();
-  private int open;
+  private final Set<PendingConnection> pendingConnections = new HashSet<>();
+  private int openCount;
   private long lastUsedMillis;
 
   /**
    * Creates an empty pool.
    *
-   * @param maxConnections most connections at a time
-   * @param clockMillis rising clock, milliseconds
+   * @param maxConnections maximum number of connections, including those being opened
+   * @param clockMillis monotonic clock, milliseconds
    */
   public ConnectionPool(
       PeerAddress address, Connector connector, int maxConnections, LongSupplier clockMillis) {
@@ -45,9 +46,9 @@
   /**
    * Creates an empty pool.
    *
-   * @param maxConnections most connections at a time
-   * @param clockMillis rising clock, milliseconds
-   * @param connectTimeoutMillis how long opening a connection may take; kept by {@link #expire}
+   * @param maxConnections maximum number of connections, including those being opened
+   * @param clockMillis monotonic clock, milliseconds
+   * @param connectTimeoutMillis timeout for opening a connection; enforced by {@link #expire}
    */
   public ConnectionPool(
       PeerAddress address,
@@ -63,12 +64,12 @@
     this.lastUsedMillis = clockMillis.getAsLong();
   }
 
-  /** Where its connections lead. */
+  /** Address that the pool connects to. */
   public PeerAddress address() {
     return address;
   }
 
-  /** Gives the waiter an idle connection at once, or opens one. */
+  /** Passes an idle connection to the waiter immediately, or opens a new one. */
   public void acquire(ConnectionWaiter waiter) {
     OriginConnection connection;
     synchronized (this) {
@@ -82,91 +83,102 @@
     }
   }
 
-  /** Opens a connection for the waiter, also if others are idle: tells whether somebody listens. */
+  /**
+   * Opens a new connection for the waiter even if others are idle, to find out whether the address
+   * accepts connections.
+   */
   public void acquireNew(ConnectionWaiter waiter) {
-    Opening opening = null;
+    PendingConnection pending = null;
     synchronized (this) {
       lastUsedMillis = clockMillis.getAsLong();
-      if (open + openings.size() < maxConnections) {
-        opening = new Opening(waiter, lastUsedMillis);
-        openings.add(opening);
+      if (openCount + pendingConnections.size() < maxConnections) {
+        pending = new PendingConnection(waiter, lastUsedMillis);
+        pendingConnections.add(pending);
       }
     }
-    if (opening != null) {
-      connector.connect(address, opening);
+    if (pending != null) {
+      connector.connect(address, pending);
     } else {
       waiter.notConnected(Verdict.Reason.OVERLOADED);
     }
   }
 
-  /** Opens connections until the given number exists, so that no request waits for one. */
-  public void openAhead(int count) {
-    List<Opening> started = new ArrayList<>();
+  /**
+   * Opens connections up to the given number in advance, so that requests need not wait for them.
+   */
+  public void preconnect(int count) {
+    List<PendingConnection> started = new ArrayList<>();
     synchronized (this) {
-      int wanted = Math.min(count, maxConnections) - open - openings.size();
-      for (int index = 0; index < wanted; index++) {
-        Opening opening = new Opening(null, clockMillis.getAsLong());
-        openings.add(opening);
-        started.add(opening);
+      int missing = Math.min(count, maxConnections) - openCount - pendingConnections.size();
+      for (int index = 0; index < missing; index++) {
+        PendingConnection pending = new PendingConnection(null, clockMillis.getAsLong());
+        pendingConnections.add(pending);
+        started.add(pending);
       }
     }
-    started.forEach(opening -> connector.connect(address, opening));
+    started.forEach(pending -> connector.connect(address, pending));
   }
 
-  /** Takes back a connection whose attempt ended in perfect order. */
+  /** Takes back a connection that can carry another attempt. */
   public synchronized void release(OriginConnection connection) {
-    connection.idleSince(clockMillis.getAsLong());
+    connection.markIdle(clockMillis.getAsLong());
     idle.addFirst(connection);
   }
 
-  /** Gives a connection back to the pool that opened it. */
+  /** Returns a connection to the pool that opened it. */
   public static void giveBack(OriginConnection connection) {
-    connection.owner().accept(connection);
+    connection.releaseHandler().accept(connection);
   }
 
-  /** Closes connections idle for longer, fails openings that take too long. */
+  /**
+   * Closes connections that have been idle for the given time, and fails connection attempts that
+   * have exceeded the connect timeout.
+   */
   public void expire(long idleMillis) {
     long now = clockMillis.getAsLong();
-    List<OriginConnection> aged = new ArrayList<>();
+    List<OriginConnection> expired = new ArrayList<>();
     synchronized (this) {
       while (!idle.isEmpty() && idle.peekLast().idleSinceMillis() + idleMillis <= now) {
-        aged.add(idle.pollLast());
+        expired.add(idle.pollLast());
       }
     }
-    aged.forEach(OriginConnection::close);
+    expired.forEach(OriginConnection::close);
     giveUpLate();
   }
 
-  /** Gives up connections that have not opened within their time. */
+  /** Fails the connection attempts that have exceeded the connect timeout. */
   public void giveUpLate() {
-    List<Opening> late;
+    List<PendingConnection> overdue;
     synchronized (this) {
-      if (openings.isEmpty()) {
+      if (pendingConnections.isEmpty()) {
         return;
       }
       long now = clockMillis.getAsLong();
-      late = new ArrayList<>();
-      for (Iterator<Opening> each = openings.iterator(); each.hasNext(); ) {
-        Opening opening = each.next();
-        if (opening.startedMillis + connectTimeoutMillis <= now) {
-          each.remove();
-          late.add(opening);
+      overdue = new ArrayList<>();
+      for (Iterator<PendingConnection> iterator = pendingConnections.iterator();
+          iterator.hasNext(); ) {
+        PendingConnection pending = iterator.next();
+        if (pending.startedMillis + connectTimeoutMillis <= now) {
+          iterator.remove();
+          overdue.add(pending);
         }
       }
     }
-    late.forEach(Opening::giveUp);
+    overdue.forEach(PendingConnection::notifyFailed);
   }
 
-  /** Whether nobody has used it for so long, and nothing is open. */
-  public synchronized boolean isDisused(long disusedMillis) {
-    return open == 0
-        && openings.isEmpty()
-        && lastUsedMillis + disusedMillis <= clockMillis.getAsLong();
+  /**
+   * Whether the pool has not been used for the given time, and has no open or pending connections.
+   */
+  public synchronized boolean isUnused(long unusedMillis) {
+    return openCount == 0
+        && pendingConnections.isEmpty()
+        && lastUsedMillis + unusedMillis <= clockMillis.getAsLong();
   }
 
-  /** Open connections, those in use included. */
-  public synchronized int open() {
-    return open;
+  /** Number of open connections, including those in use. */
+  public synchronized int openCount() {
+    return openCount;
   }
 
   private OriginConnection pollIdle() {
@@ -177,18 +189,18 @@
     return connection;
   }
 
-  private synchronized void closed(OriginConnection connection) {
-    open--;
+  private synchronized void onClosed(OriginConnection connection) {
+    openCount--;
     idle.remove(connection);
   }
 
-  /** A connection being opened; its waiter is null if it is opened ahead of need. */
+  /** A connection that is being opened; its waiter is null if it is opened in advance. */
   @SuppressWarnings("rawtypes") // Grizzly's own signature
-  private final class Opening extends EmptyCompletionHandler<Connection> {
+  private final class PendingConnection extends EmptyCompletionHandler<Connection> {
     private final ConnectionWaiter waiter;
     private final long startedMillis;
 
-    Opening(ConnectionWaiter waiter, long startedMillis) {
+    PendingConnection(ConnectionWaiter waiter, long startedMillis) {
       this.waiter = waiter;
       this.startedMillis = startedMillis;
     }
@@ -197,18 +209,18 @@
     public void completed(Connection connection) {
       OriginConnection origin;
       synchronized (ConnectionPool.this) {
-        if (!openings.remove(this)) {
+        if (!pendingConnections.remove(this)) {
           connection.terminateSilently();
           return;
         }
-        open++;
+        openCount++;
         origin =
             new OriginConnection(
-                connection, ConnectionPool.this::release, ConnectionPool.this::closed);
+                connection, ConnectionPool.this::release, ConnectionPool.this::onClosed);
       }
       if (!connection.isOpen()) {
-        // It may have closed before it was wrapped, when nobody listened.
-        origin.closed(false);
+        // It may have closed before it was wrapped, when no handler was registered for its end.
+        origin.onConnectionClosed(false);
       }
       if (waiter == null) {
         release(origin);
@@ -220,11 +232,11 @@
     @Override
     public void failed(Throwable error) {
       synchronized (ConnectionPool.this) {
-        if (!openings.remove(this)) {
+        if (!pendingConnections.remove(this)) {
           return;
         }
       }
-      giveUp();
+      notifyFailed();
     }
 
     @Override
@@ -232,7 +244,7 @@
       failed(new java.util.concurrent.CancellationException());
     }
 
-    private void giveUp() {
+    private void notifyFailed() {
       if (waiter != null) {
         waiter.notConnected(Verdict.Reason.UNREACHABLE);
       }
