--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/BackendCrashDetector.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/BackendCrashDetector.java
@@ -169,7 +169,7 @@
     }
 
     @Override
-    public void connected(OriginConnection connection) {
+    public void onConnected(OriginConnection connection) {
       synchronized (BackendCrashDetector.this) {
         if (suspected == probed) {
           probed.probeConnection = connection;
@@ -180,7 +180,7 @@
     }
 
     @Override
-    public void notConnected(Verdict.Reason reason) {
+    public void onUnavailable(Verdict.Reason reason) {
       if (reason != Verdict.Reason.UNREACHABLE) {
         dismiss(probed);
         return;
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/LivenessAttester.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/LivenessAttester.java
@@ -3,7 +3,7 @@
 import io.umberpath.model.routing.BackendEntry;
 import io.umberpath.model.routing.ServiceDefinition;
 import io.umberpath.node.proxy.backend.HealthProbe;
-import io.umberpath.node.proxy.http.AnswerHead;
+import io.umberpath.node.proxy.http.ResponseHead;
 import io.umberpath.node.proxy.pool.ConnectionPool;
 import java.util.List;
 import java.util.Optional;
@@ -94,11 +94,11 @@
     if (nowMillis < probeSentMillis + PROBE_INTERVAL_MILLIS) {
       return;
     }
-    if (probe != null && probe.isUnderWay()) {
+    if (probe != null && probe.isInProgress()) {
       if (nowMillis < probeSentMillis + PROBE_TIMEOUT_MILLIS) {
         return;
       }
-      probe.giveUp();
+      probe.cancel();
     }
     ServiceDefinition service = view.get().configuration().services().get(lastListed.service());
     if (service == null) {
@@ -115,7 +115,7 @@
     probe.start();
   }
 
-  private synchronized void onProbeResponse(String id, long sentMillis, AnswerHead head) {
+  private synchronized void onProbeResponse(String id, long sentMillis, ResponseHead head) {
     boolean isSameInstance =
         head.field(settings.headers().instance()).filter(id::equals).isPresent();
     boolean isHealthy = head.status() == OK && isSameInstance;
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshInboundHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshInboundHandler.java
@@ -4,8 +4,8 @@
 import io.umberpath.model.Verdict;
 import io.umberpath.model.routing.BackendStart;
 import io.umberpath.node.proxy.SlotGate;
-import io.umberpath.node.proxy.http.AnswerHead;
 import io.umberpath.node.proxy.http.RequestHead;
+import io.umberpath.node.proxy.http.ResponseHead;
 import io.umberpath.node.proxy.inbound.Exchange;
 import io.umberpath.node.proxy.inbound.Headers;
 import io.umberpath.node.proxy.inbound.Refusal;
@@ -366,7 +366,7 @@
   }
 
   @Override
-  public Optional<Refusal> refusalIn(Exchange exchange, AnswerHead head) {
+  public Optional<Refusal> refusalIn(Exchange exchange, ResponseHead head) {
     HeaderNames names = settings.headers();
     speed.recordLoadReport(head.field(names.backendLoad()).orElse(null));
     MeshInboundPlan plan = planOf(exchange);
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshOutboundHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshOutboundHandler.java
@@ -4,9 +4,9 @@
 import io.umberpath.model.Verdict;
 import io.umberpath.model.routing.BackendEntry;
 import io.umberpath.model.routing.RoutingRule;
-import io.umberpath.node.proxy.http.AnswerHead;
 import io.umberpath.node.proxy.http.ProxyHeaders;
 import io.umberpath.node.proxy.http.RequestHead;
+import io.umberpath.node.proxy.http.ResponseHead;
 import io.umberpath.node.proxy.http.VerdictHeader;
 import io.umberpath.node.proxy.inbound.Exchange;
 import io.umberpath.node.proxy.inbound.Headers;
@@ -14,7 +14,7 @@
 import io.umberpath.node.proxy.inbound.RefusalStyle;
 import io.umberpath.node.proxy.inbound.RequestHandler;
 import io.umberpath.node.proxy.inbound.RequestPlan;
-import io.umberpath.node.proxy.origin.OriginManager;
+import io.umberpath.node.proxy.origin.OriginConnectionPools;
 import io.umberpath.node.proxy.stats.ProxyStats;
 import io.umberpath.traffic.routing.CallerPatience;
 import io.umberpath.traffic.routing.GateBalancer;
@@ -44,7 +44,7 @@
 
   private final MeshSettings settings;
   private final Supplier<MeshView> view;
-  private final OriginManager origins;
+  private final OriginConnectionPools origins;
   private final GateBalancer balancer;
   private final PeerExchange peers;
   private final RequestQuarantine quarantine;
@@ -69,7 +69,7 @@
   MeshOutboundHandler(
       MeshSettings settings,
       Supplier<MeshView> view,
-      OriginManager origins,
+      OriginConnectionPools origins,
       GateBalancer balancer,
       PeerExchange peers,
       DoubleSupplier retriedWorkShare,
@@ -329,7 +329,7 @@
   }
 
   @Override
-  public Optional<Refusal> refusalIn(Exchange exchange, AnswerHead head) {
+  public Optional<Refusal> refusalIn(Exchange exchange, ResponseHead head) {
     MeshOutboundPlan plan = planOf(exchange);
     recordBackendLoad(exchange.currentOrigin(), plan.route(), head);
     Optional<String> verdict = head.field(ProxyHeaders.VERDICT);
@@ -354,7 +354,7 @@
     return isUnreadable ? new Verdict.NotRun(Verdict.Reason.UNREADABLE) : verdict;
   }
 
-  private void recordBackendLoad(String backend, String route, AnswerHead head) {
+  private void recordBackendLoad(String backend, String route, ResponseHead head) {
     GateLoad load = head.field(MeshInboundHandler.LOAD_HEADER).map(GateLoad::decode).orElse(null);
     if (head.field(MeshInboundHandler.NESTED_HEADER).isPresent()) {
       retryPolicy.addNestedRoute(route);
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshProxy.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshProxy.java
@@ -9,7 +9,7 @@
 import io.umberpath.node.proxy.inbound.ExchangeEnvironment;
 import io.umberpath.node.proxy.inbound.InboundFilter;
 import io.umberpath.node.proxy.origin.AttemptLog;
-import io.umberpath.node.proxy.origin.OriginManager;
+import io.umberpath.node.proxy.origin.OriginConnectionPools;
 import io.umberpath.node.proxy.pool.ConnectionPool;
 import io.umberpath.traffic.AdmissionControllers;
 import io.umberpath.traffic.AdmissionSettings;
@@ -40,7 +40,7 @@
   private final MeshSettings settings;
   private final Supplier<MeshView> view;
   private final ProxyTransport transport;
-  private final OriginManager origins;
+  private final OriginConnectionPools origins;
   private final ConnectionPool backendPool;
   private final ActiveExchanges active = new ActiveExchanges();
   private final MeshOutboundHandler outbound;
@@ -68,10 +68,10 @@
     this.transport =
         new ProxyTransport(
             MAX_HEADER_BYTES,
-            ConnectionPool::giveBack,
+            ConnectionPool::returnToPool,
             1,
             new EventLoopDelayListener(metrics, events));
-    this.origins = new OriginManager(transport, clockMillis, CONNECT_TIMEOUT_MILLIS);
+    this.origins = new OriginConnectionPools(transport, clockMillis, CONNECT_TIMEOUT_MILLIS);
     this.backendPool =
         new ConnectionPool(
             settings.backend(),
@@ -237,7 +237,7 @@
   private void sweepNow() {
     inbound.observe();
     backendPool.expire(IDLE_BACKEND_MILLIS);
-    origins.giveUpLate();
+    origins.failOverdueConnects();
   }
 
   /** Closes idle connections to other nodes and to the backend. */
@@ -268,7 +268,7 @@
 
   /** Returns the number of open connections to other nodes. */
   int openConnectionsToNodes() {
-    return origins.open();
+    return origins.openCount();
   }
 
   /**
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/EdgeHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/EdgeHandler.java
@@ -9,9 +9,9 @@
 import io.umberpath.model.Tier;
 import io.umberpath.model.Verdict;
 import io.umberpath.node.control.ControlService;
-import io.umberpath.node.proxy.http.AnswerHead;
 import io.umberpath.node.proxy.http.ProxyHeaders;
 import io.umberpath.node.proxy.http.RequestHead;
+import io.umberpath.node.proxy.http.ResponseHead;
 import io.umberpath.node.proxy.http.VerdictHeader;
 import io.umberpath.node.proxy.inbound.Exchange;
 import io.umberpath.node.proxy.inbound.Headers;
@@ -19,7 +19,7 @@
 import io.umberpath.node.proxy.inbound.Refusal;
 import io.umberpath.node.proxy.inbound.RequestHandler;
 import io.umberpath.node.proxy.inbound.RequestPlan;
-import io.umberpath.node.proxy.origin.OriginManager;
+import io.umberpath.node.proxy.origin.OriginConnectionPools;
 import io.umberpath.node.proxy.stats.ProxyStats;
 import io.umberpath.traffic.ChainBudget;
 import io.umberpath.traffic.LoadBalancer;
@@ -44,7 +44,7 @@
   private record CachedTable(ProxySnapshot snapshot, RouteTable table) {}
 
   private final ControlService control;
-  private final OriginManager origins;
+  private final OriginConnectionPools origins;
   private final LoadBalancer balancer;
   private final Map<Tier, RetryPolicy> retryPolicies;
   private final LongSupplier clockMillis;
@@ -56,7 +56,7 @@
 
   EdgeHandler(
       ControlService control,
-      OriginManager origins,
+      OriginConnectionPools origins,
       LoadBalancer balancer,
       Map<Tier, RetryPolicy> retryPolicies,
       LongSupplier clockMillis) {
@@ -207,7 +207,7 @@
   public void addHeaders(Exchange exchange, HttpRequestPacket outgoing, long nowMillis) {
     PoolRequestPlan plan = planOf(exchange);
     long remainingMillis = plan.deadlineMillis() - nowMillis;
-    set(outgoing, ProxyHeaders.DEADLINE, Long.toString(remainingMillis));
+    set(outgoing, ProxyHeaders.DEADLINE_MILLIS, Long.toString(remainingMillis));
     Headers.addUnread(exchange, outgoing);
     set(outgoing, ProxyHeaders.REQUEST_ID, attemptId(exchange));
     set(outgoing, ProxyHeaders.ATTEMPT, Integer.toString(exchange.history().count()));
@@ -231,7 +231,7 @@
   }
 
   @Override
-  public Optional<Refusal> refusalIn(Exchange exchange, AnswerHead head) {
+  public Optional<Refusal> refusalIn(Exchange exchange, ResponseHead head) {
     if (head.field(ProxyHeaders.REQUEST_ID).filter(attemptId(exchange)::equals).isEmpty()) {
       return Optional.of(Refusal.mayHaveRun(Verdict.Reason.BAD_ANSWER));
     }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/HopHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/HopHandler.java
@@ -4,9 +4,9 @@
 import io.umberpath.model.Tier;
 import io.umberpath.model.Verdict;
 import io.umberpath.node.proxy.backend.BackendStatus;
-import io.umberpath.node.proxy.http.AnswerHead;
 import io.umberpath.node.proxy.http.ProxyHeaders;
 import io.umberpath.node.proxy.http.RequestHead;
+import io.umberpath.node.proxy.http.ResponseHead;
 import io.umberpath.node.proxy.inbound.Exchange;
 import io.umberpath.node.proxy.inbound.Headers;
 import io.umberpath.node.proxy.inbound.PoolRequestPlan;
@@ -56,7 +56,7 @@
 
   /** Refuses new and queued requests from now on. */
   void drain() {
-    backendStatus.nodeDrains();
+    backendStatus.setNodeDraining();
     gate.drain();
   }
 
@@ -114,7 +114,7 @@
       exchange.refuse(Refusal.notRun(Verdict.Reason.DRAINING));
       return;
     }
-    long sheddingMillis = backendStatus.sheddingMillis(clockMillis.getAsLong());
+    long sheddingMillis = backendStatus.remainingSheddingMillis(clockMillis.getAsLong());
     if (sheddingMillis > 0) {
       Verdict verdict = new Verdict.NotRun(Verdict.Reason.OVERLOADED);
       exchange.refuse(new Refusal(verdict, sheddingMillis));
@@ -130,7 +130,10 @@
   public void addHeaders(Exchange exchange, HttpRequestPacket outgoing, long nowMillis) {
     PoolRequestPlan plan = planOf(exchange);
     long remainingMillis = plan.deadlineMillis() - nowMillis;
-    outgoing.getHeaders().addValue(ProxyHeaders.DEADLINE).setString(Long.toString(remainingMillis));
+    outgoing
+        .getHeaders()
+        .addValue(ProxyHeaders.DEADLINE_MILLIS)
+        .setString(Long.toString(remainingMillis));
     outgoing.getHeaders().addValue(ProxyHeaders.REQUEST_ID).setString(plan.requestId());
     outgoing.getHeaders().addValue(ChainBudget.HEADER).setString(plan.chain().encode());
   }
@@ -141,7 +144,7 @@
   }
 
   @Override
-  public Optional<Refusal> refusalIn(Exchange exchange, AnswerHead head) {
+  public Optional<Refusal> refusalIn(Exchange exchange, ResponseHead head) {
     Optional<String> echoedId = head.field(ProxyHeaders.REQUEST_ID);
     if (echoedId.isPresent() && !echoedId.get().equals(planOf(exchange).requestId())) {
       return Optional.of(Refusal.mayHaveRun(Verdict.Reason.BAD_ANSWER));
@@ -152,7 +155,7 @@
         head.field(Header.RetryAfter.toString())
             .flatMap(Headers::number)
             .map(seconds -> seconds * MILLIS_PER_SECOND);
-    backendStatus.answered(head.status(), isDraining, retryAfterMillis, clockMillis.getAsLong());
+    backendStatus.onResponse(head.status(), isDraining, retryAfterMillis, clockMillis.getAsLong());
     return Optional.empty();
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/Listener.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/Listener.java
@@ -1,7 +1,7 @@
 package io.umberpath.node.proxy;
 
 import io.umberpath.node.proxy.inbound.InboundFilter;
-import io.umberpath.node.proxy.origin.OwnTurn;
+import io.umberpath.node.proxy.origin.SelectorTasks;
 import java.net.InetSocketAddress;
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.glassfish.grizzly.nio.transport.TCPNIOServerConnection;
@@ -36,7 +36,9 @@
   }
 
   private void checkAfterRound(long acceptedBefore, int roundsLeft) {
-    OwnTurn.run(server, () -> OwnTurn.run(server, () -> closeOrRepeat(acceptedBefore, roundsLeft)));
+    SelectorTasks.runDeferred(
+        server,
+        () -> SelectorTasks.runDeferred(server, () -> closeOrRepeat(acceptedBefore, roundsLeft)));
   }
 
   private void closeOrRepeat(long acceptedBefore, int roundsLeft) {
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/ProxyServer.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/ProxyServer.java
@@ -12,7 +12,7 @@
 import io.umberpath.node.proxy.inbound.ExchangeEnvironment;
 import io.umberpath.node.proxy.inbound.InboundFilter;
 import io.umberpath.node.proxy.origin.AttemptLog;
-import io.umberpath.node.proxy.origin.OriginManager;
+import io.umberpath.node.proxy.origin.OriginConnectionPools;
 import io.umberpath.node.proxy.pool.ConnectionPool;
 import io.umberpath.node.proxy.stats.ProxyStats;
 import io.umberpath.node.settings.NodeSettings;
@@ -56,7 +56,7 @@
   private final NodeSettings.Proxy settings;
   private final LongSupplier clockMillis;
   private final ProxyTransport transport;
-  private final OriginManager origins;
+  private final OriginConnectionPools origins;
   private final ActiveExchanges activeExchanges = new ActiveExchanges();
   private final ExchangeEnvironment environment;
   private final EdgeHandler edge;
@@ -88,8 +88,8 @@
       LongSupplier clockMillis) {
     this.settings = settings;
     this.clockMillis = clockMillis;
-    this.transport = new ProxyTransport(settings.maxHeaderBytes(), ConnectionPool::giveBack);
-    this.origins = new OriginManager(transport, clockMillis);
+    this.transport = new ProxyTransport(settings.maxHeaderBytes(), ConnectionPool::returnToPool);
+    this.origins = new OriginConnectionPools(transport, clockMillis);
     this.environment =
         new ExchangeEnvironment(
             clockMillis,
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/backend/BackendMonitor.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/backend/BackendMonitor.java
@@ -3,7 +3,7 @@
 import io.umberpath.model.ObservedBackend;
 import io.umberpath.model.ObservedBackend.Phase;
 import io.umberpath.node.control.ControlService;
-import io.umberpath.node.proxy.http.AnswerHead;
+import io.umberpath.node.proxy.http.ResponseHead;
 import io.umberpath.node.proxy.pool.ConnectionPool;
 import io.umberpath.node.settings.NodeSettings;
 import java.util.function.IntSupplier;
@@ -68,11 +68,11 @@
   private void probe(long nowMillis) {
     long timeoutMillis = Math.max(MIN_PROBE_TIMEOUT_MILLIS, backend.probeMillis());
     boolean isWithinTimeout = probe != null && nowMillis - probeStartMillis < timeoutMillis;
-    if (probe != null && probe.isUnderWay()) {
+    if (probe != null && probe.isInProgress()) {
       if (isWithinTimeout) {
         return;
       }
-      if (probe.giveUp()) {
+      if (probe.cancel()) {
         status.onProbeFailure();
       }
     }
@@ -81,7 +81,7 @@
     probe.start();
   }
 
-  private void onProbeResponse(AnswerHead head, String body) {
+  private void onProbeResponse(ResponseHead head, String body) {
     status.onProbeResponse(HealthReport.of(head, body), clockMillis.getAsLong());
     if (status.phase() == Phase.READY) {
       pool.preconnect(backend.slots());
@@ -91,7 +91,7 @@
   private void publish(long nowMillis) {
     Phase phase = status.phase();
     int load = loadPercent.getAsInt();
-    if (status.sheddingMillis(nowMillis) > 0) {
+    if (status.remainingSheddingMillis(nowMillis) > 0) {
       load = Math.max(load, FULL_LOAD_PERCENT);
     }
     load = load / LOAD_STEP_PERCENT * LOAD_STEP_PERCENT;
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/backend/BackendStatus.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/backend/BackendStatus.java
@@ -30,17 +30,17 @@
    * Remaining time for which the backend asked to receive no requests, milliseconds; 0 if it is not
    * shedding load.
    */
-  public synchronized long sheddingMillis(long nowMillis) {
+  public synchronized long remainingSheddingMillis(long nowMillis) {
     return shedding ? Math.max(0, sheddingUntilMillis - nowMillis) : 0;
   }
 
   /** Marks this node as draining, whatever phase the backend reports. */
-  public synchronized void nodeDrains() {
+  public synchronized void setNodeDraining() {
     nodeDraining = true;
   }
 
   /** Records the response to a request. */
-  public synchronized void answered(
+  public synchronized void onResponse(
       int status, boolean draining, java.util.Optional<Long> retryAfterMillis, long nowMillis) {
     HealthReport report = new HealthReport(status, draining, retryAfterMillis, "");
     if (draining) {
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/backend/HealthProbe.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/backend/HealthProbe.java
@@ -1,10 +1,10 @@
 package io.umberpath.node.proxy.backend;
 
 import io.umberpath.model.Verdict;
-import io.umberpath.node.proxy.http.AnswerHead;
-import io.umberpath.node.proxy.origin.AnswerListener;
-import io.umberpath.node.proxy.origin.AnswerPart;
+import io.umberpath.node.proxy.http.ResponseHead;
 import io.umberpath.node.proxy.origin.OriginConnection;
+import io.umberpath.node.proxy.origin.ResponseListener;
+import io.umberpath.node.proxy.origin.ResponsePart;
 import io.umberpath.node.proxy.pool.ConnectionPool;
 import io.umberpath.node.proxy.pool.ConnectionWaiter;
 import java.nio.charset.StandardCharsets;
@@ -16,12 +16,12 @@
 import org.glassfish.grizzly.http.util.Header;
 
 /** One {@code GET} request for a backend's health path. Thread-safe. */
-public final class HealthProbe implements ConnectionWaiter, AnswerListener {
+public final class HealthProbe implements ConnectionWaiter, ResponseListener {
   private static final int MAX_BODY_CHARACTERS = 4_096;
 
   private final ConnectionPool pool;
   private final String path;
-  private final BiConsumer<AnswerHead, String> onResponse;
+  private final BiConsumer<ResponseHead, String> onResponse;
   private final Runnable onFailure;
   private final StringBuilder body = new StringBuilder();
   private OriginConnection connection;
@@ -38,7 +38,7 @@
   public HealthProbe(
       ConnectionPool pool,
       String path,
-      BiConsumer<AnswerHead, String> onResponse,
+      BiConsumer<ResponseHead, String> onResponse,
       Runnable onFailure) {
     this.pool = pool;
     this.path = path;
@@ -54,12 +54,12 @@
   }
 
   /** Whether the probe has neither finished nor been cancelled. */
-  public synchronized boolean isUnderWay() {
+  public synchronized boolean isInProgress() {
     return !finished;
   }
 
   /** Cancels the probe; returns whether it was still in progress. */
-  public boolean giveUp() {
+  public boolean cancel() {
     OriginConnection currentConnection;
     synchronized (this) {
       if (finished) {
@@ -75,11 +75,11 @@
   }
 
   @Override
-  public void connected(OriginConnection opened) {
+  public void onConnected(OriginConnection opened) {
     synchronized (this) {
       if (!finished) {
         connection = opened;
-        opened.begin(this);
+        opened.beginAttempt(this);
         opened.write(request(), true);
         return;
       }
@@ -97,12 +97,12 @@
   }
 
   @Override
-  public void notConnected(Verdict.Reason reason) {
+  public void onUnavailable(Verdict.Reason reason) {
     fail();
   }
 
   @Override
-  public void onBroken(Verdict.Reason reason) {
+  public void onFailure(Verdict.Reason reason) {
     fail();
   }
 
@@ -117,12 +117,12 @@
   }
 
   @Override
-  public void onInterim(byte[] head) {
+  public void onInterimResponse(byte[] head) {
     // Only the final response matters.
   }
 
   @Override
-  public boolean onAnswerPart(AnswerPart part) {
+  public boolean onResponsePart(ResponsePart part) {
     synchronized (this) {
       append(part.content());
       if (finished || !part.last()) {
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/backend/HealthReport.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/backend/HealthReport.java
@@ -1,8 +1,8 @@
 package io.umberpath.node.proxy.backend;
 
 import io.umberpath.model.ObservedBackend.Phase;
-import io.umberpath.node.proxy.http.AnswerHead;
 import io.umberpath.node.proxy.http.ProxyHeaders;
+import io.umberpath.node.proxy.http.ResponseHead;
 import io.umberpath.node.proxy.inbound.Headers;
 import java.util.Locale;
 import java.util.Optional;
@@ -24,7 +24,7 @@
   private static final int SERVICE_UNAVAILABLE = 503;
 
   /** Extracts the report from a response. */
-  static HealthReport of(AnswerHead head, String body) {
+  static HealthReport of(ResponseHead head, String body) {
     return new HealthReport(
         head.status(),
         head.field(ProxyHeaders.DRAINING).filter("true"::equalsIgnoreCase).isPresent(),
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/http/ClientCodecFilter.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/http/ClientCodecFilter.java
@@ -136,7 +136,7 @@
   protected boolean onHttpHeaderParsed(
       HttpHeader header, Buffer buffer, FilterChainContext context) {
     boolean isComplete = super.onHttpHeaderParsed(header, buffer, context);
-    AnswerHead.detach((HttpResponsePacket) header);
+    ResponseHead.detach((HttpResponsePacket) header);
     return isComplete;
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/http/PendingAnswers.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/http/PendingResponses.java
@@ -8,18 +8,18 @@
  * Queue of the responses that are still to be written on a client's connection. The codec uses it
  * to order the error responses that it sends itself.
  */
-public interface PendingAnswers {
+public interface PendingResponses {
   /** Attribute that holds the queue of a connection. */
-  Attribute<PendingAnswers> ATTRIBUTE =
+  Attribute<PendingResponses> ATTRIBUTE =
       AttributeBuilder.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("umberpath.pendingResponses");
 
   /** Attaches the queue to a connection. */
-  static void attach(Connection<?> connection, PendingAnswers pending) {
+  static void attach(Connection<?> connection, PendingResponses pending) {
     ATTRIBUTE.set(connection, pending);
   }
 
   /** Returns the queue of a connection; null if none is attached. */
-  static PendingAnswers of(Connection<?> connection) {
+  static PendingResponses of(Connection<?> connection) {
     return ATTRIBUTE.get(connection);
   }
 
@@ -29,11 +29,11 @@
   boolean isEnded();
 
   /** Tells whether the codec holds received bytes after the message that it passed on. */
-  void keepsUndecoded(boolean hasUndecodedBytes);
+  void setHasUndecodedBytes(boolean hasUndecodedBytes);
 
   /** Reports bytes that were received after the end and discarded. */
-  void dropped(int bytes);
+  void onBytesDiscarded(int bytes);
 
   /** Writes a response after all pending ones, and then closes the connection. */
-  void writeLast(Object message);
+  void writeFinalResponse(Object message);
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/http/ProxyHeaders.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/http/ProxyHeaders.java
@@ -9,13 +9,13 @@
   public static final String VERDICT = "Umberpath-Verdict";
 
   /** Request: milliseconds left until the client's deadline. */
-  public static final String DEADLINE = "Umberpath-Deadline-Ms";
+  public static final String DEADLINE_MILLIS = "Umberpath-Deadline-Ms";
 
   /**
    * Request between nodes: milliseconds for which it may have waited unread at the previous nodes.
    * They count against its deadline, although the client may have sent it later.
    */
-  public static final String UNREAD = "Umberpath-Unread-Ms";
+  public static final String UNREAD_MILLIS = "Umberpath-Unread-Ms";
 
   /**
    * Request to a node or backend, echoed in a node's response: identifies one attempt of one
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/http/AnswerHead.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/http/ResponseHead.java
@@ -10,22 +10,22 @@
  *
  * @param reason the reason phrase, if it differs from the standard phrase of the status
  */
-public record AnswerHead(
+public record ResponseHead(
     int status, Optional<String> reason, HeaderFields fields, long contentLength, boolean isChunked)
     implements MessageHead {
 
-  private static final Attribute<AnswerHead> ATTRIBUTE =
+  private static final Attribute<ResponseHead> ATTRIBUTE =
       AttributeBuilder.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("umberpath.responseHead");
 
   /**
    * Copies the head of a newly decoded response, so that the packet no longer refers to the codec's
    * buffer.
    */
-  static AnswerHead detach(HttpResponsePacket packet) {
+  static ResponseHead detach(HttpResponsePacket packet) {
     Optional<String> reason =
         packet.isCustomReasonPhraseSet() ? Optional.of(packet.getReasonPhrase()) : Optional.empty();
-    AnswerHead head =
-        new AnswerHead(
+    ResponseHead head =
+        new ResponseHead(
             packet.getStatus(),
             reason,
             HeaderFields.detach(packet.getHeaders()),
@@ -37,8 +37,8 @@
   }
 
   /** Returns the head of a decoded response. */
-  public static AnswerHead of(HttpResponsePacket packet) {
-    AnswerHead head = ATTRIBUTE.get(packet);
+  public static ResponseHead of(HttpResponsePacket packet) {
+    ResponseHead head = ATTRIBUTE.get(packet);
     return head == null ? detach(packet) : head;
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/http/ServerCodecFilter.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/http/ServerCodecFilter.java
@@ -55,17 +55,17 @@
 
   @Override
   public NextAction handleRead(FilterChainContext context) throws IOException {
-    PendingAnswers pending = PendingAnswers.of(context.getConnection());
+    PendingResponses pending = PendingResponses.of(context.getConnection());
     if (pending != null && pending.isEnded()) {
       Buffer discarded = context.getMessage();
-      pending.dropped(discarded.remaining());
+      pending.onBytesDiscarded(discarded.remaining());
       discarded.tryDispose();
       return context.getStopAction();
     }
     NextAction action = super.handleRead(context);
     if (pending != null) {
       // An action that carries undecoded bytes is neither of the two shared instances.
-      pending.keepsUndecoded(
+      pending.setHasUndecodedBytes(
           action != context.getInvokeAction() && action != context.getStopAction());
     }
     return action;
@@ -121,11 +121,11 @@
     header.setProtocol(Protocol.HTTP_1_1);
     HttpResponsePacket response = responseOf(header);
     response.setStatus(reasonOf(error).status());
-    PendingAnswers pending = PendingAnswers.of(context.getConnection());
+    PendingResponses pending = PendingResponses.of(context.getConnection());
     if (pending == null) {
       super.onHttpHeaderError(header, context, error);
     } else {
-      pending.writeLast(customizeErrorResponse(response));
+      pending.writeFinalResponse(customizeErrorResponse(response));
     }
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/Attempt.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/Attempt.java
@@ -1,11 +1,11 @@
 package io.umberpath.node.proxy.inbound;
 
 import io.umberpath.model.Verdict;
-import io.umberpath.node.proxy.origin.AnswerListener;
-import io.umberpath.node.proxy.origin.AnswerPart;
 import io.umberpath.node.proxy.origin.OriginConnection;
 import io.umberpath.node.proxy.origin.RequestAttempt;
-import io.umberpath.node.proxy.origin.ShortAnswer;
+import io.umberpath.node.proxy.origin.ResponseListener;
+import io.umberpath.node.proxy.origin.ResponsePart;
+import io.umberpath.node.proxy.origin.ShortResponseBuffer;
 import io.umberpath.node.proxy.pool.ConnectionPool;
 import io.umberpath.node.proxy.pool.ConnectionWaiter;
 import java.util.Optional;
@@ -15,7 +15,7 @@
  * One attempt to have an exchange's request served by an origin. Reports its events to the
  * exchange, which ignores them once the attempt is over. Guarded by the exchange's lock.
  */
-final class Attempt implements ConnectionWaiter, AnswerListener {
+final class Attempt implements ConnectionWaiter, ResponseListener {
   private static final long NANOS_PER_MICRO = 1_000;
 
   private final Exchange exchange;
@@ -24,7 +24,7 @@
   private final String originId;
   private final int number;
   private final long startNanos = System.nanoTime();
-  private final ShortAnswer shortAnswer = new ShortAnswer();
+  private final ShortResponseBuffer shortAnswer = new ShortResponseBuffer();
   private OriginConnection origin;
 
   /**
@@ -54,17 +54,17 @@
   }
 
   @Override
-  public void connected(OriginConnection connection) {
+  public void onConnected(OriginConnection connection) {
     connection.runOrDefer(() -> RequestGuard.guard(exchange, () -> sendOn(connection)));
   }
 
   private boolean sendOn(OriginConnection connection) {
     if (connection.isIdle()) {
       sendOnOpen(connection);
-    } else if (connection.hasRested()) {
+    } else if (connection.hasBeenIdle()) {
       begin();
     } else {
-      notConnected(Verdict.Reason.UNREACHABLE);
+      onUnavailable(Verdict.Reason.UNREACHABLE);
     }
     return true;
   }
@@ -81,12 +81,12 @@
   }
 
   @Override
-  public void notConnected(Verdict.Reason reason) {
+  public void onUnavailable(Verdict.Reason reason) {
     exchange.attemptFailed(this, Refusal.notRun(reason));
   }
 
   @Override
-  public void onBroken(Verdict.Reason reason) {
+  public void onFailure(Verdict.Reason reason) {
     boolean hasSentOnlyHead;
     synchronized (exchange) {
       hasSentOnlyHead = awaitingContinue != null;
@@ -97,12 +97,12 @@
   }
 
   @Override
-  public void onInterim(byte[] head) {
+  public void onInterimResponse(byte[] head) {
     exchange.attemptReceivedInterim(this, head);
   }
 
   @Override
-  public boolean onAnswerPart(AnswerPart part) {
+  public boolean onResponsePart(ResponsePart part) {
     return exchange.attemptReceivedPart(this, part);
   }
 
@@ -126,7 +126,7 @@
    * Sends the prepared head, with the body received so far unless the origin must ask for it first.
    */
   void send(OriginConnection connection, RequestBody body) {
-    connection.begin(this);
+    connection.beginAttempt(this);
     if (needsContinue(body)) {
       awaitingContinue = connection;
       connection.write(outgoing.withExpectContinue(), false);
@@ -159,8 +159,8 @@
   }
 
   /** Takes a part of the response and returns what can be forwarded of the response now. */
-  Optional<AnswerPart> partToForward(AnswerPart part) {
-    return shortAnswer.take(part);
+  Optional<ResponsePart> partToForward(ResponsePart part) {
+    return shortAnswer.add(part);
   }
 
   /** Called when the response is complete: the attempt no longer owns the connection. */
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ClientConnection.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ClientConnection.java
@@ -1,9 +1,9 @@
 package io.umberpath.node.proxy.inbound;
 
-import io.umberpath.node.proxy.http.PendingAnswers;
+import io.umberpath.node.proxy.http.PendingResponses;
 import io.umberpath.node.proxy.loop.ArrivalTime;
 import io.umberpath.node.proxy.origin.OriginConnection;
-import io.umberpath.node.proxy.origin.OwnTurn;
+import io.umberpath.node.proxy.origin.SelectorTasks;
 import io.umberpath.node.proxy.stats.ProxyStats;
 import java.util.List;
 import org.glassfish.grizzly.Connection;
@@ -21,7 +21,7 @@
  * before the connection is closed in order, see {@link ConnectionState}. Thread-safe; its lock may
  * be taken while an exchange's lock is held, never the other way round.
  */
-final class ClientConnection implements PendingAnswers {
+final class ClientConnection implements PendingResponses {
   private static final Attribute<ClientConnection> ATTRIBUTE =
       AttributeBuilder.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("umberpath.callerConnection");
 
@@ -58,7 +58,7 @@
     this.arrivalTime = ArrivalTime.attachTo(connection);
     this.reads = new SuspendedReads(connection, arrivalTime);
     ATTRIBUTE.set(connection, this);
-    PendingAnswers.attach(connection, this);
+    PendingResponses.attach(connection, this);
   }
 
   static ClientConnection of(Connection<?> connection) {
@@ -368,17 +368,17 @@
   }
 
   @Override
-  public synchronized void keepsUndecoded(boolean isKept) {
+  public synchronized void setHasUndecodedBytes(boolean isKept) {
     reads.keepsUndecoded(isKept);
   }
 
   @Override
-  public synchronized void dropped(int bytes) {
+  public synchronized void onBytesDiscarded(int bytes) {
     droppedInput.add(bytes);
   }
 
   @Override
-  public void writeLast(Object message) {
+  public void writeFinalResponse(Object message) {
     synchronized (this) {
       announceLast();
       finalResponse = message;
@@ -442,7 +442,7 @@
    * got no CPU for a while runs its timers before it reads its sockets.
    */
   private void afterReading(Runnable task) {
-    OwnTurn.run(connection, () -> OwnTurn.run(connection, task));
+    SelectorTasks.runDeferred(connection, () -> SelectorTasks.runDeferred(connection, task));
   }
 
   private synchronized boolean isOverdue(long idleMillis, long lingerMillis) {
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/Exchange.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/Exchange.java
@@ -4,8 +4,8 @@
 import io.umberpath.node.proxy.http.HeaderFields;
 import io.umberpath.node.proxy.http.RequestHead;
 import io.umberpath.node.proxy.loop.EventLoop;
-import io.umberpath.node.proxy.origin.AnswerPart;
 import io.umberpath.node.proxy.origin.OriginConnection;
+import io.umberpath.node.proxy.origin.ResponsePart;
 import io.umberpath.node.proxy.pool.ConnectionPool;
 import io.vavr.control.Either;
 import java.util.Optional;
@@ -272,7 +272,7 @@
       }
       mayHaveRun = stage.mayHaveReachedOrigin();
       String route = plan == null ? "" : plan.route();
-      environment.attemptLog().cutOff(UnansweredRequests.idOf(this), route, body.received());
+      environment.attemptLog().logCutOff(UnansweredRequests.idOf(this), route, body.received());
       fail(refusalForStage(Verdict.Reason.DRAINING), false);
     }
     runDeferredActions();
@@ -338,7 +338,7 @@
     attempt = null;
     if (ended != null) {
       ended.abandon();
-      environment.attemptLog().failed(ended.record(refusal.verdict(), body.received()));
+      environment.attemptLog().logFailure(ended.record(refusal.verdict(), body.received()));
       handler.attemptEnded(this, ended.originId(), refusal, ended.elapsedMicros());
     }
     history.failed(refusal);
@@ -452,7 +452,7 @@
   }
 
   /** Takes a part of the response; returns whether to keep reading. */
-  boolean attemptReceivedPart(Attempt current, AnswerPart part) {
+  boolean attemptReceivedPart(Attempt current, ResponsePart part) {
     boolean keepReading;
     synchronized (this) {
       keepReading = attempt != current || takeResponsePart(current, part);
@@ -461,7 +461,7 @@
     return keepReading;
   }
 
-  private boolean takeResponsePart(Attempt current, AnswerPart part) {
+  private boolean takeResponsePart(Attempt current, ResponsePart part) {
     if (part.first()) {
       Optional<Refusal> refusal = handler.refusalIn(this, part.head());
       if (refusal.isPresent()) {
@@ -473,11 +473,11 @@
         return true;
       }
     }
-    Optional<AnswerPart> ready = current.partToForward(part);
+    Optional<ResponsePart> ready = current.partToForward(part);
     return ready.isEmpty() || forwardPart(current, ready.get());
   }
 
-  private boolean forwardPart(Attempt current, AnswerPart part) {
+  private boolean forwardPart(Attempt current, ResponsePart part) {
     progress.onPart(part, environment.nowMillis());
     stage = ExchangeStage.RESPONDING;
     responseWriter.writePart(part, plan);
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/Headers.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/Headers.java
@@ -19,14 +19,14 @@
    *     malformed
    */
   public static Either<String, Optional<Long>> deadlineMillis(MessageHead request) {
-    Optional<String> text = request.field(ProxyHeaders.DEADLINE);
+    Optional<String> text = request.field(ProxyHeaders.DEADLINE_MILLIS);
     if (text.isEmpty()) {
       return Either.right(Optional.empty());
     }
     Optional<Long> number = number(text.get());
     return number.isPresent()
         ? Either.right(number)
-        : Either.left(ProxyHeaders.DEADLINE + " is not a number of milliseconds");
+        : Either.left(ProxyHeaders.DEADLINE_MILLIS + " is not a number of milliseconds");
   }
 
   /**
@@ -34,7 +34,7 @@
    * given.
    */
   public static long unreadMillis(MessageHead request) {
-    return request.field(ProxyHeaders.UNREAD).flatMap(Headers::number).orElse(0L);
+    return request.field(ProxyHeaders.UNREAD_MILLIS).flatMap(Headers::number).orElse(0L);
   }
 
   /**
@@ -44,7 +44,10 @@
   public static void addUnread(Exchange exchange, HttpRequestPacket outgoing) {
     long unreadMillis = exchange.age().unreadMillis();
     if (unreadMillis > 0) {
-      outgoing.getHeaders().setValue(ProxyHeaders.UNREAD).setString(Long.toString(unreadMillis));
+      outgoing
+          .getHeaders()
+          .setValue(ProxyHeaders.UNREAD_MILLIS)
+          .setString(Long.toString(unreadMillis));
     }
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/InboundFilter.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/InboundFilter.java
@@ -1,6 +1,6 @@
 package io.umberpath.node.proxy.inbound;
 
-import io.umberpath.node.proxy.origin.OwnTurn;
+import io.umberpath.node.proxy.origin.SelectorTasks;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.LongAdder;
@@ -98,7 +98,7 @@
     ClientConnection client = ClientConnection.of(context.getConnection());
     if (client != null) {
       connections.remove(client);
-      OwnTurn.run(context.getConnection(), client::onClosed);
+      SelectorTasks.runDeferred(context.getConnection(), client::onClosed);
     }
     return context.getStopAction();
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/RequestHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/RequestHandler.java
@@ -1,8 +1,8 @@
 package io.umberpath.node.proxy.inbound;
 
 import io.umberpath.model.Verdict;
-import io.umberpath.node.proxy.http.AnswerHead;
 import io.umberpath.node.proxy.http.RequestHead;
+import io.umberpath.node.proxy.http.ResponseHead;
 import io.umberpath.node.proxy.stats.ProxyStats;
 import io.vavr.control.Either;
 import java.util.Optional;
@@ -73,7 +73,7 @@
   default void addAnswerHeaders(RequestPlan plan, HttpResponsePacket answer) {}
 
   /** Checks the head of a response; returns a refusal if another node refused the request. */
-  Optional<Refusal> refusalIn(Exchange exchange, AnswerHead head);
+  Optional<Refusal> refusalIn(Exchange exchange, ResponseHead head);
 
   /**
    * Called once per attempt that {@link Exchange#sendTo} started, when it has ended.
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ResponseProgress.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ResponseProgress.java
@@ -1,6 +1,6 @@
 package io.umberpath.node.proxy.inbound;
 
-import io.umberpath.node.proxy.origin.AnswerPart;
+import io.umberpath.node.proxy.origin.ResponsePart;
 
 /** Tracks how much of an exchange's response has been forwarded. Guarded by the exchange's lock. */
 final class ResponseProgress {
@@ -11,7 +11,7 @@
   private long lastPartMillis;
 
   /** Called before a part of the response is forwarded. */
-  void onPart(AnswerPart part, long nowMillis) {
+  void onPart(ResponsePart part, long nowMillis) {
     lastPartMillis = nowMillis;
     if (part.first()) {
       status = part.head().status();
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ResponseWriter.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ResponseWriter.java
@@ -1,14 +1,14 @@
 package io.umberpath.node.proxy.inbound;
 
 import io.umberpath.model.Verdict;
-import io.umberpath.node.proxy.http.AnswerHead;
 import io.umberpath.node.proxy.http.BufferBytes;
 import io.umberpath.node.proxy.http.ChunkedEncoder;
 import io.umberpath.node.proxy.http.HeaderCopier;
 import io.umberpath.node.proxy.http.HeaderFields;
 import io.umberpath.node.proxy.http.ProxyHeaders;
+import io.umberpath.node.proxy.http.ResponseHead;
 import io.umberpath.node.proxy.http.VerdictHeader;
-import io.umberpath.node.proxy.origin.AnswerPart;
+import io.umberpath.node.proxy.origin.ResponsePart;
 import io.umberpath.traffic.ChainBudget;
 import java.nio.charset.StandardCharsets;
 import java.util.Set;
@@ -61,7 +61,7 @@
   }
 
   /** Writes a part of an origin's response. */
-  void writePart(AnswerPart part, RequestPlan plan) {
+  void writePart(ResponsePart part, RequestPlan plan) {
     if (part.first()) {
       if (part.last()) {
         endConnectionIfDraining();
@@ -80,7 +80,7 @@
     }
   }
 
-  private void writeHead(AnswerHead head) {
+  private void writeHead(ResponseHead head) {
     response.setStatus(head.status());
     head.reason().ifPresent(response::setReasonPhrase);
     HeaderCopier.copy(head.fields(), response, Set.of());
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/AttemptLog.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/AttemptLog.java
@@ -11,11 +11,11 @@
   public static final AttemptLog CUT_OFF_ONLY =
       new AttemptLog() {
         @Override
-        public void failed(RequestAttempt attempt) {}
+        public void logFailure(RequestAttempt attempt) {}
       };
 
   /** Logs an attempt that ended without a complete response. */
-  public void failed(RequestAttempt attempt) {
+  public void logFailure(RequestAttempt attempt) {
     logger.atInfo().log(
         "attempt failed: request=%s attempt=%d route=%s origin=%s verdict=\"%s\""
             + " requestBytes=%d micros=%d",
@@ -29,7 +29,7 @@
   }
 
   /** Logs a request that was cut off because the drain timeout of a graceful shutdown expired. */
-  public void cutOff(String requestId, String route, long requestBytes) {
+  public void logCutOff(String requestId, String route, long requestBytes) {
     logger.atWarning().log(
         "drain bound cut a request off: request=%s route=%s requestBytes=%d",
         requestId, route, requestBytes);
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/OriginConnection.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/OriginConnection.java
@@ -1,8 +1,8 @@
 package io.umberpath.node.proxy.origin;
 
 import io.umberpath.model.Verdict;
-import io.umberpath.node.proxy.http.AnswerHead;
 import io.umberpath.node.proxy.http.HeaderFields;
+import io.umberpath.node.proxy.http.ResponseHead;
 import io.umberpath.node.proxy.loop.EventLoop;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
@@ -35,10 +35,10 @@
   private final Consumer<OriginConnection> onClosed;
   private final AtomicBoolean closeHandled = new AtomicBoolean();
   private volatile Stage stage = Stage.IDLE;
-  private volatile AnswerListener listener;
+  private volatile ResponseListener listener;
   private volatile boolean requestComplete;
   private volatile boolean reusableAfterResponse;
-  private volatile AnswerHead closeDelimitedHead;
+  private volatile ResponseHead closeDelimitedHead;
   private volatile long idleSinceMillis;
   private volatile boolean hasBeenIdle;
 
@@ -80,12 +80,12 @@
     if (EventLoop.isSelectorThread()) {
       EventLoop.runOrDefer(work);
     } else {
-      OwnTurn.run(connection, () -> EventLoop.runOrDefer(work));
+      SelectorTasks.runDeferred(connection, () -> EventLoop.runOrDefer(work));
     }
   }
 
   /** Begins an attempt whose response events go to the listener. */
-  public synchronized void begin(AnswerListener newListener) {
+  public synchronized void beginAttempt(ResponseListener newListener) {
     listener = newListener;
     requestComplete = false;
     reusableAfterResponse = false;
@@ -138,7 +138,7 @@
   /**
    * Whether the connection has ever been idle; the peer may close an idle connection at any time.
    */
-  public boolean hasRested() {
+  public boolean hasBeenIdle() {
     return hasBeenIdle;
   }
 
@@ -160,7 +160,7 @@
   }
 
   /** Listener of the attempt in flight; null if there is none. */
-  public AnswerListener listener() {
+  public ResponseListener listener() {
     return listener;
   }
 
@@ -177,7 +177,7 @@
   }
 
   void fail(Verdict.Reason reason) {
-    AnswerListener current;
+    ResponseListener current;
     synchronized (this) {
       current = listener;
       listener = null;
@@ -185,7 +185,7 @@
     }
     connection.terminateSilently();
     if (current != null) {
-      current.onBroken(reason);
+      current.onFailure(reason);
     }
   }
 
@@ -193,7 +193,7 @@
    * Marks the response as delimited by the end of the connection: it is complete if the peer closes
    * in an orderly way.
    */
-  void setCloseDelimitedHead(AnswerHead head) {
+  void setCloseDelimitedHead(ResponseHead head) {
     closeDelimitedHead = head;
   }
 
@@ -209,16 +209,16 @@
       return;
     }
     onClosed.accept(this);
-    OwnTurn.run(connection, () -> endAttempt(isOrderly));
+    SelectorTasks.runDeferred(connection, () -> endAttempt(isOrderly));
   }
 
   private void endAttempt(boolean isOrderly) {
-    AnswerHead head = closeDelimitedHead;
-    AnswerListener current = listener;
+    ResponseHead head = closeDelimitedHead;
+    ResponseListener current = listener;
     if (head != null && current != null && isOrderly) {
       completeResponse(false);
-      current.onAnswerPart(
-          new AnswerPart(head, false, Buffers.EMPTY_BUFFER, true, HeaderFields.NONE));
+      current.onResponsePart(
+          new ResponsePart(head, false, Buffers.EMPTY_BUFFER, true, HeaderFields.NONE));
     } else {
       fail(Verdict.Reason.CONNECTION_LOST);
     }
@@ -227,7 +227,7 @@
   private final class WriteFailure<M, L> extends EmptyCompletionHandler<WriteResult<M, L>> {
     @Override
     public void failed(Throwable error) {
-      OwnTurn.run(connection, () -> fail(Verdict.Reason.CONNECTION_LOST));
+      SelectorTasks.runDeferred(connection, () -> fail(Verdict.Reason.CONNECTION_LOST));
     }
   }
 
@@ -240,7 +240,7 @@
 
     @Override
     public void onError(Throwable error) {
-      OwnTurn.run(connection, action);
+      SelectorTasks.runDeferred(connection, action);
     }
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/OriginManager.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/OriginConnectionPools.java
@@ -8,7 +8,7 @@
 import java.util.function.LongSupplier;
 
 /** Connection pools for other nodes, one per address; unused pools are removed. Thread-safe. */
-public final class OriginManager {
+public final class OriginConnectionPools {
   private static final int MAX_CONNECTIONS_PER_NODE = 256;
   private static final long UNUSED_POOL_MILLIS = 60_000;
   private static final long DEFAULT_CONNECT_TIMEOUT_MILLIS = 1_000;
@@ -19,7 +19,7 @@
   private final Map<PeerAddress, ConnectionPool> pools = new ConcurrentHashMap<>();
 
   /** Creates a manager without pools. */
-  public OriginManager(Connector connector, LongSupplier clockMillis) {
+  public OriginConnectionPools(Connector connector, LongSupplier clockMillis) {
     this(connector, clockMillis, DEFAULT_CONNECT_TIMEOUT_MILLIS);
   }
 
@@ -28,7 +28,8 @@
    *
    * @param connectTimeoutMillis timeout for opening a connection
    */
-  public OriginManager(Connector connector, LongSupplier clockMillis, long connectTimeoutMillis) {
+  public OriginConnectionPools(
+      Connector connector, LongSupplier clockMillis, long connectTimeoutMillis) {
     this.connectTimeoutMillis = connectTimeoutMillis;
     this.connector = connector;
     this.clockMillis = clockMillis;
@@ -54,12 +55,12 @@
   }
 
   /** Number of open connections, including those in use. */
-  public int open() {
+  public int openCount() {
     return pools.values().stream().mapToInt(ConnectionPool::openCount).sum();
   }
 
   /** Fails the connection attempts that have exceeded the connect timeout. */
-  public void giveUpLate() {
-    pools.values().forEach(ConnectionPool::giveUpLate);
+  public void failOverdueConnects() {
+    pools.values().forEach(ConnectionPool::failOverdueConnects);
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/OriginFilter.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/OriginFilter.java
@@ -1,9 +1,9 @@
 package io.umberpath.node.proxy.origin;
 
 import io.umberpath.model.Verdict;
-import io.umberpath.node.proxy.http.AnswerHead;
 import io.umberpath.node.proxy.http.ClientCodecDelegate;
 import io.umberpath.node.proxy.http.HeaderFields;
+import io.umberpath.node.proxy.http.ResponseHead;
 import java.io.EOFException;
 import java.util.function.Consumer;
 import org.glassfish.grizzly.CloseReason;
@@ -32,7 +32,7 @@
   public NextAction handleRead(FilterChainContext context) {
     HttpContent content = context.getMessage();
     OriginConnection origin = OriginConnection.of(context.getConnection());
-    AnswerListener listener = origin.listener();
+    ResponseListener listener = origin.listener();
     if (listener == null || content instanceof HttpBrokenContent) {
       origin.fail(Verdict.Reason.BAD_ANSWER);
       return context.getStopAction();
@@ -42,7 +42,7 @@
     boolean first = !head.isCommitted();
     head.setCommitted(true);
     if (first && !last && !head.isChunked() && head.getContentLength() < 0) {
-      origin.setCloseDelimitedHead(AnswerHead.of(head));
+      origin.setCloseDelimitedHead(ResponseHead.of(head));
     }
     if (last) {
       origin.completeResponse(head.getProcessingState().isKeepAlive());
@@ -50,8 +50,8 @@
       // known whether the connection is reusable.
       context.addCompletionListener(completed -> release(origin));
     }
-    AnswerPart part = toResponsePart(content, AnswerHead.of(head), first, last);
-    if (listener.onAnswerPart(part) || last) {
+    ResponsePart part = toResponsePart(content, ResponseHead.of(head), first, last);
+    if (listener.onResponsePart(part) || last) {
       return context.getStopAction();
     }
     NextAction suspend = context.getSuspendAction();
@@ -60,9 +60,9 @@
     return suspend;
   }
 
-  private static AnswerPart toResponsePart(
-      HttpContent content, AnswerHead head, boolean first, boolean last) {
-    return new AnswerPart(
+  private static ResponsePart toResponsePart(
+      HttpContent content, ResponseHead head, boolean first, boolean last) {
+    return new ResponsePart(
         head, first, content.getContent(), last, HeaderFields.trailersOf(content));
   }
 
@@ -103,9 +103,9 @@
 
   @Override
   public void onInterimResponse(Connection<?> connection, byte[] head) {
-    AnswerListener listener = OriginConnection.of(connection).listener();
+    ResponseListener listener = OriginConnection.of(connection).listener();
     if (listener != null) {
-      listener.onInterim(head);
+      listener.onInterimResponse(head);
     }
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/AnswerPart.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/ResponsePart.java
@@ -1,7 +1,7 @@
 package io.umberpath.node.proxy.origin;
 
-import io.umberpath.node.proxy.http.AnswerHead;
 import io.umberpath.node.proxy.http.HeaderFields;
+import io.umberpath.node.proxy.http.ResponseHead;
 import org.glassfish.grizzly.Buffer;
 
 /**
@@ -13,5 +13,5 @@
  * @param last whether this part completes the response
  * @param trailers trailers, if this part completes a chunked response
  */
-public record AnswerPart(
-    AnswerHead head, boolean first, Buffer content, boolean last, HeaderFields trailers) {}
+public record ResponsePart(
+    ResponseHead head, boolean first, Buffer content, boolean last, HeaderFields trailers) {}
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/OwnTurn.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/SelectorTasks.java
@@ -10,11 +10,11 @@
  * Runs the handling of a connection's end as a separate task on the connection's selector thread,
  * never within the event or write that detected the end.
  */
-public final class OwnTurn {
-  private OwnTurn() {}
+public final class SelectorTasks {
+  private SelectorTasks() {}
 
   /** Queues the task on the selector thread; runs it immediately if the connection has none. */
-  public static void run(Connection<?> connection, Runnable task) {
+  public static void runDeferred(Connection<?> connection, Runnable task) {
     SelectorRunner runner =
         connection instanceof NIOConnection nio ? nio.getSelectorRunner() : null;
     if (runner == null) {
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/ShortAnswer.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/origin/ShortResponseBuffer.java
@@ -1,7 +1,7 @@
 package io.umberpath.node.proxy.origin;
 
-import io.umberpath.node.proxy.http.AnswerHead;
 import io.umberpath.node.proxy.http.BufferBytes;
+import io.umberpath.node.proxy.http.ResponseHead;
 import java.io.ByteArrayOutputStream;
 import java.util.Optional;
 import org.glassfish.grizzly.Buffer;
@@ -14,17 +14,17 @@
  * pipelined responses after it; while nothing has been forwarded, the request can still be rejected
  * or retried.
  */
-public final class ShortAnswer {
+public final class ShortResponseBuffer {
   /** Largest body that is buffered, bytes; larger ones are forwarded as they arrive. */
   private static final long MAX_BYTES = 16 * 1024;
 
   private final ByteArrayOutputStream body = new ByteArrayOutputStream();
-  private AnswerHead head;
+  private ResponseHead head;
 
   /**
    * Adds a part; returns the part to forward now, or empty while the response is being buffered.
    */
-  public Optional<AnswerPart> take(AnswerPart part) {
+  public Optional<ResponsePart> add(ResponsePart part) {
     boolean startsBuffering = part.first() && !part.last() && isShort(part.head());
     if (startsBuffering) {
       head = part.head();
@@ -36,7 +36,7 @@
     return part.last() ? Optional.of(bufferedResponse(part)) : Optional.empty();
   }
 
-  private static boolean isShort(AnswerHead head) {
+  private static boolean isShort(ResponseHead head) {
     long length = head.contentLength();
     return !head.isChunked() && length >= 0 && length <= MAX_BYTES;
   }
@@ -48,8 +48,8 @@
     body.writeBytes(BufferBytes.copyOf(content));
   }
 
-  private AnswerPart bufferedResponse(AnswerPart last) {
+  private ResponsePart bufferedResponse(ResponsePart last) {
     Buffer content = Buffers.wrap(MemoryManager.DEFAULT_MEMORY_MANAGER, body.toByteArray());
-    return new AnswerPart(head, true, content, true, last.trailers());
+    return new ResponsePart(head, true, content, true, last.trailers());
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/pool/ConnectionPool.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/pool/ConnectionPool.java
@@ -77,7 +77,7 @@
       connection = pollIdle();
     }
     if (connection != null) {
-      waiter.connected(connection);
+      waiter.onConnected(connection);
     } else {
       acquireNew(waiter);
     }
@@ -99,7 +99,7 @@
     if (pending != null) {
       connector.connect(address, pending);
     } else {
-      waiter.notConnected(Verdict.Reason.OVERLOADED);
+      waiter.onUnavailable(Verdict.Reason.OVERLOADED);
     }
   }
 
@@ -126,7 +126,7 @@
   }
 
   /** Returns a connection to the pool that opened it. */
-  public static void giveBack(OriginConnection connection) {
+  public static void returnToPool(OriginConnection connection) {
     connection.releaseHandler().accept(connection);
   }
 
@@ -143,11 +143,11 @@
       }
     }
     expired.forEach(OriginConnection::close);
-    giveUpLate();
+    failOverdueConnects();
   }
 
   /** Fails the connection attempts that have exceeded the connect timeout. */
-  public void giveUpLate() {
+  public void failOverdueConnects() {
     List<PendingConnection> overdue;
     synchronized (this) {
       if (pendingConnections.isEmpty()) {
@@ -225,7 +225,7 @@
       if (waiter == null) {
         release(origin);
       } else {
-        waiter.connected(origin);
+        waiter.onConnected(origin);
       }
     }
 
@@ -246,7 +246,7 @@
 
     private void notifyFailed() {
       if (waiter != null) {
-        waiter.notConnected(Verdict.Reason.UNREACHABLE);
+        waiter.onUnavailable(Verdict.Reason.UNREACHABLE);
       }
     }
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/pool/ConnectionWaiter.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/pool/ConnectionWaiter.java
@@ -9,8 +9,8 @@
  */
 public interface ConnectionWaiter {
   /** Called with a connection for exclusive use until it is released or abandoned. */
-  void connected(OriginConnection connection);
+  void onConnected(OriginConnection connection);
 
   /** Called if no connection is available; nothing has been sent. */
-  void notConnected(Verdict.Reason reason);
+  void onUnavailable(Verdict.Reason reason);
 }
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/InboundFixture.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/InboundFixture.java
@@ -51,7 +51,7 @@
   private static final int MAX_ORIGIN_CONNECTIONS = 8;
 
   private final ProxyTransport transport =
-      new ProxyTransport(ProxyFixture.MAX_HEADER_BYTES, ConnectionPool::giveBack, 1);
+      new ProxyTransport(ProxyFixture.MAX_HEADER_BYTES, ConnectionPool::returnToPool, 1);
   private final ActiveExchanges active = new ActiveExchanges();
   private final BlockingQueue<UnansweredRequests> unanswered = new LinkedBlockingQueue<>();
   private final AtomicLong clockMillis = new AtomicLong();
@@ -122,7 +122,7 @@
 
   /** A request that is sent to the origin, with a deadline. */
   static String get(String path, long deadlineMillis) {
-    String deadline = ProxyHeaders.DEADLINE + ": " + deadlineMillis;
+    String deadline = ProxyHeaders.DEADLINE_MILLIS + ": " + deadlineMillis;
     return "GET " + path + " HTTP/1.1\r\nHost: a\r\n" + deadline + "\r\n\r\n";
   }
 
@@ -191,7 +191,7 @@
 
   /** The same for connection attempts that have timed out. */
   void expireConnectionAttempts() {
-    transport.checkTimeouts(pool::giveUpLate, false);
+    transport.checkTimeouts(pool::failOverdueConnects, false);
   }
 
   /** Returns once the selector thread is blocked. */
@@ -271,7 +271,7 @@
     @Override
     public void addHeaders(Exchange exchange, HttpRequestPacket outgoing, long nowMillis) {
       long left = exchange.plan().deadlineMillis() - nowMillis;
-      outgoing.getHeaders().addValue(ProxyHeaders.DEADLINE).setString(Long.toString(left));
+      outgoing.getHeaders().addValue(ProxyHeaders.DEADLINE_MILLIS).setString(Long.toString(left));
     }
 
     /** The end of a request admits the one that was held. */
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/LateReadTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/LateReadTest.java
@@ -79,7 +79,7 @@
 
       Message sentOn = origin.read();
       assertThat(sentOn.head()).startsWith("GET /in-time ");
-      assertThat(Long.parseLong(sentOn.header(ProxyHeaders.DEADLINE)))
+      assertThat(Long.parseLong(sentOn.header(ProxyHeaders.DEADLINE_MILLIS)))
           .isBetween(1L, LONG_DEADLINE_MILLIS - SelectorBlock.LATE_MILLIS);
     }
   }
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/QueuedWriteFixture.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/QueuedWriteFixture.java
@@ -65,7 +65,7 @@
   private static final int READ_ROUNDS = 8;
 
   private final ProxyTransport transport =
-      new ProxyTransport(ProxyFixture.MAX_HEADER_BYTES, ConnectionPool::giveBack, 1);
+      new ProxyTransport(ProxyFixture.MAX_HEADER_BYTES, ConnectionPool::returnToPool, 1);
   private final List<ServerSocket> servers = List.of(server(), server());
   private final List<ConnectionPool> pools = new ArrayList<>();
   private final Map<Integer, NIOConnection> opened = new ConcurrentHashMap<>();
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/StubRequestHandler.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/StubRequestHandler.java
@@ -1,7 +1,7 @@
 package io.umberpath.node.proxy;
 
 import io.umberpath.model.Verdict;
-import io.umberpath.node.proxy.http.AnswerHead;
+import io.umberpath.node.proxy.http.ResponseHead;
 import io.umberpath.node.proxy.inbound.Exchange;
 import io.umberpath.node.proxy.inbound.Refusal;
 import io.umberpath.node.proxy.inbound.RequestHandler;
@@ -26,7 +26,7 @@
   }
 
   @Override
-  public Optional<Refusal> refusalIn(Exchange exchange, AnswerHead head) {
+  public Optional<Refusal> refusalIn(Exchange exchange, ResponseHead head) {
     return Optional.empty();
   }
 
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/inbound/ExchangeBrokenWriteTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/inbound/ExchangeBrokenWriteTest.java
@@ -5,12 +5,12 @@
 import io.umberpath.model.PeerAddress;
 import io.umberpath.model.Verdict;
 import io.umberpath.node.proxy.StubRequestHandler;
-import io.umberpath.node.proxy.http.AnswerHead;
 import io.umberpath.node.proxy.http.HeaderFields;
 import io.umberpath.node.proxy.http.RequestHead;
-import io.umberpath.node.proxy.origin.AnswerPart;
+import io.umberpath.node.proxy.http.ResponseHead;
 import io.umberpath.node.proxy.origin.AttemptLog;
 import io.umberpath.node.proxy.origin.OriginConnection;
+import io.umberpath.node.proxy.origin.ResponsePart;
 import io.umberpath.node.proxy.pool.ConnectionPool;
 import io.umberpath.node.proxy.stats.ProxyStats;
 import io.vavr.control.Either;
@@ -120,11 +120,12 @@
   @Test
   void endsOnceWhenWritingTheLastPartFailsForTheClient() {
     begin();
-    AnswerHead head = new AnswerHead(200, Optional.empty(), HeaderFields.NONE, 0, false);
+    ResponseHead head = new ResponseHead(200, Optional.empty(), HeaderFields.NONE, 0, false);
 
     OriginConnection.of(origin)
         .listener()
-        .onAnswerPart(new AnswerPart(head, true, Buffers.EMPTY_BUFFER, true, HeaderFields.NONE));
+        .onResponsePart(
+            new ResponsePart(head, true, Buffers.EMPTY_BUFFER, true, HeaderFields.NONE));
 
     assertThat(verdicts).containsExactly(new Verdict.MayHaveRun(Verdict.Reason.CANCELLED));
     assertThat(endedAttempts).containsExactly("backend-1");
@@ -137,7 +138,9 @@
     request.setProtocol(Protocol.HTTP_1_1);
     begin(request, true);
 
-    OriginConnection.of(origin).listener().onInterim("HTTP/1.1 100 Continue\r\n\r\n".getBytes());
+    OriginConnection.of(origin)
+        .listener()
+        .onInterimResponse("HTTP/1.1 100 Continue\r\n\r\n".getBytes());
 
     assertThat(verdicts).containsExactly(new Verdict.MayHaveRun(Verdict.Reason.CANCELLED));
     assertThat(active.size()).isZero();
@@ -160,7 +163,7 @@
     request.setContentLength(2);
     Exchange exchange = begin(request, false);
     onOriginWrite =
-        () -> OriginConnection.of(origin).listener().onBroken(Verdict.Reason.CONNECTION_LOST);
+        () -> OriginConnection.of(origin).listener().onFailure(Verdict.Reason.CONNECTION_LOST);
 
     boolean keepReading = exchange.onBodyPart(bodyPart(request, false));
 
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/origin/OwnTurnTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/origin/SelectorTasksTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-class OwnTurnTest {
+class SelectorTasksTest {
   private static final int WAIT_SECONDS = 5;
 
   private final TCPNIOTransport transport =
@@ -51,10 +51,11 @@
   void runsOnSelectorThreadAfterCurrentTask() throws Exception {
     Thread selector = ((NIOConnection) connection).getSelectorRunner().getRunnerThread();
 
-    OwnTurn.run(
+    SelectorTasks.runDeferred(
         connection,
         () -> {
-          OwnTurn.run(connection, () -> recordLast("inner on " + Thread.currentThread().getName()));
+          SelectorTasks.runDeferred(
+              connection, () -> recordLast("inner on " + Thread.currentThread().getName()));
           seen.add("outer");
         });
 
@@ -67,9 +68,9 @@
     connection.terminateSilently();
 
     for (String name : List.of("first", "second")) {
-      OwnTurn.run(connection, () -> seen.add(name));
+      SelectorTasks.runDeferred(connection, () -> seen.add(name));
     }
-    OwnTurn.run(connection, () -> recordLast("third"));
+    SelectorTasks.runDeferred(connection, () -> recordLast("third"));
 
     awaitDone();
     assertThat(seen).containsExactly("first", "second", "third");
@@ -77,12 +78,12 @@
 
   @Test
   void continuesAfterTaskThrows() throws Exception {
-    OwnTurn.run(
+    SelectorTasks.runDeferred(
         connection,
         () -> {
           throw new IllegalStateException("meant to be thrown");
         });
-    OwnTurn.run(connection, () -> recordLast("next"));
+    SelectorTasks.runDeferred(connection, () -> recordLast("next"));
 
     awaitDone();
     assertThat(seen).containsExactly("next");
