--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/BodyUploadScheduler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/BodyUploadScheduler.java
@@ -118,7 +118,7 @@
       if (!isAccepted.test(next)) {
         remove(next);
         next.refuse(Refusal.notRun(Verdict.Reason.DRAINING));
-      } else if (!next.continueBody()) {
+      } else if (!next.sendContinue()) {
         remove(next);
       }
     }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshInboundHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshInboundHandler.java
@@ -145,7 +145,7 @@
 
   private boolean isAnySentBefore(String instance, long atMillis) {
     long elapsedMicros = (clockMillis.getAsLong() - atMillis) * MICROS_PER_MILLI;
-    return admissionQueue.runningExchanges().stream()
+    return admissionQueue.exchangesHoldingSlot().stream()
         .filter(exchange -> planOf(exchange).instance().equals(instance))
         .anyMatch(exchange -> exchange.history().sinceSentMicros() > elapsedMicros);
   }
@@ -166,7 +166,7 @@
     resetAfterRestart();
     List<Slowness.Running> running = new ArrayList<>();
     int retries = 0;
-    for (Exchange exchange : admissionQueue.runningExchanges()) {
+    for (Exchange exchange : admissionQueue.exchangesHoldingSlot()) {
       long expectedDurationMicros = expectedMicros(planOf(exchange).route());
       running.add(
           new Slowness.Running(exchange.history().sinceSentMicros(), expectedDurationMicros));
@@ -276,10 +276,10 @@
       exchange.refuse(Refusal.notRun(Verdict.Reason.QUARANTINED));
       return;
     }
-    if (!exchange.body().isHeld()) {
+    if (!exchange.body().isBuffered()) {
       // A slot that waits for a body does no work, so the request is not queued for a slot yet.
       uploads.enqueue(exchange, plan.arrivedMillis() + plan.hop().startWithinMillis());
-      exchange.dispatchOnceBodyIsHeld();
+      exchange.dispatchOnceBodyBuffered();
       return;
     }
     uploads.release(exchange);
@@ -290,7 +290,7 @@
     HopHeader hop = plan.hop();
     long arrivedMillis = plan.arrivedMillis();
     boolean isNested = isNested(exchange);
-    admissionQueue.ask(
+    admissionQueue.requestSlot(
         exchange,
         id ->
             new AdmissionRequest(
@@ -335,11 +335,11 @@
   }
 
   @Override
-  public Optional<Refusal> refusalAtSending(RequestPlan plan, long nowMillis) {
+  public Optional<Refusal> refusalBeforeSending(RequestPlan plan, long nowMillis) {
     if (!isAccepted(plan)) {
       return Optional.of(Refusal.notRun(Verdict.Reason.DRAINING));
     }
-    return RequestHandler.super.refusalAtSending(plan, nowMillis);
+    return RequestHandler.super.refusalBeforeSending(plan, nowMillis);
   }
 
   @Override
@@ -352,12 +352,12 @@
   }
 
   @Override
-  public String echoedId(RequestPlan plan) {
+  public String requestIdForResponse(RequestPlan plan) {
     return plan == null ? null : plan.requestId();
   }
 
   @Override
-  public void addAnswerHeaders(RequestPlan plan, HttpResponsePacket response) {
+  public void addResponseHeaders(RequestPlan plan, HttpResponsePacket response) {
     GateLoad load = plan == null ? load() : load().withRoute(expectedMicros(plan.route()));
     response.getHeaders().setValue(LOAD_HEADER).setString(load.encode());
     if (plan != null && isNested(plan.route())) {
@@ -366,7 +366,7 @@
   }
 
   @Override
-  public Optional<Refusal> refusalIn(Exchange exchange, ResponseHead head) {
+  public Optional<Refusal> refusalInResponse(Exchange exchange, ResponseHead head) {
     HeaderNames names = settings.headers();
     speed.recordLoadReport(head.field(names.backendLoad()).orElse(null));
     MeshInboundPlan plan = planOf(exchange);
@@ -393,15 +393,15 @@
     // The slot is released when the request ends; this side makes a single attempt.
     MeshInboundPlan plan = planOf(exchange);
     failures.recordAttempt(
-        clockMillis.getAsLong(), plan.instance(), refusal, exchange.answeredStatus());
+        clockMillis.getAsLong(), plan.instance(), refusal, exchange.responseStatus());
     if (refusal == null) {
-      long sentMillis = clockMillis.getAsLong() - exchange.history().sentAgoMillis();
+      long sentMillis = clockMillis.getAsLong() - exchange.history().sinceSentMillis();
       crashDetector.responseReceived(plan.instance(), sentMillis);
       long usualMicros = speed.recordDuration(plan.route(), exchange.history().sinceSentMicros());
       synchronized (routeTimes) {
         routeTimes.add(plan.route(), usualMicros);
       }
-      if (exchange.answeredStatus() < LocalBackendFailures.FIRST_SERVER_ERROR) {
+      if (exchange.responseStatus() < LocalBackendFailures.FIRST_SERVER_ERROR) {
         Fingerprints.of(exchange, plan.targetHash()).ifPresent(quarantine::recordSuccess);
       }
     } else if (refusal.verdict().equals(CONNECTION_LOST)) {
@@ -416,7 +416,7 @@
   }
 
   @Override
-  public void ended(Exchange exchange, Verdict verdict) {
+  public void requestEnded(Exchange exchange, Verdict verdict) {
     uploads.release(exchange);
     admissionQueue.ended(exchange);
     MeshInboundPlan plan = planOf(exchange);
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshNode.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshNode.java
@@ -246,7 +246,7 @@
       proxy.gate().gate().resize(backend.slots());
     }
     if (backend.isEvacuated()) {
-      proxy.gate().gate().handBackWaiting();
+      proxy.gate().gate().refuseQueued();
     }
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshOutboundHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshOutboundHandler.java
@@ -200,7 +200,7 @@
       exchange.refuse(Refusal.notRun(Verdict.Reason.DEADLINE));
       return;
     }
-    if (!exchange.body().isHeld()) {
+    if (!exchange.body().isBuffered()) {
       awaitBody(exchange);
       return;
     }
@@ -242,9 +242,9 @@
   /** Waits for the whole body, so that the body can be sent as soon as a backend is chosen. */
   private static void awaitBody(Exchange exchange) {
     if (exchange.request().field(Header.Expect.toString()).isPresent()) {
-      exchange.continueBody();
+      exchange.sendContinue();
     }
-    exchange.dispatchOnceBodyIsHeld();
+    exchange.dispatchOnceBodyBuffered();
   }
 
   /**
@@ -275,11 +275,11 @@
   }
 
   @Override
-  public Optional<Refusal> refusalAtSending(RequestPlan plan, long nowMillis) {
+  public Optional<Refusal> refusalBeforeSending(RequestPlan plan, long nowMillis) {
     if (refusingRequests) {
       return Optional.of(draining());
     }
-    return RequestHandler.super.refusalAtSending(plan, nowMillis);
+    return RequestHandler.super.refusalBeforeSending(plan, nowMillis);
   }
 
   @Override
@@ -314,22 +314,22 @@
   }
 
   @Override
-  public boolean mayRunBesideOthers(RequestPlan plan) {
+  public boolean mayRunConcurrently(RequestPlan plan) {
     return ((MeshOutboundPlan) plan).rule().kind().isRepeatable();
   }
 
   @Override
-  public boolean isLeaving() {
+  public boolean isDraining() {
     return draining;
   }
 
   @Override
-  public String echoedId(RequestPlan plan) {
+  public String requestIdForResponse(RequestPlan plan) {
     return null;
   }
 
   @Override
-  public Optional<Refusal> refusalIn(Exchange exchange, ResponseHead head) {
+  public Optional<Refusal> refusalInResponse(Exchange exchange, ResponseHead head) {
     MeshOutboundPlan plan = planOf(exchange);
     recordBackendLoad(exchange.currentOrigin(), plan.route(), head);
     Optional<String> verdict = head.field(ProxyHeaders.VERDICT);
@@ -399,7 +399,7 @@
   }
 
   @Override
-  public void ended(Exchange exchange, Verdict verdict) {
+  public void requestEnded(Exchange exchange, Verdict verdict) {
     MeshOutboundPlan plan = planOf(exchange);
     if (plan == null) {
       return;
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshOutboundPlan.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshOutboundPlan.java
@@ -33,7 +33,7 @@
     RetryState retryState)
     implements RequestPlan {
   @Override
-  public boolean asksBeforeBody() {
+  public boolean awaitsContinueBeforeBody() {
     return true;
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/RequestEvents.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/RequestEvents.java
@@ -64,7 +64,7 @@
         .with(PORT, (long) input.peerPort())
         .with(DROPPED, input.droppedBytes())
         .with(MILLIS, input.droppedAfterMillis())
-        .log("sent on %d, not begun %d", unanswered.sentOn(), input.isHeadUnbegun() ? 1 : 0);
+        .log("sent on %d, not begun %d", unanswered.sentToOrigin(), input.isHeadUnbegun() ? 1 : 0);
   }
 
   void requestServed(MeshOutboundPlan plan, int attempts, long millis) {
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/EdgeHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/EdgeHandler.java
@@ -226,12 +226,12 @@
   }
 
   @Override
-  public String echoedId(RequestPlan plan) {
+  public String requestIdForResponse(RequestPlan plan) {
     return null;
   }
 
   @Override
-  public Optional<Refusal> refusalIn(Exchange exchange, ResponseHead head) {
+  public Optional<Refusal> refusalInResponse(Exchange exchange, ResponseHead head) {
     if (head.field(ProxyHeaders.REQUEST_ID).filter(attemptId(exchange)::equals).isEmpty()) {
       return Optional.of(Refusal.mayHaveRun(Verdict.Reason.BAD_ANSWER));
     }
@@ -275,7 +275,7 @@
   }
 
   @Override
-  public void ended(Exchange exchange, Verdict verdict) {
+  public void requestEnded(Exchange exchange, Verdict verdict) {
     // An edge holds no resources for a request.
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/HopHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/HopHandler.java
@@ -121,7 +121,7 @@
       return;
     }
     PoolRequestPlan plan = planOf(exchange);
-    gate.ask(
+    gate.requestSlot(
         exchange,
         id -> new AdmissionRequest(id, plan.tenant(), plan.tier(), plan.deadlineMillis()));
   }
@@ -139,12 +139,12 @@
   }
 
   @Override
-  public String echoedId(RequestPlan plan) {
+  public String requestIdForResponse(RequestPlan plan) {
     return plan == null ? null : plan.requestId();
   }
 
   @Override
-  public Optional<Refusal> refusalIn(Exchange exchange, ResponseHead head) {
+  public Optional<Refusal> refusalInResponse(Exchange exchange, ResponseHead head) {
     Optional<String> echoedId = head.field(ProxyHeaders.REQUEST_ID);
     if (echoedId.isPresent() && !echoedId.get().equals(planOf(exchange).requestId())) {
       return Optional.of(Refusal.mayHaveRun(Verdict.Reason.BAD_ANSWER));
@@ -170,7 +170,7 @@
   }
 
   @Override
-  public void ended(Exchange exchange, Verdict verdict) {
+  public void requestEnded(Exchange exchange, Verdict verdict) {
     gate.ended(exchange);
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/SlotGate.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/SlotGate.java
@@ -62,7 +62,7 @@
    *
    * @param requestFactory creates the admission request with the given id
    */
-  public void ask(Exchange exchange, LongFunction<AdmissionRequest> requestFactory) {
+  public void requestSlot(Exchange exchange, LongFunction<AdmissionRequest> requestFactory) {
     SlotRequest request =
         new SlotRequest(
             lastId.incrementAndGet(), exchange, new AtomicReference<>(SlotState.REQUESTED));
@@ -95,7 +95,7 @@
   }
 
   /** Refuses all queued requests as not run, so that they are sent elsewhere at once. */
-  public void handBackWaiting() {
+  public void refuseQueued() {
     for (SlotRequest request : byExchange.values()) {
       // Skips a request that is being admitted: the refusal says that it did not run.
       if (request.state().compareAndSet(SlotState.REQUESTED, SlotState.ENDED)) {
@@ -137,7 +137,7 @@
   }
 
   /** The exchanges that hold a slot. */
-  public List<Exchange> runningExchanges() {
+  public List<Exchange> exchangesHoldingSlot() {
     List<Exchange> running = new ArrayList<>();
     for (SlotRequest request : byExchange.values()) {
       if (request.state().get() == SlotState.ADMITTED) {
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/Attempt.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/Attempt.java
@@ -119,7 +119,7 @@
 
   /** Whether the head is sent first and the body only after the origin's 100 (Continue). */
   boolean needsContinue(RequestBody body) {
-    return exchange.plan().asksBeforeBody() && body.needsContinue();
+    return exchange.plan().awaitsContinueBeforeBody() && body.needsContinue();
   }
 
   /**
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/AttemptHistory.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/AttemptHistory.java
@@ -70,7 +70,7 @@
   }
 
   /** Milliseconds since the last attempt was written to its connection, rounded up. */
-  public synchronized long sentAgoMillis() {
+  public synchronized long sinceSentMillis() {
     return (System.nanoTime() - sentNanos) / NANOS_PER_MILLI + 1;
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/Exchange.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/Exchange.java
@@ -74,7 +74,7 @@
   }
 
   /** Sends 100 (Continue) to the client; returns whether the request still waits for its body. */
-  public synchronized boolean continueBody() {
+  public synchronized boolean sendContinue() {
     boolean waits = stage == ExchangeStage.PENDING;
     if (waits) {
       responseWriter.writeContinue();
@@ -83,7 +83,7 @@
   }
 
   /** Status of the response whose first part has been forwarded to the client; 0 before. */
-  public synchronized int answeredStatus() {
+  public synchronized int responseStatus() {
     return progress.status();
   }
 
@@ -121,7 +121,7 @@
     }
     if (decision.isRight()
         && !refuseIfTooLarge()
-        && client.mayStart(pipelined, handler.mayRunBesideOthers(plan))) {
+        && client.mayStart(pipelined, handler.mayRunConcurrently(plan))) {
       EventLoop.runOrDefer(this::dispatchIfWanted);
     }
     runDeferredActions();
@@ -305,7 +305,7 @@
   /**
    * Dispatches again once the body is buffered; called by the handler instead of {@link #sendTo}.
    */
-  public void dispatchOnceBodyIsHeld() {
+  public void dispatchOnceBodyBuffered() {
     synchronized (this) {
       awaitsBufferedBody = true;
       dispatchIfBodyBuffered();
@@ -314,7 +314,7 @@
   }
 
   private void dispatchIfBodyBuffered() {
-    if (awaitsBufferedBody && stage == ExchangeStage.PENDING && body.isHeld()) {
+    if (awaitsBufferedBody && stage == ExchangeStage.PENDING && body.isBuffered()) {
       awaitsBufferedBody = false;
       dispatchAgain = true;
     }
@@ -399,7 +399,7 @@
       environment.active().remove(this);
       environment.stats().inFlight(handler.side(), -1);
       environment.stats().requestEnded(handler.side(), ended, age.sinceReadMicros());
-      handler.ended(this, ended);
+      handler.requestEnded(this, ended);
     }
     client.cancelDeferred();
   }
@@ -425,7 +425,7 @@
     if (attempt != current || stage != expected || cancelIfClientGone()) {
       return false;
     }
-    Optional<Refusal> refusal = handler.refusalAtSending(plan, environment.nowMillis());
+    Optional<Refusal> refusal = handler.refusalBeforeSending(plan, environment.nowMillis());
     refusal.ifPresent(each -> fail(each, false));
     return refusal.isEmpty();
   }
@@ -463,7 +463,7 @@
 
   private boolean takeResponsePart(Attempt current, ResponsePart part) {
     if (part.first()) {
-      Optional<Refusal> refusal = handler.refusalIn(this, part.head());
+      Optional<Refusal> refusal = handler.refusalInResponse(this, part.head());
       if (refusal.isPresent()) {
         // A connection that delivered the response to another request is not reused.
         if (part.last() && refusal.get().fromOrigin()) {
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/RequestBody.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/RequestBody.java
@@ -116,7 +116,7 @@
   }
 
   /** Whether the complete body, or as much as may be, is buffered; its hash is then known. */
-  public synchronized boolean isHeld() {
+  public synchronized boolean isBuffered() {
     return isComplete || isFull();
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/RequestHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/RequestHandler.java
@@ -28,7 +28,7 @@
   void dispatch(Exchange exchange);
 
   /** Called right before an attempt is sent; returns a refusal if it must not be sent any more. */
-  default Optional<Refusal> refusalAtSending(RequestPlan plan, long nowMillis) {
+  default Optional<Refusal> refusalBeforeSending(RequestPlan plan, long nowMillis) {
     return plan.deadlineMillis() <= nowMillis
         ? Optional.of(Refusal.notRun(Verdict.Reason.DEADLINE))
         : Optional.empty();
@@ -42,7 +42,7 @@
    * if its response cannot be delivered. Other requests start when those before them have been
    * answered.
    */
-  default boolean mayRunBesideOthers(RequestPlan plan) {
+  default boolean mayRunConcurrently(RequestPlan plan) {
     return false;
   }
 
@@ -50,7 +50,7 @@
    * Whether the node is draining: responses then close their connections, so that clients send the
    * next request to another node.
    */
-  default boolean isLeaving() {
+  default boolean isDraining() {
     return false;
   }
 
@@ -58,7 +58,7 @@
    * The request id to return with the response, so that the requesting node can match it; null for
    * none.
    */
-  String echoedId(RequestPlan plan);
+  String requestIdForResponse(RequestPlan plan);
 
   /** How refusals are represented to the clients of this listener. */
   default RefusalStyle refusalStyle() {
@@ -70,10 +70,10 @@
    *
    * @param plan the request's plan, or null if it was refused before there was one
    */
-  default void addAnswerHeaders(RequestPlan plan, HttpResponsePacket answer) {}
+  default void addResponseHeaders(RequestPlan plan, HttpResponsePacket answer) {}
 
   /** Checks the head of a response; returns a refusal if another node refused the request. */
-  Optional<Refusal> refusalIn(Exchange exchange, ResponseHead head);
+  Optional<Refusal> refusalInResponse(Exchange exchange, ResponseHead head);
 
   /**
    * Called once per attempt that {@link Exchange#sendTo} started, when it has ended.
@@ -87,5 +87,5 @@
   boolean mayRetry(Exchange exchange, Verdict verdict);
 
   /** Called when the request has its final verdict, without the exchange's lock. */
-  void ended(Exchange exchange, Verdict verdict);
+  void requestEnded(Exchange exchange, Verdict verdict);
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/RequestPlan.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/RequestPlan.java
@@ -23,7 +23,7 @@
   }
 
   /** Whether a long body is sent only after the origin's 100 (Continue). */
-  default boolean asksBeforeBody() {
+  default boolean awaitsContinueBeforeBody() {
     return false;
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ResponseWriter.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ResponseWriter.java
@@ -67,11 +67,11 @@
         endConnectionIfDraining();
       }
       writeHead(part.head());
-      String requestId = handler.echoedId(plan);
+      String requestId = handler.requestIdForResponse(plan);
       if (requestId != null) {
         response.getHeaders().setValue(ProxyHeaders.REQUEST_ID).setString(requestId);
       }
-      handler.addAnswerHeaders(plan, response);
+      handler.addResponseHeaders(plan, response);
     }
     boolean hasContent = part.content() != null && part.content().hasRemaining();
     if (part.first() || hasContent || part.last()) {
@@ -131,7 +131,7 @@
    *     rest
    */
   void writeRefusal(Refusal refusal, RequestPlan plan, boolean endsConnection) {
-    String requestId = handler.echoedId(plan);
+    String requestId = handler.requestIdForResponse(plan);
     String verdict = VerdictHeader.format(refusal.verdict());
     byte[] text = (verdict + "\n").getBytes(StandardCharsets.US_ASCII);
     response.setStatus(handler.refusalStyle().status(refusal.verdict()));
@@ -153,7 +153,7 @@
             .setString(Long.toString(refusal.retryAfterMillis()));
       }
     }
-    handler.addAnswerHeaders(plan, response);
+    handler.addResponseHeaders(plan, response);
     if (endsConnection) {
       closeAfter();
     } else if (refusal.reason() == Verdict.Reason.DRAINING) {
@@ -171,7 +171,7 @@
    * have no response.
    */
   private void endConnectionIfDraining() {
-    if (handler.isLeaving()) {
+    if (handler.isDraining()) {
       endConnectionIfLast();
     }
   }
@@ -188,7 +188,7 @@
    * connection after it.
    */
   void beforeHeldResponseWritten() {
-    if (handler.isLeaving() && !response.isCommitted() && pipelined.tryMakeLast()) {
+    if (handler.isDraining() && !response.isCommitted() && pipelined.tryMakeLast()) {
       request.getProcessingState().setKeepAlive(false);
       if (response.isIgnoreContentModifiers()) {
         response.getHeaders().setValue(Header.Connection).setString(CLOSE);
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/UnansweredRequests.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/UnansweredRequests.java
@@ -10,11 +10,15 @@
  * @param side the listener
  * @param end why the connection ended
  * @param requestIds ids of the begun requests; empty string for a request without an id
- * @param sentOn how many of these were sent to an origin
+ * @param sentToOrigin how many of these were sent to an origin
  * @param input input that belongs to no begun request
  */
 public record UnansweredRequests(
-    ProxyStats.Side side, ConnectionEnd end, List<String> requestIds, int sentOn, Input input) {
+    ProxyStats.Side side,
+    ConnectionEnd end,
+    List<String> requestIds,
+    int sentToOrigin,
+    Input input) {
 
   /**
    * Input of a connection that belongs to no begun request.
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/InboundFixture.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/InboundFixture.java
@@ -252,7 +252,7 @@
     }
 
     @Override
-    public boolean isLeaving() {
+    public boolean isDraining() {
       return isDraining;
     }
 
@@ -276,7 +276,7 @@
 
     /** The end of a request admits the one that was held. */
     @Override
-    public void ended(Exchange exchange, Verdict verdict) {
+    public void requestEnded(Exchange exchange, Verdict verdict) {
       if (verdict instanceof Verdict.Completed) {
         serviceMicros.add(exchange.history().sinceSentMicros());
       }
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/QueuedWriteFixture.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/QueuedWriteFixture.java
@@ -369,7 +369,7 @@
 
     /** The end of a request admits the one that was held. */
     @Override
-    public void ended(Exchange exchange, Verdict verdict) {
+    public void requestEnded(Exchange exchange, Verdict verdict) {
       Exchange next = heldExchange;
       if (next != null && ((Plan) exchange.plan()) != null) {
         heldExchange = null;
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/StubRequestHandler.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/StubRequestHandler.java
@@ -21,12 +21,12 @@
   public void addHeaders(Exchange exchange, HttpRequestPacket outgoing, long nowMillis) {}
 
   @Override
-  public String echoedId(RequestPlan plan) {
+  public String requestIdForResponse(RequestPlan plan) {
     return null;
   }
 
   @Override
-  public Optional<Refusal> refusalIn(Exchange exchange, ResponseHead head) {
+  public Optional<Refusal> refusalInResponse(Exchange exchange, ResponseHead head) {
     return Optional.empty();
   }
 
@@ -39,5 +39,5 @@
   }
 
   @Override
-  public void ended(Exchange exchange, Verdict verdict) {}
+  public void requestEnded(Exchange exchange, Verdict verdict) {}
 }
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/inbound/ExchangeBrokenWriteTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/inbound/ExchangeBrokenWriteTest.java
@@ -77,7 +77,7 @@
         }
 
         @Override
-        public void ended(Exchange exchange, Verdict verdict) {
+        public void requestEnded(Exchange exchange, Verdict verdict) {
           verdicts.add(verdict);
         }
       };
