--- a/umberpath-control/src/main/java/io/umberpath/control/ControlNodes.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/ControlNodes.java
@@ -8,7 +8,7 @@
 
   /** Creates the only node of a process. */
   public static ControlNode create(ControlSettings settings) {
-    return create(settings, new SharedStates());
+    return create(settings, new SharedStateCache());
   }
 
   /**
@@ -18,18 +18,18 @@
    * @param settings the node's settings
    * @param shared one instance for all nodes that share
    */
-  public static ControlNode create(ControlSettings settings, SharedStates shared) {
+  public static ControlNode create(ControlSettings settings, SharedStateCache shared) {
     return new FleetNode(new NodeContext(settings, shared, Optional.empty()));
   }
 
   /** Creates a node with a deliberate fault, to prove that a checker detects it. */
   public static ControlNode createWithFault(ControlSettings settings, SeededFault fault) {
-    return createWithFault(settings, new SharedStates(), fault);
+    return createWithFault(settings, new SharedStateCache(), fault);
   }
 
   /** As {@link #createWithFault(ControlSettings, SeededFault)}, sharing states. */
   public static ControlNode createWithFault(
-      ControlSettings settings, SharedStates shared, SeededFault fault) {
+      ControlSettings settings, SharedStateCache shared, SeededFault fault) {
     return new FleetNode(new NodeContext(settings, shared, Optional.of(fault)));
   }
 }
--- a/umberpath-control/src/main/java/io/umberpath/control/NodeContext.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/NodeContext.java
@@ -12,13 +12,13 @@
  */
 final class NodeContext {
   private final ControlSettings settings;
-  private final SharedStates shared;
+  private final SharedStateCache shared;
   private final Optional<SeededFault> fault;
   private final Quorum quorum;
   private long now;
   private List<ControlOutput> outputs = new ArrayList<>();
 
-  NodeContext(ControlSettings settings, SharedStates shared, Optional<SeededFault> fault) {
+  NodeContext(ControlSettings settings, SharedStateCache shared, Optional<SeededFault> fault) {
     this.settings = settings;
     this.shared = shared;
     this.fault = fault;
@@ -39,7 +39,7 @@
     return settings;
   }
 
-  SharedStates shared() {
+  SharedStateCache shared() {
     return shared;
   }
 
--- a/umberpath-control/src/main/java/io/umberpath/control/SharedStates.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/SharedStateCache.java
@@ -19,7 +19,7 @@
  * one process share states, rosters and snapshots instead of computing equal ones thousands of
  * times. Thread-safe and bounded.
  */
-public final class SharedStates {
+public final class SharedStateCache {
   private static final int SINGLE_NODE_CAPACITY = 4;
 
   private final Cache<StateDelta, Applied> applied;
@@ -31,7 +31,7 @@
   private final Cache<PlatformDocument, Difference> differences;
 
   /** Creates a cache for the only node of a process. */
-  public SharedStates() {
+  public SharedStateCache() {
     this(SINGLE_NODE_CAPACITY);
   }
 
@@ -40,7 +40,7 @@
    *
    * @param capacity number of results of each kind to cache, at least 1
    */
-  public SharedStates(int capacity) {
+  public SharedStateCache(int capacity) {
     applied = cache(capacity);
     fullStates = cache(capacity);
     composed = cache(capacity);
@@ -85,7 +85,7 @@
       return known.result;
     }
     Either<Violation, FleetState> result =
-        StateDeltas.apply(delta, effective).flatMap(SharedStates::checkReferences);
+        StateDeltas.apply(delta, effective).flatMap(SharedStateCache::checkReferences);
     applied.put(delta, new Applied(effective, result));
     return result;
   }
--- a/umberpath-control/src/main/java/io/umberpath/control/membership/KnownPeers.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/membership/KnownPeers.java
@@ -70,7 +70,7 @@
   }
 
   /** Replaces the listed nodes, by address. For newly known ones the full timeout starts now. */
-  public void replace(long nowMillis, Map<String, ListedPeer> listed) {
+  public void replaceListed(long nowMillis, Map<String, ListedPeer> listed) {
     unknownZoneSilentMillis =
         listed.values().stream()
             .mapToLong(ListedPeer::silentMillis)
@@ -95,7 +95,7 @@
   }
 
   /** Records that a node was alive at a time, as reported by itself or by another node. */
-  public void heard(long atMillis, String address) {
+  public void recordHeard(long atMillis, String address) {
     if (!address.equals(self)) {
       Peer peer = peers.computeIfAbsent(address, absent -> new Peer(atMillis));
       peer.lastHeardMillis = Math.max(peer.lastHeardMillis, atMillis);
@@ -103,7 +103,7 @@
   }
 
   /** Updates the location of an unlisted node from its own report. */
-  public void place(String address, ListedPeer stated) {
+  public void updateLocation(String address, ListedPeer stated) {
     Peer peer = peers.get(address);
     if (peer != null && !peer.isListed) {
       peer.setLocation(stated);
@@ -123,7 +123,7 @@
   }
 
   /** Addresses of the peers that are silent, listed or not. */
-  public Set<String> silent(long nowMillis) {
+  public Set<String> silentPeers(long nowMillis) {
     Set<String> silent = new HashSet<>();
     peers.forEach(
         (address, peer) -> {
@@ -136,7 +136,7 @@
   }
 
   /** Of the given addresses, those that have not been heard from for the given time. */
-  public Set<String> unheard(Collection<String> addresses, long nowMillis, long millis) {
+  public Set<String> silentFor(Collection<String> addresses, long nowMillis, long millis) {
     Set<String> silent = new HashSet<>();
     for (String address : addresses) {
       Peer peer = peers.get(address);
--- a/umberpath-control/src/main/java/io/umberpath/control/membership/Rendezvous.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/membership/RendezvousHash.java
@@ -9,7 +9,7 @@
  * of them for a task without exchanging messages. When a member joins or leaves, only that member's
  * tasks move.
  */
-public final class Rendezvous {
+public final class RendezvousHash {
   /**
    * Multipliers of the MurmurHash3 finalizer (32 bits), which distributes the weak hash of a
    * string.
@@ -18,7 +18,7 @@
 
   private static final int MULTIPLIER_2 = 0xc2b2ae35;
 
-  private Rendezvous() {}
+  private RendezvousHash() {}
 
   /**
    * The highest-ranked members for a task.
@@ -26,7 +26,7 @@
    * @param count maximum number of members
    * @param task name of the task
    */
-  public static List<String> first(int count, Collection<String> members, String task) {
+  public static List<String> select(int count, Collection<String> members, String task) {
     return members.stream().sorted(order(task)).limit(count).toList();
   }
 
--- a/umberpath-control/src/main/java/io/umberpath/control/membership/ReportSchedule.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/membership/ReportSchedule.java
@@ -136,7 +136,7 @@
     eligible.add(self);
     List<String> zones = new ArrayList<>();
     for (String zone : far.keySet()) {
-      if (Rendezvous.first(DELEGATES, eligible, zone).contains(self)) {
+      if (RendezvousHash.select(DELEGATES, eligible, zone).contains(self)) {
         zones.add(zone);
       }
     }
@@ -146,7 +146,7 @@
   }
 
   /** One reachable node of each other zone, which must relay an urgent message there. */
-  public List<String> relays(Map<String, List<String>> far, Set<String> silent) {
+  public List<String> relayReceivers(Map<String, List<String>> far, Set<String> silent) {
     int rotation = relayCount++;
     List<String> relays = new ArrayList<>();
     far.forEach((zone, hosts) -> relays.add(receiver(zone, hosts, silent, rotation)));
--- a/umberpath-control/src/main/java/io/umberpath/control/membership/SilenceTimes.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/membership/SilenceTimeouts.java
@@ -10,7 +10,7 @@
  *     it, milliseconds: shorter, so that the reports it would forward still arrive in time by
  *     another path
  */
-public record SilenceTimes(long nearMillis, long farMillis, long quietMillis) {
+public record SilenceTimeouts(long nearMillis, long farMillis, long suspectMillis) {
   /** Interval between two rounds of reports, milliseconds. */
   public static final long ROUND_MILLIS = 250;
 
@@ -34,7 +34,7 @@
   private static final long MAX_DELAY_MILLIS = 150;
 
   /** The timeouts of a node in a zone of the given size, which includes the node. */
-  public static SilenceTimes of(int zoneNodes) {
+  public static SilenceTimeouts of(int zoneNodes) {
     boolean isGossiped = zoneNodes <= GossipRing.MAX_GOSSIP_NODES && GossipRing.hops(zoneNodes) > 1;
     int roundsBetween =
         isGossiped ? GossipRing.hops(zoneNodes) : ReportSchedule.roundsBetweenReports(zoneNodes);
@@ -43,6 +43,6 @@
     long near = rounds * ROUND_MILLIS + MAX_DELAY_MILLIS;
     long digests = MISSED_DIGESTS * ReportSchedule.ROUNDS_PER_DIGEST * ROUND_MILLIS;
     long quiet = quietRounds * ROUND_MILLIS + MAX_DELAY_MILLIS;
-    return new SilenceTimes(near, near + digests + MAX_DELAY_MILLIS, quiet);
+    return new SilenceTimeouts(near, near + digests + MAX_DELAY_MILLIS, quiet);
   }
 }
--- a/umberpath-control/src/main/java/io/umberpath/control/store/BackendListing.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/BackendListing.java
@@ -29,14 +29,14 @@
    * How long entries and evacuations that a restored copy lacks are retained, milliseconds. A live
    * backend that reaches the store rewrites its entry within two seconds of the store's return.
    */
-  public static final long KEPT_MILLIS = 2_000;
+  public static final long RETENTION_MILLIS = 2_000;
 
   /**
    * How long an entry can exist without being renewed, milliseconds: three heartbeats of 1.5 s plus
    * half a second until the store notices. An entry that outlives this time is being renewed by its
    * backend.
    */
-  public static final long UNRENEWED_MILLIS = 5_000;
+  public static final long UNRENEWED_ENTRY_MILLIS = 5_000;
 
   /**
    * Number of recent departures sent to a starting node, in addition to those that the store's
@@ -52,19 +52,20 @@
    *
    * @param revision store revision at which it was written
    */
-  public record Listed(BackendEntry entry, long revision) {}
+  public record StoredEntry(BackendEntry entry, long revision) {}
 
   /**
    * The contents of the store at one position.
    *
-   * @param at position of these contents
-   * @param listed its entries
+   * @param position position of these contents
+   * @param entries its entries
    * @param evacuatedZones zones whose backends must not receive new requests
    */
-  public record Shown(StorePosition at, List<Listed> listed, Set<String> evacuatedZones) {}
+  public record StoreView(
+      StorePosition position, List<StoredEntry> entries, Set<String> evacuatedZones) {}
 
   /** The backends that a node uses, derived from the store's contents. */
-  public record Believed(List<BackendEntry> entries, Set<String> evacuatedZones) {}
+  public record EffectiveListing(List<BackendEntry> entries, Set<String> evacuatedZones) {}
 
   private final DepartedStarts departed = new DepartedStarts();
 
@@ -77,20 +78,20 @@
   /** Departures of backends that the store still lists. */
   private final Set<Departed> contradictedDepartures = new LinkedHashSet<>();
 
-  private StorePosition position = StorePosition.NOTHING;
+  private StorePosition position = StorePosition.UNKNOWN;
 
   /** Entries up to this revision may come from the restored copy rather than the current era. */
   private long restoredRevision = -1;
 
   private long eraStartMillis;
   private Set<BackendStart> previouslyAlive = Set.of();
-  private Believed effective = new Believed(List.of(), Set.of());
+  private EffectiveListing effective = new EffectiveListing(List.of(), Set.of());
   private List<BackendEntry> retainedEntries = List.of();
   private Set<String> retainedZones = Set.of();
   private long nextUpdateMillis = NEVER;
 
   /** Departures to send to a starting node, which may read only a copy that lacks them. */
-  public List<Departed> told() {
+  public List<Departed> departuresToShare() {
     Set<Departed> departures = new LinkedHashSet<>(contradictedDepartures);
     departures.addAll(departed.latest(MAX_SHARED_DEPARTURES));
     return List.copyOf(departures);
@@ -101,7 +102,7 @@
    *
    * @return whether any of them was unknown
    */
-  public boolean learn(long nowMillis, List<Departed> others) {
+  public boolean addDepartures(long nowMillis, List<Departed> others) {
     boolean hasNew = false;
     for (Departed each : others) {
       hasNew |= departed.add(nowMillis, each);
@@ -113,12 +114,12 @@
    * Whether the listing changes by the passage of time alone, so that {@link #update} must be
    * called.
    */
-  public boolean isDue(long nowMillis) {
+  public boolean isUpdateDue(long nowMillis) {
     return nowMillis >= nextUpdateMillis;
   }
 
   /** Number of retained entries that the store did not contain when it was restored. */
-  public int keptEntries() {
+  public int retainedEntryCount() {
     return retainedEntries.size();
   }
 
@@ -127,26 +128,26 @@
    *
    * @param isService tells whether the active configuration refers to a service
    */
-  public Believed update(long nowMillis, Shown shown, Predicate<String> isService) {
-    if (shown.at().era() != position.era() || !position.isKnown()) {
-      beginEra(nowMillis, shown.at());
+  public EffectiveListing update(long nowMillis, StoreView shown, Predicate<String> isService) {
+    if (shown.position().era() != position.era() || !position.isKnown()) {
+      beginEra(nowMillis, shown.position());
     }
-    position = shown.at();
+    position = shown.position();
     nextUpdateMillis = NEVER;
     contradictedDepartures.clear();
     expireRetained(nowMillis);
-    List<Listed> alive = selectAlive(nowMillis, shown.listed(), isService);
-    recordDepartures(nowMillis, shown.listed(), alive);
+    List<StoredEntry> alive = selectAlive(nowMillis, shown.entries(), isService);
+    recordDepartures(nowMillis, shown.entries(), alive);
     List<BackendEntry> entries = new ArrayList<>();
     Map<BackendEntry, BackendEntry> stillDraining = new HashMap<>();
-    for (Listed each : alive) {
+    for (StoredEntry each : alive) {
       resolve(nowMillis, each, stillDraining).ifPresent(entries::add);
     }
     drainingByEntry = stillDraining;
-    addRetained(nowMillis, shown.listed(), entries);
+    addRetained(nowMillis, shown.entries(), entries);
     Set<String> zones = new HashSet<>(shown.evacuatedZones());
     zones.addAll(retainedZones);
-    effective = new Believed(List.copyOf(entries), Set.copyOf(zones));
+    effective = new EffectiveListing(List.copyOf(entries), Set.copyOf(zones));
     return effective;
   }
 
@@ -162,11 +163,11 @@
   }
 
   private void expireRetained(long nowMillis) {
-    if (nowMillis >= eraStartMillis + KEPT_MILLIS) {
+    if (nowMillis >= eraStartMillis + RETENTION_MILLIS) {
       retainedEntries = List.of();
       retainedZones = Set.of();
     } else if (!retainedEntries.isEmpty() || !retainedZones.isEmpty()) {
-      nextUpdateMillis = eraStartMillis + KEPT_MILLIS;
+      nextUpdateMillis = eraStartMillis + RETENTION_MILLIS;
     }
   }
 
@@ -176,15 +177,15 @@
    * for a service that the configuration does not refer to never displaces another entry, nor does
    * the entry of a backend that is known to have ended.
    */
-  private List<Listed> selectAlive(
-      long nowMillis, List<Listed> listed, Predicate<String> isService) {
-    Comparator<Listed> order =
-        Comparator.comparing((Listed each) -> isService.test(each.entry().service()))
+  private List<StoredEntry> selectAlive(
+      long nowMillis, List<StoredEntry> listed, Predicate<String> isService) {
+    Comparator<StoredEntry> order =
+        Comparator.comparing((StoredEntry each) -> isService.test(each.entry().service()))
             .thenComparing(
                 each -> !isDeparture(findEffectiveDeparture(nowMillis, each), Departure.ENDED))
-            .thenComparingLong(Listed::revision);
-    Map<PeerAddress, Listed> byAddress = new HashMap<>();
-    for (Listed each : listed) {
+            .thenComparingLong(StoredEntry::revision);
+    Map<PeerAddress, StoredEntry> byAddress = new HashMap<>();
+    for (StoredEntry each : listed) {
       byAddress.merge(each.entry().address(), each, BinaryOperator.maxBy(order));
     }
     return List.copyOf(byAddress.values());
@@ -195,15 +196,15 @@
   }
 
   /** The departure that applies to an entry; empty if there is none or the backend has returned. */
-  private Optional<KnownDeparture> findEffectiveDeparture(long nowMillis, Listed each) {
+  private Optional<KnownDeparture> findEffectiveDeparture(long nowMillis, StoredEntry each) {
     return departed
         .find(each.entry().start())
-        .filter(known -> !isWrittenAfter(each, known.departed().at()))
+        .filter(known -> !isWrittenAfter(each, known.departed().position()))
         .filter(known -> !isPresumedRenewed(nowMillis, known));
   }
 
   /** Whether a backend has written its entry after it was recorded as departed. */
-  private boolean isWrittenAfter(Listed each, StorePosition departedAt) {
+  private boolean isWrittenAfter(StoredEntry each, StorePosition departedAt) {
     long since = departedAt.era() == position.era() ? departedAt.revision() : restoredRevision;
     return each.revision() > since;
   }
@@ -218,10 +219,10 @@
   }
 
   private long presumedRenewedAtMillis(KnownDeparture known) {
-    return Math.max(known.sinceMillis(), eraStartMillis) + UNRENEWED_MILLIS;
+    return Math.max(known.sinceMillis(), eraStartMillis) + UNRENEWED_ENTRY_MILLIS;
   }
 
-  private void recordDepartures(long nowMillis, List<Listed> listed, List<Listed> alive) {
+  private void recordDepartures(long nowMillis, List<StoredEntry> listed, List<StoredEntry> alive) {
     Set<BackendStart> aliveNow = new HashSet<>();
     alive.forEach(each -> aliveNow.add(each.entry().start()));
     for (BackendStart before : previouslyAlive) {
@@ -230,7 +231,7 @@
       }
     }
     previouslyAlive = aliveNow;
-    for (Listed each : listed) {
+    for (StoredEntry each : listed) {
       if (each.entry().state() == BackendEntry.State.DRAINING) {
         StorePosition writtenAt = new StorePosition(position.era(), each.revision());
         departed.add(nowMillis, new Departed(each.entry().start(), Departure.LEAVING, writtenAt));
@@ -240,7 +241,7 @@
 
   /** The entry to use for an entry of the store; empty if its backend has ended. */
   private Optional<BackendEntry> resolve(
-      long nowMillis, Listed each, Map<BackendEntry, BackendEntry> stillDraining) {
+      long nowMillis, StoredEntry each, Map<BackendEntry, BackendEntry> stillDraining) {
     BackendEntry entry = each.entry();
     Optional<KnownDeparture> departure = findEffectiveDeparture(nowMillis, each);
     if (departure.isEmpty()) {
@@ -265,7 +266,7 @@
    * Adds the retained entries. An entry is no longer retained once the store lists it again, or
    * once another backend uses its address, which means that it has ended.
    */
-  private void addRetained(long nowMillis, List<Listed> listed, List<BackendEntry> entries) {
+  private void addRetained(long nowMillis, List<StoredEntry> listed, List<BackendEntry> entries) {
     Set<PeerAddress> usedAddresses = new HashSet<>();
     entries.forEach(entry -> usedAddresses.add(entry.address()));
     Set<String> listedIds = new HashSet<>();
--- a/umberpath-control/src/main/java/io/umberpath/control/store/DepartedStarts.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/DepartedStarts.java
@@ -24,9 +24,9 @@
   /**
    * A recorded departure.
    *
-   * @param at store position at which it departed
+   * @param position store position at which it departed
    */
-  public record Departed(BackendStart start, Departure departure, StorePosition at) {}
+  public record Departed(BackendStart start, Departure departure, StorePosition position) {}
 
   /**
    * A departure as this node knows it.
--- a/umberpath-control/src/main/java/io/umberpath/control/store/ReaderElection.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/ReaderElection.java
@@ -17,16 +17,18 @@
   /**
    * The decision and its inputs.
    *
-   * @param reads whether this node must call the store
-   * @param ahead the nodes that rank before this one, in rank order
+   * @param isReader whether this node must call the store
+   * @param rankedBefore the nodes that rank before this one, in rank order
    * @param calling those of them that report that they call it
-   * @param due number of nodes of the zone that must call it
+   * @param required number of nodes of the zone that must call it
    */
-  public record Decision(boolean reads, List<String> ahead, List<String> calling, int due) {
+  public record Decision(
+      boolean isReader, List<String> rankedBefore, List<String> calling, int required) {
     /** The inputs of the decision for a log line, limited to the first few nodes of each kind. */
     public String inputs() {
       return "due: %d, ahead: %d %s, of them call: %d %s"
-          .formatted(due, ahead.size(), first(ahead), calling.size(), first(calling));
+          .formatted(
+              required, rankedBefore.size(), first(rankedBefore), calling.size(), first(calling));
     }
 
     private static List<String> first(List<String> nodes) {
--- a/umberpath-control/src/main/java/io/umberpath/control/store/StateRequest.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/StateRequest.java
@@ -3,7 +3,7 @@
 /**
  * Request of a node that is behind for the changes since the state it holds.
  *
- * @param after position of its state; {@link StorePosition#NOTHING} to request the full state
+ * @param after position of its state; {@link StorePosition#UNKNOWN} to request the full state
  * @param largestRevision revision, in the era of that position, of the largest item that it holds,
  *     so that patches can be sent for it; {@link #NO_ITEM} to get the full item
  */
@@ -12,5 +12,5 @@
   public static final long NO_ITEM = -1;
 
   /** Requests the full state. */
-  public static final StateRequest WHOLE = new StateRequest(StorePosition.NOTHING, NO_ITEM);
+  public static final StateRequest WHOLE = new StateRequest(StorePosition.UNKNOWN, NO_ITEM);
 }
--- a/umberpath-control/src/main/java/io/umberpath/control/store/StoreEvent.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/StoreEvent.java
@@ -22,5 +22,5 @@
   }
 
   /** An item was removed. */
-  record Gone(String key, long revision) implements StoreEvent {}
+  record Delete(String key, long revision) implements StoreEvent {}
 }
--- a/umberpath-control/src/main/java/io/umberpath/control/store/StorePosition.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/StorePosition.java
@@ -16,7 +16,7 @@
   public static final long NO_ERA = 0;
 
   /** Position before the first read. */
-  public static final StorePosition NOTHING = new StorePosition(NO_ERA, -1);
+  public static final StorePosition UNKNOWN = new StorePosition(NO_ERA, -1);
 
   /**
    * Largest revision that has a packed form. Together with {@link #MAX_PACKED_ERA}: 10^12 changes
--- a/umberpath-control/src/main/java/io/umberpath/control/store/StoreReaders.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/StoreReaders.java
@@ -1,6 +1,6 @@
 package io.umberpath.control.store;
 
-import io.umberpath.control.membership.Rendezvous;
+import io.umberpath.control.membership.RendezvousHash;
 import java.util.Collection;
 import java.util.Comparator;
 import java.util.List;
@@ -33,13 +33,13 @@
    */
   static List<String> rankedBefore(String self, Collection<String> others, Set<String> refused) {
     Comparator<String> order =
-        Comparator.<String, Boolean>comparing(refused::contains).thenComparing(rank());
+        Comparator.<String, Boolean>comparing(refused::contains).thenComparing(rankOrder());
     return others.stream().filter(other -> order.compare(other, self) < 0).sorted(order).toList();
   }
 
   /** The order in which nodes become readers, highest rank first. */
-  public static Comparator<String> rank() {
-    return Rendezvous.order(TASK);
+  public static Comparator<String> rankOrder() {
+    return RendezvousHash.order(TASK);
   }
 
   /** Number of readers per zone: one, or more if there are few zones. */
--- a/umberpath-control/src/main/java/io/umberpath/control/store/StoreCall.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/StoreRequest.java
@@ -3,14 +3,14 @@
 import java.util.Optional;
 
 /** A read-only call to the store. */
-public sealed interface StoreCall {
+public sealed interface StoreRequest {
   /**
    * Reads a page of the items.
    *
    * @param prefix prefix of their keys
    * @param after key after which the page begins; empty for the first page
    */
-  record Read(String prefix, Optional<String> after) implements StoreCall {}
+  record Read(String prefix, Optional<String> after) implements StoreRequest {}
 
   /**
    * Waits for changes.
@@ -19,5 +19,5 @@
    * @param afterRevision changes up to and including this revision are known
    * @param waitMillis how long the store may wait for a change
    */
-  record Watch(String prefix, long afterRevision, long waitMillis) implements StoreCall {}
+  record Watch(String prefix, long afterRevision, long waitMillis) implements StoreRequest {}
 }
--- a/umberpath-control/src/main/java/io/umberpath/control/store/StoreAnswer.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/StoreResponse.java
@@ -4,7 +4,7 @@
 import java.util.OptionalLong;
 
 /** Outcome of a call to the store. */
-public sealed interface StoreAnswer {
+public sealed interface StoreResponse {
   /**
    * The store's era as stated by the response; empty if the response does not come from the store's
    * state.
@@ -20,10 +20,11 @@
    * @param more whether more pages follow
    * @param at the store's position
    */
-  record Page(List<StoreItem> items, boolean more, StorePosition at) implements StoreAnswer {
+  record Page(List<StoreItem> items, boolean hasMore, StorePosition position)
+      implements StoreResponse {
     @Override
     public OptionalLong era() {
-      return OptionalLong.of(at.era());
+      return OptionalLong.of(position.era());
     }
   }
 
@@ -33,10 +34,10 @@
    * @param events the changes
    * @param at position to continue watching from
    */
-  record Events(List<StoreEvent> events, StorePosition at) implements StoreAnswer {
+  record Events(List<StoreEvent> events, StorePosition position) implements StoreResponse {
     @Override
     public OptionalLong era() {
-      return OptionalLong.of(at.era());
+      return OptionalLong.of(position.era());
     }
   }
 
@@ -45,7 +46,7 @@
    *
    * @param storeEra the store's era
    */
-  record HistoryGone(long storeEra) implements StoreAnswer {
+  record HistoryGone(long storeEra) implements StoreResponse {
     @Override
     public OptionalLong era() {
       return OptionalLong.of(storeEra);
@@ -53,12 +54,12 @@
   }
 
   /** The store rejected the call because it is overloaded. */
-  record Throttled() implements StoreAnswer {}
+  record Throttled() implements StoreResponse {}
 
   /**
    * No response, or an unusable one; the outcome is unknown.
    *
    * @param cause description for the log
    */
-  record Unavailable(String cause) implements StoreAnswer {}
+  record Unavailable(String cause) implements StoreResponse {}
 }
--- a/umberpath-control/src/main/java/io/umberpath/control/store/StoreWatcher.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/StoreWatcher.java
@@ -19,9 +19,9 @@
   /** The next action of the caller. */
   public sealed interface Step {
     /** Make this call and report its response. */
-    record Call(StoreCall call) implements Step {}
+    record Call(StoreRequest call) implements Step {}
 
-    /** Call {@link #next} again at this time, milliseconds. */
+    /** Call {@link #nextStep} again at this time, milliseconds. */
     record Wait(long untilMillis) implements Step {}
   }
 
@@ -36,7 +36,7 @@
   private Map<String, StoreItem> items = new HashMap<>();
   private Map<String, StoreItem> pendingItems = new HashMap<>();
   private final PatchHistory patchHistory = new PatchHistory();
-  private final ArrayDeque<StoreEvent.Gone> removals = new ArrayDeque<>();
+  private final ArrayDeque<StoreEvent.Delete> removals = new ArrayDeque<>();
 
   /** Revision of the current era after which every removal is remembered. */
   private long removalsKnownSince = -1;
@@ -44,9 +44,9 @@
   private String lastKey;
 
   /** Position of the first page of the read in progress; NOTHING before that page arrives. */
-  private StorePosition firstPagePosition = StorePosition.NOTHING;
+  private StorePosition firstPagePosition = StorePosition.UNKNOWN;
 
-  private StorePosition position = StorePosition.NOTHING;
+  private StorePosition position = StorePosition.UNKNOWN;
 
   /** Era of the position from which the last watch started. */
   private long watchedEra = StorePosition.NO_ERA;
@@ -74,24 +74,24 @@
   }
 
   /** Changes the timing of subsequent calls. */
-  public void pace(StoreWatcherSettings newSettings) {
+  public void updateSettings(StoreWatcherSettings newSettings) {
     settings = newSettings;
   }
 
   /** The next action. */
-  public Step next(long nowMillis) {
+  public Step nextStep(long nowMillis) {
     if (nowMillis < nextCallMillis) {
       return new Step.Wait(nextCallMillis);
     }
     if (isReading) {
-      return new Step.Call(new StoreCall.Read(prefix, Optional.ofNullable(lastKey)));
+      return new Step.Call(new StoreRequest.Read(prefix, Optional.ofNullable(lastKey)));
     }
     // Randomized for each watch, so that the nodes do not all discover a hung store at the same
     // late moment.
     double jitter = 1 + settings.waitJitter() * (2 * random.getAsDouble() - 1);
     long wait = Math.round(settings.waitMillis() * jitter);
     watchedEra = position.era();
-    return new Step.Call(new StoreCall.Watch(prefix, position.revision(), wait));
+    return new Step.Call(new StoreRequest.Watch(prefix, position.revision(), wait));
   }
 
   /**
@@ -99,24 +99,24 @@
    *
    * @return whether the items have changed
    */
-  public boolean answered(long nowMillis, StoreAnswer response) {
+  public boolean onResponse(long nowMillis, StoreResponse response) {
     if (isOutdated(response)) {
       backOff(nowMillis);
       return false;
     }
-    if (response instanceof StoreAnswer.Page page) {
+    if (response instanceof StoreResponse.Page page) {
       recordResponse(nowMillis);
       return applyPage(page);
     }
-    if (response instanceof StoreAnswer.Events events) {
+    if (response instanceof StoreResponse.Events events) {
       recordResponse(nowMillis);
       return applyEvents(nowMillis, events);
     }
-    if (response instanceof StoreAnswer.HistoryGone) {
+    if (response instanceof StoreResponse.HistoryGone) {
       onHistoryExpired(nowMillis);
       return false;
     }
-    if (response instanceof StoreAnswer.Unavailable && isReading) {
+    if (response instanceof StoreResponse.Unavailable && isReading) {
       startRead();
     }
     backOff(nowMillis);
@@ -128,10 +128,10 @@
    * current state. A rejected watch that states no era is still processed, because reading again is
    * always safe.
    */
-  public boolean isOutdated(StoreAnswer response) {
+  public boolean isOutdated(StoreResponse response) {
     OptionalLong era = response.era();
     boolean namesNone = era.equals(OptionalLong.of(StorePosition.NO_ERA));
-    if (namesNone && response instanceof StoreAnswer.HistoryGone) {
+    if (namesNone && response instanceof StoreResponse.HistoryGone) {
       return false;
     }
     return era.isPresent() && era.getAsLong() < position.era();
@@ -160,7 +160,7 @@
     isReading = true;
     pendingItems = new HashMap<>();
     lastKey = null;
-    firstPagePosition = StorePosition.NOTHING;
+    firstPagePosition = StorePosition.UNKNOWN;
   }
 
   private void backOff(long nowMillis) {
@@ -170,20 +170,20 @@
     nextCallMillis = nowMillis + Math.round(bounded * (0.5 + 0.5 * random.getAsDouble()));
   }
 
-  private boolean applyPage(StoreAnswer.Page page) {
+  private boolean applyPage(StoreResponse.Page page) {
     if (!isReading) {
       return false;
     }
-    if (firstPagePosition.isKnown() && firstPagePosition.era() != page.at().era()) {
+    if (firstPagePosition.isKnown() && firstPagePosition.era() != page.position().era()) {
       // The store was restored from a copy between two pages, so they do not belong to one state.
       startRead();
       return false;
     }
     if (!firstPagePosition.isKnown()) {
-      firstPagePosition = page.at();
+      firstPagePosition = page.position();
     }
     page.items().forEach(item -> pendingItems.put(item.key(), item));
-    if (page.more() && !page.items().isEmpty()) {
+    if (page.hasMore() && !page.items().isEmpty()) {
       lastKey = page.items().get(page.items().size() - 1).key();
       return false;
     }
@@ -224,14 +224,14 @@
     }
   }
 
-  private boolean applyEvents(long nowMillis, StoreAnswer.Events events) {
+  private boolean applyEvents(long nowMillis, StoreResponse.Events events) {
     consecutiveRejectedWatches = 0;
-    if (events.at().era() > position.era()) {
+    if (events.position().era() > position.era()) {
       // The events follow a revision of a previous era, for which the store now has other changes.
       startRead();
       return false;
     }
-    if (events.at().era() != watchedEra) {
+    if (events.position().era() != watchedEra) {
       // A newer era was adopted while this watch, started in the previous era, was waiting.
       return false;
     }
@@ -240,7 +240,7 @@
       // State adopted in the meantime already contains older changes.
       changed |= event.revision() > position.revision() && apply(event);
     }
-    position = StorePosition.later(position, events.at());
+    position = StorePosition.later(position, events.position());
     if (!events.events().isEmpty()) {
       nextCallMillis = nowMillis + pauses.next(nowMillis, settings);
     }
@@ -259,11 +259,11 @@
       items.put(event.key(), put.item());
       return true;
     }
-    recordRemoval((StoreEvent.Gone) event);
+    recordRemoval((StoreEvent.Delete) event);
     return items.remove(event.key()) != null;
   }
 
-  private void recordRemoval(StoreEvent.Gone delete) {
+  private void recordRemoval(StoreEvent.Delete delete) {
     removals.addLast(delete);
     if (removals.size() > MAX_REMOVALS) {
       removalsKnownSince = removals.removeFirst().revision();
@@ -279,17 +279,17 @@
     /**
      * A patch does not match the current item: nothing was adopted, and the full state is needed.
      */
-    UNFIT
+    PATCH_MISMATCH
   }
 
   /** Adopts changes from another node, all or none, if they lead to a later position. */
   public Adoption adopt(StoreChanges changes) {
-    if (!changes.at().isAfter(position) || !isApplicableTo(position, changes)) {
+    if (!changes.position().isAfter(position) || !isApplicableTo(position, changes)) {
       return Adoption.UNCHANGED;
     }
     Optional<Map<String, StoreItem>> patched = applyPatches(changes.patches());
     if (patched.isEmpty()) {
-      return Adoption.UNFIT;
+      return Adoption.PATCH_MISMATCH;
     }
     boolean changed =
         changes.isWhole() ? adoptFullState(changes) : adoptChanges(changes, patched.get());
@@ -324,7 +324,7 @@
   private boolean adoptFullState(StoreChanges changes) {
     Map<String, StoreItem> adopted = new HashMap<>();
     changes.items().forEach(item -> adopted.put(item.key(), item));
-    return replaceState(adopted, changes.at());
+    return replaceState(adopted, changes.position());
   }
 
   private boolean adoptChanges(StoreChanges changes, Map<String, StoreItem> patched) {
@@ -336,13 +336,13 @@
       }
     }
     items.putAll(patched);
-    for (StoreEvent.Gone delete : changes.gone()) {
+    for (StoreEvent.Delete delete : changes.removed()) {
       changed |= apply(delete);
     }
     for (StoreItem item : changes.items()) {
       changed |= apply(new StoreEvent.Put(item));
     }
-    position = changes.at();
+    position = changes.position();
     return changed;
   }
 
@@ -370,17 +370,17 @@
             .ifPresentOrElse(patches::addAll, () -> written.add(item));
       }
     }
-    List<StoreEvent.Gone> removed =
+    List<StoreEvent.Delete> removed =
         removals.stream().filter(removal -> removal.revision() > after).toList();
     return new StoreChanges(request.after(), position, written, removed, patches);
   }
 
   private StoreChanges fullState() {
-    return new StoreChanges(StorePosition.NOTHING, position, items(), List.of());
+    return new StoreChanges(StorePosition.UNKNOWN, position, items(), List.of());
   }
 
   /** Describes the state of this node, as a request for the changes since then. */
-  public StateRequest request() {
+  public StateRequest stateRequest() {
     StoreItem largest = null;
     for (StoreItem item : items.values()) {
       if (largest == null || item.value().length() > largest.value().length()) {
@@ -395,13 +395,13 @@
     return List.copyOf(items.values());
   }
 
-  /** Position of the items; {@link StorePosition#NOTHING} before the first complete read. */
-  public StorePosition at() {
+  /** Position of the items; {@link StorePosition#UNKNOWN} before the first complete read. */
+  public StorePosition position() {
     return position;
   }
 
   /** When the store last responded, milliseconds; -1 if never. */
-  public long heardAtMillis() {
+  public long lastResponseMillis() {
     return lastResponseMillis;
   }
 }
--- a/umberpath-control/src/main/java/io/umberpath/control/store/StoreWatcherSettings.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/StoreWatcherSettings.java
@@ -26,7 +26,7 @@
   private static final double HALF = 0.5;
 
   /** Longest time between two responses while nothing fails, milliseconds. */
-  public long longestQuietMillis() {
+  public long longestResponseGapMillis() {
     return Math.max(pauseMillis, fastPollPauseMillis) + longestWaitMillis();
   }
 
--- a/umberpath-control/src/test/java/io/umberpath/control/TestFleet.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/TestFleet.java
@@ -60,7 +60,7 @@
   BiConsumer<Long, String> trace = (time, text) -> {};
   private final SplittableRandom random;
   private final PriorityQueue<Event> events = new PriorityQueue<>();
-  private final SharedStates shared = new SharedStates(64);
+  private final SharedStateCache shared = new SharedStateCache(64);
   private final Map<Version, Long> contentByVersion = new HashMap<>();
   private final int zones;
   private final int size;
--- a/umberpath-control/src/test/java/io/umberpath/control/VoteOutcomeTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/VoteOutcomeTest.java
@@ -72,7 +72,7 @@
             500,
             100,
             1_000);
-    return new NodeContext(settings, new SharedStates(4), Optional.empty());
+    return new NodeContext(settings, new SharedStateCache(4), Optional.empty());
   }
 
   /**
--- a/umberpath-control/src/test/java/io/umberpath/control/membership/KnownPeersTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/membership/KnownPeersTest.java
@@ -19,10 +19,10 @@
   private void run(long from, long to, String... heard) {
     for (long now = from; now <= to; now += 250) {
       for (String each : heard) {
-        peers.heard(now, each);
+        peers.recordHeard(now, each);
       }
       peers.tick(now);
-      peers.replace(now, LISTED);
+      peers.replaceListed(now, LISTED);
     }
   }
 
@@ -30,15 +30,15 @@
   void eachPeerBecomesSilentAfterItsOwnTimeout() {
     run(0, 2_000);
 
-    assertThat(peers.silent(2_000)).containsExactly("a");
-    assertThat(peers.silent(4_500)).containsExactlyInAnyOrder("a", "b");
+    assertThat(peers.silentPeers(2_000)).containsExactly("a");
+    assertThat(peers.silentPeers(4_500)).containsExactlyInAnyOrder("a", "b");
   }
 
   @Test
   void reportingPeersAreNotSilent() {
     run(0, 6_000, "a", "b");
 
-    assertThat(peers.silent(6_000)).isEmpty();
+    assertThat(peers.silentPeers(6_000)).isEmpty();
   }
 
   @Test
@@ -46,7 +46,7 @@
     run(0, 2_000, "a", "b");
     peers.tick(8_000);
 
-    assertThat(peers.silent(8_000)).isEmpty();
+    assertThat(peers.silentPeers(8_000)).isEmpty();
   }
 
   @Test
@@ -54,20 +54,20 @@
     run(0, 500, "a", "unlisted");
 
     assertThat(peers.others()).containsExactlyInAnyOrder("a", "b", "unlisted");
-    assertThat(peers.silent(4_500)).doesNotContain("unlisted");
-    assertThat(peers.silent(4_501)).contains("unlisted");
+    assertThat(peers.silentPeers(4_500)).doesNotContain("unlisted");
+    assertThat(peers.silentPeers(4_501)).contains("unlisted");
 
-    peers.replace(10_501, LISTED);
+    peers.replaceListed(10_501, LISTED);
     assertThat(peers.others()).containsExactlyInAnyOrder("a", "b");
   }
 
   @Test
   void delistedPeerIsKnownWhileItReports() {
     run(0, 500, "a", "b");
-    peers.replace(750, Map.of("b", in("z", 900)));
+    peers.replaceListed(750, Map.of("b", in("z", 900)));
     assertThat(peers.others()).containsExactlyInAnyOrder("a", "b");
 
-    peers.replace(20_000, Map.of("b", in("z", 900)));
+    peers.replaceListed(20_000, Map.of("b", in("z", 900)));
     assertThat(peers.others()).containsExactly("b");
   }
 
@@ -78,20 +78,20 @@
   @Test
   void failedPeerStaysSilentAfterItIsDelisted() {
     run(0, 2_000, "b");
-    assertThat(peers.silent(2_000)).containsExactly("a");
+    assertThat(peers.silentPeers(2_000)).containsExactly("a");
 
-    peers.replace(2_250, Map.of("self", in("z", 900), "b", in("z", 4_000)));
+    peers.replaceListed(2_250, Map.of("self", in("z", 900), "b", in("z", 4_000)));
 
-    assertThat(peers.silent(2_250)).containsExactly("a");
+    assertThat(peers.silentPeers(2_250)).containsExactly("a");
   }
 
   /** No report is forwarded through a node that is silent, listed or not. */
   @Test
   void delistedPeerStillCountsAsSilent() {
     run(0, 2_000, "b");
-    peers.replace(2_250, Map.of("self", in("z", 900), "b", in("z", 4_000)));
+    peers.replaceListed(2_250, Map.of("self", in("z", 900), "b", in("z", 4_000)));
 
-    assertThat(peers.unheard(Set.of("a", "b"), 2_250, 600)).containsExactly("a");
+    assertThat(peers.silentFor(Set.of("a", "b"), 2_250, 600)).containsExactly("a");
   }
 
   /**
@@ -100,15 +100,15 @@
    */
   @Test
   void unlistedPeerIsInTheZoneThatItStates() {
-    peers.heard(0, "c");
+    peers.recordHeard(0, "c");
     assertThat(peers.zoneOf("c")).isEmpty();
 
-    peers.place("c", in("y", 900));
+    peers.updateLocation("c", in("y", 900));
     assertThat(peers.zoneOf("c")).contains("y");
-    assertThat(peers.silent(901)).containsExactly("c");
+    assertThat(peers.silentPeers(901)).containsExactly("c");
 
-    peers.replace(0, Map.of("c", in("z", 4_000)));
-    peers.place("c", in("y", 900));
+    peers.replaceListed(0, Map.of("c", in("z", 4_000)));
+    peers.updateLocation("c", in("y", 900));
     assertThat(peers.zoneOf("c")).contains("z");
   }
 
@@ -118,22 +118,22 @@
   @Test
   void relistedPeerIsSilentUntilItReports() {
     run(0, 2_000, "b");
-    peers.replace(2_250, Map.of("self", in("z", 900), "b", in("z", 4_000)));
-    peers.replace(2_500, LISTED);
+    peers.replaceListed(2_250, Map.of("self", in("z", 900), "b", in("z", 4_000)));
+    peers.replaceListed(2_500, LISTED);
 
-    assertThat(peers.silent(2_500)).containsExactly("a");
+    assertThat(peers.silentPeers(2_500)).containsExactly("a");
 
-    peers.heard(2_600, "a");
-    assertThat(peers.silent(2_600)).isEmpty();
+    peers.recordHeard(2_600, "a");
+    assertThat(peers.silentPeers(2_600)).isEmpty();
   }
 
   /** A report that arrives after a pause, before the next tick, must not be dated in the future. */
   @Test
   void pauseOfThisNodeMovesNoReportIntoTheFuture() {
     run(0, 2_000, "a", "b");
-    peers.heard(22_000, "a");
+    peers.recordHeard(22_000, "a");
     peers.tick(22_000);
 
-    assertThat(peers.silent(22_901)).containsExactly("a");
+    assertThat(peers.silentPeers(22_901)).containsExactly("a");
   }
 }
--- a/umberpath-control/src/test/java/io/umberpath/control/membership/MembershipAtScaleTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/membership/MembershipAtScaleTest.java
@@ -31,7 +31,7 @@
     private final List<String> sameZone = new ArrayList<>();
     private final Map<String, List<String>> otherZones = new HashMap<>();
     private final Map<String, Long> sameZoneHeardAt = new HashMap<>();
-    private SilenceTimes timeouts;
+    private SilenceTimeouts timeouts;
     private Set<String> silent = Set.of();
     private boolean isDead;
     private long sent;
@@ -48,7 +48,7 @@
      * again.
      */
     Set<String> silent(long now) {
-      Set<String> current = known.silent(now);
+      Set<String> current = known.silentPeers(now);
       if (!current.equals(silent)) {
         silent = current;
       }
@@ -75,7 +75,7 @@
           node.otherZones.computeIfAbsent(other.zone, absent -> new ArrayList<>()).add(other.host);
         }
       }
-      SilenceTimes times = SilenceTimes.of(node.sameZone.size() + 1);
+      SilenceTimeouts times = SilenceTimeouts.of(node.sameZone.size() + 1);
       node.timeouts = times;
       Map<String, KnownPeers.ListedPeer> listed = new HashMap<>();
       for (Node other : nodes.values()) {
@@ -83,7 +83,7 @@
         long silentMillis = isNear ? times.nearMillis() : times.farMillis();
         listed.put(other.host, new KnownPeers.ListedPeer(other.zone, silentMillis));
       }
-      node.known.replace(0, listed);
+      node.known.replaceListed(0, listed);
     }
   }
 
@@ -98,7 +98,7 @@
 
   private void send(long now, Node node) {
     Set<String> silent = node.silent(now);
-    Set<String> suspects = node.known.unheard(node.sameZone, now, node.timeouts.quietMillis());
+    Set<String> suspects = node.known.silentFor(node.sameZone, now, node.timeouts.suspectMillis());
     ReportSchedule.Round round =
         node.schedule.next(node.sameZone, node.otherZones, silent, suspects);
     boolean needsDigest = !round.gossipTo().isEmpty() || !round.digestTo().isEmpty();
@@ -126,7 +126,7 @@
   private static void receive(Node receiver, Map<String, Long> reports) {
     reports.forEach(
         (host, at) -> {
-          receiver.known.heard(at, host);
+          receiver.known.recordHeard(at, host);
           if (!host.equals(receiver.host)) {
             receiver.sameZoneHeardAt.merge(host, at, Math::max);
           }
@@ -141,11 +141,11 @@
   }
 
   private void relay(Map<String, Long> digest, Node relay) {
-    digest.forEach((host, at) -> relay.known.heard(at, host));
+    digest.forEach((host, at) -> relay.known.recordHeard(at, host));
     for (String near : relay.sameZone) {
       Node receiver = nodes.get(near);
       if (arrives(relay, receiver)) {
-        digest.forEach((host, at) -> receiver.known.heard(at, host));
+        digest.forEach((host, at) -> receiver.known.recordHeard(at, host));
       }
     }
   }
@@ -162,10 +162,10 @@
     lossProbability = 0.05;
     build(size, zones);
 
-    for (long now = 0; now < RUN_MILLIS; now += SilenceTimes.ROUND_MILLIS) {
+    for (long now = 0; now < RUN_MILLIS; now += SilenceTimeouts.ROUND_MILLIS) {
       round(now);
       for (Node node : nodes.values()) {
-        Set<String> silent = node.known.silent(now);
+        Set<String> silent = node.known.silentPeers(now);
         if (!silent.isEmpty()) {
           assertThat(silent).as("%s ms, %s", now, node.host).isEmpty();
         }
@@ -186,7 +186,7 @@
   @CsvSource({"10, 3", "95, 7", "300, 7", "1000, 8"})
   void failedNodesBecomeSilentToAllOthersWithinTheTimeoutsOfTheirZone(int size, int zones) {
     build(size, zones);
-    for (long now = 0; now < 5_000; now += SilenceTimes.ROUND_MILLIS) {
+    for (long now = 0; now < 5_000; now += SilenceTimeouts.ROUND_MILLIS) {
       round(now);
     }
     Set<String> dead = new HashSet<>();
@@ -197,20 +197,20 @@
         dead.add(node.host);
       }
     }
-    long end = 5_000 + SilenceTimes.of(size / zones + 1).farMillis() + 1_000;
-    for (long now = 5_000; now < end; now += SilenceTimes.ROUND_MILLIS) {
+    long end = 5_000 + SilenceTimeouts.of(size / zones + 1).farMillis() + 1_000;
+    for (long now = 5_000; now < end; now += SilenceTimeouts.ROUND_MILLIS) {
       round(now);
       for (Node node : nodes.values()) {
         // Reports of live nodes must be routed around the failed ones.
-        if (!node.isDead && !dead.containsAll(node.known.silent(now))) {
-          assertThat(dead).containsAll(node.known.silent(now));
+        if (!node.isDead && !dead.containsAll(node.known.silentPeers(now))) {
+          assertThat(dead).containsAll(node.known.silentPeers(now));
         }
       }
     }
 
     for (Node node : nodes.values()) {
       if (!node.isDead) {
-        assertThat(node.known.silent(end)).containsExactlyInAnyOrderElementsOf(dead);
+        assertThat(node.known.silentPeers(end)).containsExactlyInAnyOrderElementsOf(dead);
       }
     }
   }
--- a/umberpath-control/src/test/java/io/umberpath/control/store/BackendListingTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/store/BackendListingTest.java
@@ -2,9 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.umberpath.control.store.BackendListing.Believed;
-import io.umberpath.control.store.BackendListing.Listed;
-import io.umberpath.control.store.BackendListing.Shown;
+import io.umberpath.control.store.BackendListing.EffectiveListing;
+import io.umberpath.control.store.BackendListing.StoreView;
+import io.umberpath.control.store.BackendListing.StoredEntry;
 import io.umberpath.model.PeerAddress;
 import io.umberpath.model.routing.BackendEntry;
 import io.umberpath.model.routing.BackendEntry.State;
@@ -17,25 +17,25 @@
 final class BackendListingTest {
   private final BackendListing listing = new BackendListing();
 
-  private static Listed entry(String id, int port, State state, long revision) {
+  private static StoredEntry entry(String id, int port, State state, long revision) {
     PeerAddress address = new PeerAddress("10.0.0.1", port);
-    return new Listed(new BackendEntry(id, "booking", address, "z", 6, state, 0), revision);
+    return new StoredEntry(new BackendEntry(id, "booking", address, "z", 6, state, 0), revision);
   }
 
-  private static Listed ready(String id, int port, long revision) {
+  private static StoredEntry ready(String id, int port, long revision) {
     return entry(id, port, State.READY, revision);
   }
 
-  private static Listed draining(String id, int port, long revision) {
+  private static StoredEntry draining(String id, int port, long revision) {
     return entry(id, port, State.DRAINING, revision);
   }
 
   /** Sorted ids of the backends that accept new requests. */
-  private List<String> ready(long nowMillis, long era, long revision, Listed... listed) {
+  private List<String> ready(long nowMillis, long era, long revision, StoredEntry... listed) {
     return ready(update(listing, nowMillis, era, revision, Set.of(), listed));
   }
 
-  private static List<String> ready(Believed believed) {
+  private static List<String> ready(EffectiveListing believed) {
     return believed.entries().stream()
         .filter(entry -> entry.state() == State.READY)
         .map(BackendEntry::id)
@@ -43,14 +43,14 @@
         .toList();
   }
 
-  private static Believed update(
+  private static EffectiveListing update(
       BackendListing listing,
       long nowMillis,
       long era,
       long revision,
       Set<String> zones,
-      Listed... listed) {
-    Shown shown = new Shown(new StorePosition(era, revision), List.of(listed), zones);
+      StoredEntry... listed) {
+    StoreView shown = new StoreView(new StorePosition(era, revision), List.of(listed), zones);
     return listing.update(nowMillis, shown, service -> true);
   }
 
@@ -81,30 +81,30 @@
     ready(100, 1, 12, ready("b", 81, 4));
 
     assertThat(ready(200, 2, 10, ready("a", 80, 3), ready("b", 81, 4))).containsExactly("b");
-    long kept = 200 + BackendListing.KEPT_MILLIS;
+    long kept = 200 + BackendListing.RETENTION_MILLIS;
     assertThat(ready(kept, 2, 10, ready("a", 80, 3), ready("b", 81, 4))).containsExactly("b");
-    assertThat(listing.isDue(200 + BackendListing.UNRENEWED_MILLIS - 1)).isFalse();
-    assertThat(listing.isDue(200 + BackendListing.UNRENEWED_MILLIS)).isTrue();
+    assertThat(listing.isUpdateDue(200 + BackendListing.UNRENEWED_ENTRY_MILLIS - 1)).isFalse();
+    assertThat(listing.isUpdateDue(200 + BackendListing.UNRENEWED_ENTRY_MILLIS)).isTrue();
 
-    long renewed = 200 + BackendListing.UNRENEWED_MILLIS;
+    long renewed = 200 + BackendListing.UNRENEWED_ENTRY_MILLIS;
     assertThat(ready(renewed, 2, 10, ready("a", 80, 3), ready("b", 81, 4)))
         .containsExactly("a", "b");
-    assertThat(listing.isDue(Long.MAX_VALUE - 1)).isFalse();
+    assertThat(listing.isUpdateDue(Long.MAX_VALUE - 1)).isFalse();
   }
 
   @Test
   void entriesMissingFromTheCopyAreRetainedForALimitedTime() {
     update(listing, 0, 1, 10, Set.of("z"), ready("a", 80, 3), ready("new", 81, 9));
 
-    Believed restored = update(listing, 200, 2, 8, Set.of(), ready("a", 80, 3));
+    EffectiveListing restored = update(listing, 200, 2, 8, Set.of(), ready("a", 80, 3));
     assertThat(ready(restored)).containsExactly("a", "new");
     assertThat(restored.evacuatedZones()).containsExactly("z");
-    assertThat(listing.keptEntries()).isEqualTo(1);
-    assertThat(listing.isDue(200 + BackendListing.KEPT_MILLIS)).isTrue();
+    assertThat(listing.retainedEntryCount()).isEqualTo(1);
+    assertThat(listing.isUpdateDue(200 + BackendListing.RETENTION_MILLIS)).isTrue();
 
-    long settled = 200 + BackendListing.KEPT_MILLIS;
+    long settled = 200 + BackendListing.RETENTION_MILLIS;
     assertThat(ready(settled, 2, 8, ready("a", 80, 3))).containsExactly("a");
-    assertThat(listing.keptEntries()).isZero();
+    assertThat(listing.retainedEntryCount()).isZero();
   }
 
   @Test
@@ -152,15 +152,15 @@
   void departuresReachANodeThatReadsOnlyTheCopy() {
     ready(0, 1, 10, ready("a", 80, 3), ready("b", 81, 4), ready("c", 82, 5));
     ready(100, 1, 12, draining("a", 80, 11), ready("c", 82, 5));
-    Listed[] copy = {ready("a", 80, 3), ready("b", 81, 4), ready("c", 82, 5)};
+    StoredEntry[] copy = {ready("a", 80, 3), ready("b", 81, 4), ready("c", 82, 5)};
     ready(200, 2, 10, copy);
     BackendListing other = new BackendListing();
     assertThat(ready(update(other, 0, 2, 10, Set.of(), copy))).containsExactly("a", "b", "c");
 
-    assertThat(other.learn(100, listing.told())).isTrue();
+    assertThat(other.addDepartures(100, listing.departuresToShare())).isTrue();
 
     assertThat(ready(update(other, 100, 2, 10, Set.of(), copy))).containsExactly("c");
-    assertThat(other.learn(200, listing.told())).isFalse();
+    assertThat(other.addDepartures(200, listing.departuresToShare())).isFalse();
   }
 
   @Test
@@ -169,32 +169,32 @@
     ready(200, 2, 8, ready("a", 80, 3));
 
     assertThat(ready(300, 3, 7, ready("a", 80, 3))).containsExactly("a", "new");
-    assertThat(listing.isDue(200 + BackendListing.KEPT_MILLIS)).isFalse();
+    assertThat(listing.isUpdateDue(200 + BackendListing.RETENTION_MILLIS)).isFalse();
   }
 
   @Test
   void rememberedDeparturesAreBounded() {
     int count = DepartedStarts.MAX_STARTS + 500;
-    Listed[] all =
+    StoredEntry[] all =
         Stream.iterate(0, index -> index + 1)
             .limit(count)
             .map(index -> ready("i-" + index, 1_000 + index, 3))
-            .toArray(Listed[]::new);
+            .toArray(StoredEntry[]::new);
     ready(0, 1, 10, all);
     ready(100, 1, 12);
 
-    assertThat(listing.told()).hasSizeLessThan(100);
+    assertThat(listing.departuresToShare()).hasSizeLessThan(100);
     assertThat(ready(200, 2, 10, all)).hasSize(500);
   }
 
   @Test
   void unchangedEntriesKeepObjectIdentity() {
-    Listed draining = draining("a", 80, 12);
-    Listed copied = ready("a", 80, 3);
+    StoredEntry draining = draining("a", 80, 12);
+    StoredEntry copied = ready("a", 80, 3);
     ready(0, 1, 12, draining);
 
-    Believed first = update(listing, 100, 2, 10, Set.of(), copied);
-    Believed second = update(listing, 200, 2, 11, Set.of(), copied);
+    EffectiveListing first = update(listing, 100, 2, 10, Set.of(), copied);
+    EffectiveListing second = update(listing, 200, 2, 11, Set.of(), copied);
 
     assertThat(second.entries().get(0)).isSameAs(first.entries().get(0));
   }
--- a/umberpath-control/src/test/java/io/umberpath/control/store/ReaderElectionTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/store/ReaderElectionTest.java
@@ -29,7 +29,7 @@
   private boolean reads(ReaderElection election, String self, long now, Set<String> refused) {
     List<String> others = new ArrayList<>(RANKED);
     others.remove(self);
-    return election.decide(now, others, calling, refused, ZONES, DETECTION_MILLIS).reads();
+    return election.decide(now, others, calling, refused, ZONES, DETECTION_MILLIS).isReader();
   }
 
   private static ReaderElection electionOf(int rank) {
--- a/umberpath-control/src/test/java/io/umberpath/control/store/RestoredStoreWatcherTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/store/RestoredStoreWatcherTest.java
@@ -27,66 +27,66 @@
     return new StorePosition(era, revision);
   }
 
-  private static StoreAnswer.Page page(StorePosition at, StoreItem... items) {
-    return new StoreAnswer.Page(List.of(items), false, at);
+  private static StoreResponse.Page page(StorePosition at, StoreItem... items) {
+    return new StoreResponse.Page(List.of(items), false, at);
   }
 
-  private static StoreAnswer.Events events(StorePosition at, StoreEvent... events) {
-    return new StoreAnswer.Events(List.of(events), at);
+  private static StoreResponse.Events events(StorePosition at, StoreEvent... events) {
+    return new StoreResponse.Events(List.of(events), at);
   }
 
   private static StoreItem large(String end, long revision) {
     return item("large", "{some text}".repeat(1_000) + end, revision);
   }
 
-  private StoreCall call() {
-    return ((Step.Call) watcher.next(0)).call();
+  private StoreRequest call() {
+    return ((Step.Call) watcher.nextStep(0)).call();
   }
 
   /** Holds revision 20 of era 1 and is then told that the store no longer has it. */
   private void expireHistory() {
-    watcher.answered(0, page(position(1, 20), item("a", "1", 18), item("b", "1", 20)));
+    watcher.onResponse(0, page(position(1, 20), item("a", "1", 18), item("b", "1", 20)));
     call();
-    watcher.answered(0, new StoreAnswer.HistoryGone(2));
+    watcher.onResponse(0, new StoreResponse.HistoryGone(2));
   }
 
   @Test
   void readInANewerEraReplacesAStateWithAHigherRevision() {
     expireHistory();
-    assertThat(call()).isEqualTo(new StoreCall.Read("", Optional.empty()));
+    assertThat(call()).isEqualTo(new StoreRequest.Read("", Optional.empty()));
 
-    assertThat(watcher.answered(0, page(position(2, 18), item("a", "1", 18)))).isTrue();
+    assertThat(watcher.onResponse(0, page(position(2, 18), item("a", "1", 18)))).isTrue();
 
     assertThat(watcher.items()).containsExactly(item("a", "1", 18));
-    assertThat(watcher.at()).isEqualTo(position(2, 18));
-    assertThat(call()).isEqualTo(new StoreCall.Watch("", 18, 6_000));
+    assertThat(watcher.position()).isEqualTo(position(2, 18));
+    assertThat(call()).isEqualTo(new StoreRequest.Watch("", 18, 6_000));
   }
 
   /** The revisions of the new era exceed the held one, so the watch is not rejected. */
   @Test
   void eventsOfANewerEraAreNotAppliedToAStateOfThePreviousEra() {
-    watcher.answered(0, page(position(1, 20), item("a", "1", 18)));
+    watcher.onResponse(0, page(position(1, 20), item("a", "1", 18)));
     call();
 
     boolean changed =
-        watcher.answered(0, events(position(2, 22), new StoreEvent.Put(item("a", "3", 22))));
+        watcher.onResponse(0, events(position(2, 22), new StoreEvent.Put(item("a", "3", 22))));
 
     assertThat(changed).isFalse();
-    assertThat(call()).isInstanceOf(StoreCall.Read.class);
+    assertThat(call()).isInstanceOf(StoreRequest.Read.class);
   }
 
   @Test
   void eventsOfAWatchFromThePreviousEraAreNotAppliedToAnAdoptedState() {
-    watcher.answered(0, page(position(1, 20), item("a", "1", 18)));
+    watcher.onResponse(0, page(position(1, 20), item("a", "1", 18)));
     call();
     watcher.adopt(changes(position(2, 15), item("a", "1", 15)));
 
     boolean changed =
-        watcher.answered(0, events(position(2, 22), new StoreEvent.Put(item("b", "3", 22))));
+        watcher.onResponse(0, events(position(2, 22), new StoreEvent.Put(item("b", "3", 22))));
 
     assertThat(changed).isFalse();
-    assertThat(watcher.at()).isEqualTo(position(2, 15));
-    assertThat(call()).isEqualTo(new StoreCall.Watch("", 15, 6_000));
+    assertThat(watcher.position()).isEqualTo(position(2, 15));
+    assertThat(call()).isEqualTo(new StoreRequest.Watch("", 15, 6_000));
   }
 
   /**
@@ -95,50 +95,51 @@
   @Test
   void responsesOfAPreviousEraAreIgnored() {
     expireHistory();
-    watcher.answered(0, page(position(2, 18), item("a", "1", 18)));
+    watcher.onResponse(0, page(position(2, 18), item("a", "1", 18)));
 
-    assertThat(watcher.answered(0, page(position(1, 30), item("a", "9", 30)))).isFalse();
-    assertThat(watcher.answered(0, new StoreAnswer.HistoryGone(1))).isFalse();
+    assertThat(watcher.onResponse(0, page(position(1, 30), item("a", "9", 30)))).isFalse();
+    assertThat(watcher.onResponse(0, new StoreResponse.HistoryGone(1))).isFalse();
     StoreEvent late = new StoreEvent.Put(item("a", "9", 30));
-    assertThat(watcher.answered(0, events(position(1, 30), late))).isFalse();
+    assertThat(watcher.onResponse(0, events(position(1, 30), late))).isFalse();
 
-    assertThat(watcher.at()).isEqualTo(position(2, 18));
-    assertThat(watcher.next(0)).isInstanceOf(Step.Wait.class);
+    assertThat(watcher.position()).isEqualTo(position(2, 18));
+    assertThat(watcher.nextStep(0)).isInstanceOf(Step.Wait.class);
   }
 
   @Test
   void rejectedWatchWithoutAnEraTriggersARead() {
-    watcher.answered(0, page(position(1, 20), item("a", "1", 18)));
+    watcher.onResponse(0, page(position(1, 20), item("a", "1", 18)));
     call();
 
-    watcher.answered(0, new StoreAnswer.HistoryGone(StorePosition.NO_ERA));
+    watcher.onResponse(0, new StoreResponse.HistoryGone(StorePosition.NO_ERA));
 
-    assertThat(call()).isEqualTo(new StoreCall.Read("", Optional.empty()));
+    assertThat(call()).isEqualTo(new StoreRequest.Read("", Optional.empty()));
   }
 
   @Test
   void pagesOfDifferentErasAreNotCombined() {
-    watcher.answered(0, new StoreAnswer.Page(List.of(item("a", "1", 18)), true, position(1, 20)));
+    watcher.onResponse(
+        0, new StoreResponse.Page(List.of(item("a", "1", 18)), true, position(1, 20)));
 
-    watcher.answered(0, page(position(2, 19), item("b", "1", 19)));
+    watcher.onResponse(0, page(position(2, 19), item("b", "1", 19)));
 
     assertThat(watcher.items()).isEmpty();
-    assertThat(call()).isEqualTo(new StoreCall.Read("", Optional.empty()));
+    assertThat(call()).isEqualTo(new StoreRequest.Read("", Optional.empty()));
   }
 
   private static StoreChanges changes(StorePosition at, StoreItem... items) {
-    return new StoreChanges(StorePosition.NOTHING, at, List.of(items), List.of());
+    return new StoreChanges(StorePosition.UNKNOWN, at, List.of(items), List.of());
   }
 
   @Test
   void nodeInThePreviousEraTakesTheFullStateAndOffersNone() {
     expireHistory();
-    watcher.answered(0, page(position(2, 18), item("a", "1", 18)));
+    watcher.onResponse(0, page(position(2, 18), item("a", "1", 18)));
     StoreWatcher behind = watcher();
     behind.adopt(changes(position(1, 25), item("a", "2", 25)));
 
-    StoreChanges given = watcher.changesSince(behind.request());
-    StoreChanges returned = behind.changesSince(watcher.request());
+    StoreChanges given = watcher.changesSince(behind.stateRequest());
+    StoreChanges returned = behind.changesSince(watcher.stateRequest());
 
     assertThat(given.isWhole()).isTrue();
     assertThat(returned.items()).isEmpty();
@@ -146,20 +147,20 @@
     assertThat(watcher.adopt(behind.changesSince(StateRequest.WHOLE)))
         .isEqualTo(Adoption.UNCHANGED);
     assertThat(behind.adopt(given)).isEqualTo(Adoption.CHANGED);
-    assertThat(behind.at()).isEqualTo(position(2, 18));
+    assertThat(behind.position()).isEqualTo(position(2, 18));
   }
 
   @Test
   void patchesDoNotCrossEras() {
-    watcher.answered(0, page(position(1, 20), large("old", 20)));
-    watcher.answered(0, new StoreAnswer.HistoryGone(2));
-    watcher.answered(0, page(position(2, 19), large("copy", 19)));
+    watcher.onResponse(0, page(position(1, 20), large("old", 20)));
+    watcher.onResponse(0, new StoreResponse.HistoryGone(2));
+    watcher.onResponse(0, page(position(2, 19), large("copy", 19)));
     call();
-    watcher.answered(0, events(position(2, 20), new StoreEvent.Put(large("new", 20))));
+    watcher.onResponse(0, events(position(2, 20), new StoreEvent.Put(large("new", 20))));
     StoreWatcher other = watcher();
-    other.answered(0, page(position(1, 19), large("else", 19)));
+    other.onResponse(0, page(position(1, 19), large("else", 19)));
 
-    StoreChanges changes = watcher.changesSince(other.request());
+    StoreChanges changes = watcher.changesSince(other.stateRequest());
 
     assertThat(changes.patches()).isEmpty();
     assertThat(other.adopt(changes)).isEqualTo(Adoption.CHANGED);
@@ -172,16 +173,16 @@
     int calls = 0;
     long now = 0;
     while (now < 10_000) {
-      Step step = watcher.next(now);
+      Step step = watcher.nextStep(now);
       if (step instanceof Step.Wait wait) {
         now = wait.untilMillis();
         continue;
       }
       calls++;
       now++;
-      boolean reads = ((Step.Call) step).call() instanceof StoreCall.Read;
-      watcher.answered(
-          now, reads ? page(position(0, 5)) : new StoreAnswer.HistoryGone(StorePosition.NO_ERA));
+      boolean reads = ((Step.Call) step).call() instanceof StoreRequest.Read;
+      watcher.onResponse(
+          now, reads ? page(position(0, 5)) : new StoreResponse.HistoryGone(StorePosition.NO_ERA));
     }
     assertThat(calls).isLessThan(40);
   }
--- a/umberpath-control/src/test/java/io/umberpath/control/store/StoreReadersTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/store/StoreReadersTest.java
@@ -32,7 +32,7 @@
   }
 
   private static boolean reads(String self, Set<String> others, Set<String> refused) {
-    return new ReaderElection(self, 0).decide(0, others, others, refused, ZONES, 0).reads();
+    return new ReaderElection(self, 0).decide(0, others, others, refused, ZONES, 0).isReader();
   }
 
   @ParameterizedTest
--- a/umberpath-lab/src/main/java/io/umberpath/lab/simulate/StateMachines.java
+++ b/umberpath-lab/src/main/java/io/umberpath/lab/simulate/StateMachines.java
@@ -2,7 +2,7 @@
 
 import io.umberpath.control.ControlNodes;
 import io.umberpath.control.SeededFault;
-import io.umberpath.control.SharedStates;
+import io.umberpath.control.SharedStateCache;
 import io.umberpath.lab.simulate.SimulationSettings.Subject;
 import io.umberpath.lab.simulate.baseline.CentralServerNode;
 import java.util.Arrays;
@@ -25,8 +25,9 @@
 
   private static ControlNodeFactory product(Subject subject) {
     Optional<SeededFault> fault = subject.seededFault().map(StateMachines::fault);
-    SharedStates common = new SharedStates(SHARED_RESULTS);
-    Supplier<SharedStates> states = subject.sharesStates() ? () -> common : SharedStates::new;
+    SharedStateCache common = new SharedStateCache(SHARED_RESULTS);
+    Supplier<SharedStateCache> states =
+        subject.sharesStates() ? () -> common : SharedStateCache::new;
     return fault.isEmpty()
         ? settings -> ControlNodes.create(settings, states.get())
         : settings -> ControlNodes.createWithFault(settings, states.get(), fault.get());
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/EncodedTransferCache.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/EncodedTransferCache.java
@@ -37,7 +37,7 @@
     StoreChanges changes = transfer.changes();
     CacheKey key =
         new CacheKey(
-            changes.after(), changes.at(), firstPatchedRevision(changes), transfer.facts());
+            changes.after(), changes.position(), firstPatchedRevision(changes), transfer.facts());
     return encodedByKey.computeIfAbsent(key, absent -> StateChangesCodec.encode(transfer));
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshEvents.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshEvents.java
@@ -3,9 +3,9 @@
 import com.google.common.flogger.FluentLogger;
 import com.google.common.flogger.LogSite;
 import com.google.common.flogger.MetadataKey;
-import io.umberpath.control.store.StoreAnswer;
 import io.umberpath.control.store.StoreChanges;
 import io.umberpath.control.store.StorePosition;
+import io.umberpath.control.store.StoreResponse;
 import io.umberpath.model.routing.BackendEntry;
 import io.umberpath.model.routing.RoutingConfiguration;
 import io.umberpath.node.clock.BootClock;
@@ -182,20 +182,20 @@
    *
    * @param heldPosition position of this node's state after the response was applied
    */
-  void storeCalled(StoreAnswer response, StorePosition heldPosition) {
-    if (response instanceof StoreAnswer.HistoryGone gone) {
+  void storeCalled(StoreResponse response, StorePosition heldPosition) {
+    if (response instanceof StoreResponse.HistoryGone gone) {
       line(MeshEvent.STORE_HISTORY_GONE)
           .with(POSITION, heldPosition.toString())
           .log("the store is in era %d", gone.storeEra());
     }
-    if (response instanceof StoreAnswer.Page page
-        && !page.more()
-        && heldPosition.isAfter(page.at())) {
+    if (response instanceof StoreResponse.Page page
+        && !page.hasMore()
+        && heldPosition.isAfter(page.position())) {
       line(MeshEvent.STORE_READ_DROPPED)
           .with(POSITION, heldPosition.toString())
-          .log("the store is at %s", page.at());
+          .log("the store is at %s", page.position());
     }
-    if (response instanceof StoreAnswer.Throttled) {
+    if (response instanceof StoreResponse.Throttled) {
       line(MeshEvent.STORE_LOST).with(CAUSE, "throttled").log("store");
     }
   }
@@ -375,7 +375,7 @@
     line(MeshEvent.STATE_ADOPTED)
         .with(LogFields.ADDRESS, peer)
         .with(CONFIGURATION, version)
-        .with(POSITION, changes.at().toString())
+        .with(POSITION, changes.position().toString())
         .with(BEHIND, times.behind())
         .with(CONNECT, times.connect())
         .with(RESPONSE, times.answer())
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshNode.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshNode.java
@@ -1,6 +1,6 @@
 package io.umberpath.node.mesh;
 
-import io.umberpath.control.membership.SilenceTimes;
+import io.umberpath.control.membership.SilenceTimeouts;
 import io.umberpath.control.store.StoreWatcher;
 import io.umberpath.model.PeerAddress;
 import io.umberpath.traffic.quarantine.RequestFingerprint;
@@ -40,7 +40,8 @@
   private static final long PROCESS_PAUSE_MILLIS = 1_000;
 
   private static final int TICKS_PER_SWEEP = 2;
-  private static final int TICKS_PER_REPORT_ROUND = (int) (SilenceTimes.ROUND_MILLIS / TICK_MILLIS);
+  private static final int TICKS_PER_REPORT_ROUND =
+      (int) (SilenceTimeouts.ROUND_MILLIS / TICK_MILLIS);
 
   /** Delay that batches announcements of changes read from the store, milliseconds. */
   static final long ANNOUNCE_DELAY_MILLIS = 50;
@@ -349,7 +350,7 @@
   private double storeAgeSeconds() {
     long heardAt;
     synchronized (state) {
-      heardAt = state.watcher().heardAtMillis();
+      heardAt = state.watcher().lastResponseMillis();
     }
     return heardAt < 0 ? -1 : (clockMillis.getAsLong() - heardAt) / (double) SECOND_MILLIS;
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshState.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshState.java
@@ -1,15 +1,15 @@
 package io.umberpath.node.mesh;
 
 import io.umberpath.control.store.BackendListing;
-import io.umberpath.control.store.BackendListing.Believed;
-import io.umberpath.control.store.BackendListing.Listed;
-import io.umberpath.control.store.BackendListing.Shown;
+import io.umberpath.control.store.BackendListing.EffectiveListing;
+import io.umberpath.control.store.BackendListing.StoreView;
+import io.umberpath.control.store.BackendListing.StoredEntry;
 import io.umberpath.control.store.StateRequest;
-import io.umberpath.control.store.StoreAnswer;
 import io.umberpath.control.store.StoreChanges;
 import io.umberpath.control.store.StoreFacts;
 import io.umberpath.control.store.StoreItem;
 import io.umberpath.control.store.StorePosition;
+import io.umberpath.control.store.StoreResponse;
 import io.umberpath.control.store.StoreWatcher;
 import io.umberpath.model.routing.BackendEntry;
 import io.umberpath.model.routing.RoutingConfiguration;
@@ -101,7 +101,7 @@
     boolean factsChanged;
     StoreWatcher.Adoption adoption;
     synchronized (this) {
-      applyBeforeNewEra(transfer.changes().at().era());
+      applyBeforeNewEra(transfer.changes().position().era());
       factsChanged = mergeFacts(transfer.facts(), peer);
       adoption = watcher.adopt(transfer.changes());
       updateHeldPosition(adoption == StoreWatcher.Adoption.CHANGED);
@@ -112,7 +112,7 @@
     if (factsChanged || adoption == StoreWatcher.Adoption.CHANGED) {
       refresh(peer);
     }
-    if (adoption == StoreWatcher.Adoption.UNFIT) {
+    if (adoption == StoreWatcher.Adoption.PATCH_MISMATCH) {
       return Adoption.PATCH_MISMATCH;
     }
     MeshView now = view;
@@ -125,7 +125,7 @@
    * they contain.
    */
   private void applyBeforeNewEra(long newEra) {
-    if (!view.isFullyApplied() && newEra != watcher.at().era()) {
+    if (!view.isFullyApplied() && newEra != watcher.position().era()) {
       applyItems("a new era");
     }
   }
@@ -137,7 +137,10 @@
    */
   private void updateHeldPosition(boolean isChanged) {
     boolean isApplied = !isChanged && view.isFullyApplied();
-    view = isApplied ? view.withPosition(watcher.at()) : view.withHeldPosition(watcher.at());
+    view =
+        isApplied
+            ? view.withPosition(watcher.position())
+            : view.withHeldPosition(watcher.position());
   }
 
   /**
@@ -145,11 +148,11 @@
    *
    * @return whether the position advanced; the caller then calls {@link #refresh}
    */
-  synchronized boolean handleResponse(long nowMillis, StoreAnswer answer) {
+  synchronized boolean handleResponse(long nowMillis, StoreResponse answer) {
     answer.era().ifPresent(this::applyBeforeNewEra);
-    StorePosition before = watcher.at();
-    boolean isChanged = watcher.answered(nowMillis, answer);
-    boolean hasAdvanced = isChanged || !watcher.at().equals(before);
+    StorePosition before = watcher.position();
+    boolean isChanged = watcher.onResponse(nowMillis, answer);
+    boolean hasAdvanced = isChanged || !watcher.position().equals(before);
     if (hasAdvanced) {
       updateHeldPosition(true);
     }
@@ -157,7 +160,7 @@
   }
 
   private boolean mergeFacts(StoreFacts facts, String peer) {
-    boolean departuresChanged = listing.learn(clockMillis.getAsLong(), facts.departed());
+    boolean departuresChanged = listing.addDepartures(clockMillis.getAsLong(), facts.departed());
     RoutingConfiguration before = accepted;
     facts.configuration().ifPresent(item -> acceptIfNewer(item, peer));
     return departuresChanged || accepted != before;
@@ -165,21 +168,21 @@
 
   /** The position of the held items, from which a peer is to send changes. */
   synchronized StateRequest stateRequest() {
-    return watcher.request();
+    return watcher.stateRequest();
   }
 
   /** The changes that another node lacks, with the facts that outlast a restored store. */
   synchronized StateTransfer transferFor(TransferRequest request) {
     StoreChanges changes = watcher.changesSince(request.state());
     // Items that are not applied yet may be of an older copy of the store.
-    boolean isOfAppliedEra = watcher.at().era() == view.position().era();
+    boolean isOfAppliedEra = watcher.position().era() == view.position().era();
     boolean isIncluded = isInStore(acceptedItem) && isOfAppliedEra;
     boolean needsConfiguration =
         accepted != null && !isIncluded && request.version() < accepted.version();
     StoreFacts facts =
         new StoreFacts(
             needsConfiguration ? Optional.of(acceptedItem) : Optional.empty(),
-            changes.isWhole() || request.wantsFacts() ? listing.told() : List.of());
+            changes.isWhole() || request.wantsFacts() ? listing.departuresToShare() : List.of());
     return new StateTransfer(changes, facts);
   }
 
@@ -194,7 +197,7 @@
 
   /** Applies the items again when entries kept after a store restore are due to be dropped. */
   synchronized void applyIfDue() {
-    if (listing.isDue(clockMillis.getAsLong())) {
+    if (listing.isUpdateDue(clockMillis.getAsLong())) {
       applyItems("time");
     }
   }
@@ -215,13 +218,13 @@
   private synchronized void applyItems(String source) {
     List<StoreItem> items = watcher.items();
     RoutingTable table = view.table();
-    List<Listed> entries = new ArrayList<>();
+    List<StoredEntry> entries = new ArrayList<>();
     Set<String> evacuated = new HashSet<>();
     for (StoreItem item : items) {
       if (documents.isConfiguration(item.key())) {
         handleStoreConfiguration(item, source);
       } else if (documents.isBackend(item.key())) {
-        backendEntry(item).ifPresent(entry -> entries.add(new Listed(entry, item.revision())));
+        backendEntry(item).ifPresent(entry -> entries.add(new StoredEntry(entry, item.revision())));
       } else {
         documents.evacuatedZone(item.key()).ifPresent(evacuated::add);
       }
@@ -231,23 +234,25 @@
       table = configurations.routingTable(accepted);
     }
     BackendDirectory backends = view.backends();
-    Believed resolved = resolveBackends(new Shown(watcher.at(), entries, evacuated), source);
+    EffectiveListing resolved =
+        resolveBackends(new StoreView(watcher.position(), entries, evacuated), source);
     if (!backends.isBuiltFrom(resolved.entries(), resolved.evacuatedZones())) {
       // An unchanged directory is kept, and with it what is derived from it, such as peer views.
       backends = new BackendDirectory(resolved.entries(), resolved.evacuatedZones());
-      events.backendsChanged(view.backends(), backends, watcher.at(), source);
+      events.backendsChanged(view.backends(), backends, watcher.position(), source);
     }
-    view = new MeshView(accepted, table, backends, watcher.at(), watcher.at());
+    view = new MeshView(accepted, table, backends, watcher.position(), watcher.position());
   }
 
-  private Believed resolveBackends(Shown storeContent, String source) {
-    int keptBefore = listing.keptEntries();
-    Believed resolved = listing.update(clockMillis.getAsLong(), storeContent, this::isKnownService);
+  private EffectiveListing resolveBackends(StoreView storeContent, String source) {
+    int keptBefore = listing.retainedEntryCount();
+    EffectiveListing resolved =
+        listing.update(clockMillis.getAsLong(), storeContent, this::isKnownService);
     StorePosition before = view.position();
-    if (before.isKnown() && before.era() != storeContent.at().era()) {
-      events.storeEraBegan(before, storeContent.at(), source, listing.keptEntries());
-    } else if (keptBefore > 0 && listing.keptEntries() == 0) {
-      events.storeEraSettled(storeContent.at(), keptBefore);
+    if (before.isKnown() && before.era() != storeContent.position().era()) {
+      events.storeEraBegan(before, storeContent.position(), source, listing.retainedEntryCount());
+    } else if (keptBefore > 0 && listing.retainedEntryCount() == 0) {
+      events.storeEraSettled(storeContent.position(), keptBefore);
     }
     return resolved;
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshView.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshView.java
@@ -21,7 +21,7 @@
     StorePosition heldPosition) {
   static final MeshView EMPTY =
       new MeshView(
-          null, null, BackendDirectory.EMPTY, StorePosition.NOTHING, StorePosition.NOTHING);
+          null, null, BackendDirectory.EMPTY, StorePosition.UNKNOWN, StorePosition.UNKNOWN);
 
   /** Whether requests can be routed. */
   boolean isComplete() {
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerExchange.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerExchange.java
@@ -1,7 +1,7 @@
 package io.umberpath.node.mesh;
 
 import io.umberpath.control.membership.ReportSchedule;
-import io.umberpath.control.membership.SilenceTimes;
+import io.umberpath.control.membership.SilenceTimeouts;
 import io.umberpath.control.store.ReaderElection;
 import io.umberpath.control.store.StorePosition;
 import io.umberpath.model.routing.BackendEntry;
@@ -78,7 +78,7 @@
             () -> failureDetector.silenceTimes().nearMillis(),
             reports,
             drainingHosts,
-            SilenceTimes.ROUND_MILLIS);
+            SilenceTimeouts.ROUND_MILLIS);
     this.schedule = new ReportSchedule(self);
     this.socket = new ReportSocket(settings.exchange(), this::handle, events);
     this.suspects =
@@ -136,7 +136,7 @@
     PeerView current = failureDetector.peers();
     List<String> relays;
     synchronized (schedule) {
-      relays = schedule.relays(current.farByZone(), current.silent());
+      relays = schedule.relayReceivers(current.farByZone(), current.silent());
     }
     List<PeerMessage.Entry> ownEntry = List.of(ownEntry(report));
     socket.send(PeerMessage.Kind.REPORTS, ownEntry, current.near());
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerFailureDetector.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerFailureDetector.java
@@ -1,8 +1,8 @@
 package io.umberpath.node.mesh;
 
 import io.umberpath.control.membership.KnownPeers;
-import io.umberpath.control.membership.Rendezvous;
-import io.umberpath.control.membership.SilenceTimes;
+import io.umberpath.control.membership.RendezvousHash;
+import io.umberpath.control.membership.SilenceTimeouts;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
@@ -28,7 +28,7 @@
   private BackendDirectory listedBackends;
 
   private volatile PeerView peers = PeerView.EMPTY;
-  private volatile SilenceTimes silenceTimes = SilenceTimes.of(1);
+  private volatile SilenceTimeouts silenceTimes = SilenceTimeouts.of(1);
 
   PeerFailureDetector(MeshSettings settings, Supplier<MeshView> view, MeshEvents events) {
     this.self = settings.exchange().host();
@@ -44,7 +44,7 @@
   }
 
   /** The current silence timeouts. */
-  SilenceTimes silenceTimes() {
+  SilenceTimeouts silenceTimes() {
     return silenceTimes;
   }
 
@@ -61,11 +61,11 @@
       BackendDirectory current = view.get().backends();
       boolean isSameBackends = current == listedBackends;
       if (!isSameBackends) {
-        knownPeers.replace(nowMillis, listedPeers(current));
+        knownPeers.replaceListed(nowMillis, listedPeers(current));
         listedBackends = current;
       }
       Set<String> others = knownPeers.others();
-      Set<String> silent = knownPeers.silent(nowMillis);
+      Set<String> silent = knownPeers.silentPeers(nowMillis);
       boolean isUnchanged =
           isSameBackends && others.equals(peers.others()) && silent.equals(peers.silent());
       return isUnchanged ? peers : PeerView.of(others, silent, zone, knownPeers::zoneOf);
@@ -77,15 +77,15 @@
     for (String host : directory.hosts()) {
       zones.put(host, directory.atHost(host).get(0).zone());
     }
-    SilenceTimes times =
-        SilenceTimes.of((int) zones.values().stream().filter(zone::equals).count());
+    SilenceTimeouts times =
+        SilenceTimeouts.of((int) zones.values().stream().filter(zone::equals).count());
     silenceTimes = times;
     Map<String, KnownPeers.ListedPeer> listedPeers = new HashMap<>();
     zones.forEach((host, hostZone) -> listedPeers.put(host, listedPeer(hostZone, times)));
     return listedPeers;
   }
 
-  private KnownPeers.ListedPeer listedPeer(String hostZone, SilenceTimes times) {
+  private KnownPeers.ListedPeer listedPeer(String hostZone, SilenceTimeouts times) {
     boolean isNear = hostZone.equals(zone);
     return new KnownPeers.ListedPeer(hostZone, isNear ? times.nearMillis() : times.farMillis());
   }
@@ -106,15 +106,16 @@
   /** Records a report of a node, which states its zone if the store does not list it. */
   void recordReport(long atMillis, String host, Optional<String> statedZone) {
     synchronized (knownPeers) {
-      knownPeers.heard(atMillis, host);
-      statedZone.ifPresent(stated -> knownPeers.place(host, listedPeer(stated, silenceTimes)));
+      knownPeers.recordHeard(atMillis, host);
+      statedZone.ifPresent(
+          stated -> knownPeers.updateLocation(host, listedPeer(stated, silenceTimes)));
     }
   }
 
   /** Nodes of this zone that have been unheard for so long that no gossip goes through them. */
   Set<String> quietPeers(long nowMillis) {
     synchronized (knownPeers) {
-      return knownPeers.unheard(peers.near(), nowMillis, silenceTimes.quietMillis());
+      return knownPeers.silentFor(peers.near(), nowMillis, silenceTimes.suspectMillis());
     }
   }
 
@@ -131,6 +132,6 @@
     Set<String> reachable = new HashSet<>(current.others());
     reachable.removeAll(current.silent());
     reachable.add(self);
-    return Rendezvous.first(1, reachable, task).contains(self);
+    return RendezvousHash.select(1, reachable, task).contains(self);
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/StateChangesCodec.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/StateChangesCodec.java
@@ -50,9 +50,9 @@
     try (JsonGenerator out = CBOR.createGenerator(new DeflaterOutputStream(bytes, deflater))) {
       out.writeStartArray();
       write(out, changes.after());
-      write(out, changes.at());
+      write(out, changes.position());
       write(out, transfer.facts());
-      for (StoreEvent.Gone gone : changes.gone()) {
+      for (StoreEvent.Delete gone : changes.removed()) {
         write(out, gone.key(), null, gone.revision());
       }
       for (StoreItem item : changes.items()) {
@@ -109,7 +109,7 @@
       out.writeString(departed.start().id());
       out.writeNumber(departed.start().bornMillis());
       out.writeNumber(departed.departure().ordinal());
-      write(out, departed.at());
+      write(out, departed.position());
     }
     out.writeEndArray();
   }
@@ -207,14 +207,14 @@
     final StorePosition at = readPosition(in);
     final StoreFacts facts = readFacts(in);
     List<StoreItem> items = new ArrayList<>();
-    List<StoreEvent.Gone> gone = new ArrayList<>();
+    List<StoreEvent.Delete> gone = new ArrayList<>();
     List<ItemPatch> patches = new ArrayList<>();
     for (JsonToken token = in.nextToken(); token != JsonToken.END_ARRAY; token = in.nextToken()) {
       require(token == JsonToken.VALUE_STRING && items.size() + gone.size() < MAX_ITEMS);
       String key = in.getText();
       JsonToken value = in.nextToken();
       if (value == JsonToken.VALUE_NULL) {
-        gone.add(new StoreEvent.Gone(key, readNumber(in)));
+        gone.add(new StoreEvent.Delete(key, readNumber(in)));
       } else if (value == JsonToken.START_ARRAY) {
         patches.add(readPatch(in, key));
       } else {
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/StatePuller.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/StatePuller.java
@@ -153,7 +153,7 @@
   }
 
   private synchronized void onResponse(StateTransfer transfer) {
-    schedule.recordResponse(transfer.changes().at());
+    schedule.recordResponse(transfer.changes().position());
   }
 
   private boolean pull(PeerAddress source, TransferTimes.Stopwatch times) {
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/StoreFollower.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/StoreFollower.java
@@ -1,8 +1,8 @@
 package io.umberpath.node.mesh;
 
-import io.umberpath.control.membership.SilenceTimes;
-import io.umberpath.control.store.StoreAnswer;
-import io.umberpath.control.store.StoreCall;
+import io.umberpath.control.membership.SilenceTimeouts;
+import io.umberpath.control.store.StoreRequest;
+import io.umberpath.control.store.StoreResponse;
 import io.umberpath.control.store.StoreWatcher.Step;
 import io.umberpath.control.store.StoreWatcherSettings;
 import java.util.function.LongSupplier;
@@ -16,7 +16,7 @@
    * Time between checks of a node that does not read, milliseconds: readers are elected once a
    * round of reports.
    */
-  private static final long IDLE_CHECK_MILLIS = SilenceTimes.ROUND_MILLIS;
+  private static final long IDLE_CHECK_MILLIS = SilenceTimeouts.ROUND_MILLIS;
 
   /** The same while it has no state and therefore refuses requests, milliseconds. */
   private static final long START_CHECK_MILLIS = 25;
@@ -104,7 +104,7 @@
     if (!reading || respondedAt == NEVER) {
       return ReportedContact.NO_CALLS;
     }
-    boolean isLate = now > respondedAt + timings.longestQuietMillis() + WATCH_GRACE_MILLIS;
+    boolean isLate = now > respondedAt + timings.longestResponseGapMillis() + WATCH_GRACE_MILLIS;
     return ReportedContact.of(isLate ? new StoreContact(false, respondedAt) : contact, now);
   }
 
@@ -138,16 +138,16 @@
     Step step;
     synchronized (state) {
       timings = isStandby ? StoreWatchTimings.STANDBY : StoreWatchTimings.PROMPT;
-      state.watcher().pace(timings);
-      step = state.watcher().next(clockMillis.getAsLong());
+      state.watcher().updateSettings(timings);
+      step = state.watcher().nextStep(clockMillis.getAsLong());
     }
     if (step instanceof Step.Wait wait) {
       long remainingMillis = wait.untilMillis() - clockMillis.getAsLong();
       Thread.sleep(Math.max(1, Math.min(remainingMillis, MAX_SLEEP_MILLIS)));
       return;
     }
-    StoreCall call = ((Step.Call) step).call();
-    StoreAnswer response = rejectOutdated(client.call(call));
+    StoreRequest call = ((Step.Call) step).call();
+    StoreResponse response = rejectOutdated(client.call(call));
     if (closed) {
       return;
     }
@@ -163,12 +163,12 @@
   }
 
   /** Replaces a response of an earlier era: a late one, or one of an old store instance. */
-  private StoreAnswer rejectOutdated(StoreAnswer response) {
+  private StoreResponse rejectOutdated(StoreResponse response) {
     synchronized (state) {
       return state.watcher().isOutdated(response)
-          ? new StoreAnswer.Unavailable(
+          ? new StoreResponse.Unavailable(
               "answer of era %d, and %d has begun"
-                  .formatted(response.era().getAsLong(), state.watcher().at().era()))
+                  .formatted(response.era().getAsLong(), state.watcher().position().era()))
           : response;
     }
   }
@@ -190,8 +190,8 @@
     return shouldRead;
   }
 
-  private void recordOutcome(long nowMillis, StoreAnswer response) {
-    if (response instanceof StoreAnswer.Throttled) {
+  private void recordOutcome(long nowMillis, StoreResponse response) {
+    if (response instanceof StoreResponse.Throttled) {
       consecutiveThrottled++;
       if (consecutiveThrottled >= MAX_CONSECUTIVE_THROTTLED) {
         // Lets other nodes of the zone read, since the store may throttle this node alone.
@@ -200,10 +200,10 @@
       return;
     }
     consecutiveThrottled = 0;
-    if (!(response instanceof StoreAnswer.Unavailable)) {
+    if (!(response instanceof StoreResponse.Unavailable)) {
       lastResponseMillis = nowMillis;
     }
-    if (response instanceof StoreAnswer.Unavailable unavailable) {
+    if (response instanceof StoreResponse.Unavailable unavailable) {
       recordLost(nowMillis, unavailable.cause());
     } else if (!contact.reachable()) {
       events.storeRegained(nowMillis - contact.sinceMillis());
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/StoreReadPolicy.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/StoreReadPolicy.java
@@ -69,7 +69,7 @@
       return new ReadDecision(true, false, () -> "the entry of its back end is missing");
     }
     return new ReadDecision(
-        election.reads(), election.reads() && peers.isStandbyReader(), election::inputs);
+        election.isReader(), election.isReader() && peers.isStandbyReader(), election::inputs);
   }
 
   /**
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/ZoneReaders.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/ZoneReaders.java
@@ -121,7 +121,7 @@
    */
   boolean isStandby() {
     PeerView current = peers.get();
-    Comparator<String> rank = StoreReaders.rank();
+    Comparator<String> rank = StoreReaders.rankOrder();
     long promptReaders =
         reports.ofHosts(current.others()).entrySet().stream()
             .filter(entry -> isCalling(entry.getValue()))
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/FleetModel.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/FleetModel.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.umberpath.control.store.BackendListing;
-import io.umberpath.control.store.StoreAnswer;
 import io.umberpath.control.store.StoreItem;
+import io.umberpath.control.store.StoreResponse;
 import io.umberpath.control.store.StoreWatcher;
 import io.umberpath.control.store.StoreWatcher.Step;
 import io.umberpath.control.store.StoreWatcherSettings;
@@ -34,7 +34,7 @@
 
   /** A message in flight to a node. */
   private sealed interface Message {
-    record FromStore(StoreAnswer answer) implements Message {}
+    record FromStore(StoreResponse answer) implements Message {}
 
     record FromPeer(StateTransfer transfer) implements Message {}
   }
@@ -169,7 +169,7 @@
   void callStore(int index) {
     Node node = nodes.get(index);
     synchronized (node.state) {
-      Step step = node.state.watcher().next(nowMillis);
+      Step step = node.state.watcher().nextStep(nowMillis);
       if (step instanceof Step.Call call) {
         node.inFlight.removeIf(Message.FromStore.class::isInstance);
         node.inFlight.add(new Message.FromStore(store.answer(call.call())));
@@ -200,8 +200,8 @@
       }
     } else if (message instanceof Message.FromStore fromStore) {
       synchronized (node.state) {
-        node.state.watcher().answered(nowMillis, fromStore.answer());
-        if (node.state.watcher().at().isKnown()) {
+        node.state.watcher().onResponse(nowMillis, fromStore.answer());
+        if (node.state.watcher().position().isKnown()) {
           node.state.refresh("store");
         }
       }
@@ -240,7 +240,7 @@
   void assertConverged() {
     rewriteLost();
     readStoreFullyOnAll();
-    nowMillis += BackendListing.UNRENEWED_MILLIS;
+    nowMillis += BackendListing.UNRENEWED_ENTRY_MILLIS;
     Set<String> ready = new TreeSet<>();
     if (!hasReplacementEnded) {
       ready.add(isReplaced ? REPLACEMENT : REPLACED);
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/MeshStateLockTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/MeshStateLockTest.java
@@ -3,11 +3,11 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.umberpath.control.store.StateRequest;
-import io.umberpath.control.store.StoreAnswer;
 import io.umberpath.control.store.StoreChanges;
 import io.umberpath.control.store.StoreFacts;
 import io.umberpath.control.store.StoreItem;
 import io.umberpath.control.store.StorePosition;
+import io.umberpath.control.store.StoreResponse;
 import io.umberpath.control.store.StoreWatcher;
 import io.umberpath.model.routing.RoutingConfiguration;
 import io.vavr.control.Either;
@@ -61,7 +61,7 @@
 
   private CompletableFuture<Void> startAdoption() throws InterruptedException {
     StoreChanges changes =
-        new StoreChanges(StorePosition.NOTHING, AT, List.of(CONFIGURATION, BACKEND), List.of());
+        new StoreChanges(StorePosition.UNKNOWN, AT, List.of(CONFIGURATION, BACKEND), List.of());
     CompletableFuture<Void> adopted =
         CompletableFuture.runAsync(
             () -> state.adopt(new StateTransfer(changes, StoreFacts.NONE), "peer"));
@@ -94,7 +94,7 @@
   /** The same for a configuration from the store. */
   @Test
   void storeConfigurationIsServedToPeersWhileItIsParsed() throws Exception {
-    StoreAnswer.Page page = new StoreAnswer.Page(List.of(CONFIGURATION), false, AT);
+    StoreResponse.Page page = new StoreResponse.Page(List.of(CONFIGURATION), false, AT);
     assertThat(state.handleResponse(0, page)).isTrue();
 
     TransferRequest request = new TransferRequest(StateRequest.WHOLE, -1, false);
@@ -159,7 +159,7 @@
   }
 
   private void adopt(StorePosition at, StoreItem... items) {
-    StoreChanges changes = new StoreChanges(StorePosition.NOTHING, at, List.of(items), List.of());
+    StoreChanges changes = new StoreChanges(StorePosition.UNKNOWN, at, List.of(items), List.of());
     state.adopt(new StateTransfer(changes, StoreFacts.NONE), "peer");
   }
 }
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/MeshStateTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/MeshStateTest.java
@@ -27,7 +27,7 @@
 
   private static StateTransfer whole(StorePosition at, List<StoreItem> items) {
     return new StateTransfer(
-        new StoreChanges(StorePosition.NOTHING, at, items, List.of()), StoreFacts.NONE);
+        new StoreChanges(StorePosition.UNKNOWN, at, items, List.of()), StoreFacts.NONE);
   }
 
   private List<String> ready() {
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/PeerMessagesTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/PeerMessagesTest.java
@@ -196,7 +196,7 @@
             new StorePosition(2, 7),
             new StorePosition(2, 12),
             List.of(new StoreItem("a", "1", 8), new StoreItem("b", "", 12)),
-            List.of(new StoreEvent.Gone("c", 9)),
+            List.of(new StoreEvent.Delete("c", 9)),
             List.of(new ItemPatch("d", 6, 11, TextPatch.between("{old}{text}", "{text}{new}"))));
 
     StoreFacts facts =
@@ -231,7 +231,7 @@
         StateChangesCodec.encode(
             new StateTransfer(
                 new StoreChanges(
-                    StorePosition.NOTHING,
+                    StorePosition.UNKNOWN,
                     new StorePosition(0, 12),
                     List.of(new StoreItem("a", "1", 3)),
                     List.of()),
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/ReaderFailoverTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/ReaderFailoverTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.umberpath.control.membership.KnownPeers;
-import io.umberpath.control.membership.SilenceTimes;
+import io.umberpath.control.membership.SilenceTimeouts;
 import io.umberpath.control.store.ReaderElection;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -77,8 +77,8 @@
 
   /** Decides by rank alone: all other nodes are taken to call the store. */
   private static boolean isReader(String host, Set<String> others, int zones) {
-    ReaderElection election = new ReaderElection(host, SilenceTimes.ROUND_MILLIS);
-    return election.decide(0, others, others, Set.of(), zones, 0).reads();
+    ReaderElection election = new ReaderElection(host, SilenceTimeouts.ROUND_MILLIS);
+    return election.decide(0, others, others, Set.of(), zones, 0).isReader();
   }
 
   private void updateListed(long now, Node node, Set<String> listed) {
@@ -86,13 +86,14 @@
       return;
     }
     node.listed = listed;
-    SilenceTimes times = SilenceTimes.of((int) listed.stream().filter(isInZoneOf(node)).count());
+    SilenceTimeouts times =
+        SilenceTimeouts.of((int) listed.stream().filter(isInZoneOf(node)).count());
     Map<String, KnownPeers.ListedPeer> entries = new HashMap<>();
     for (String host : listed) {
       long silentMillis = isInZoneOf(node).test(host) ? times.nearMillis() : times.farMillis();
       entries.put(host, new KnownPeers.ListedPeer(zones.get(host), silentMillis));
     }
-    node.knownPeers.replace(now, entries);
+    node.knownPeers.replaceListed(now, entries);
   }
 
   private Predicate<String> isInZoneOf(Node node) {
@@ -103,7 +104,7 @@
     PeerView view =
         PeerView.of(
             node.knownPeers.others(),
-            node.knownPeers.silent(now),
+            node.knownPeers.silentPeers(now),
             node.zone,
             node.knownPeers::zoneOf);
     return isReader(node.host, view.reachableInZone(), view.zones());
@@ -114,7 +115,7 @@
     for (Node node : nodes.values()) {
       for (String host : nodes.keySet()) {
         if (!dead.contains(host)) {
-          node.knownPeers.heard(now, host);
+          node.knownPeers.recordHeard(now, host);
         }
       }
       node.knownPeers.tick(now);
@@ -127,9 +128,9 @@
   void everyZoneKeepsAReaderWhenTheFirstRankedNodeIsLost(int zoneNodes) {
     buildFleet(ONE_READER_ZONES, zoneNodes + 1);
     String lost = firstRanked();
-    long detectedMillis = LOSS_MILLIS + SilenceTimes.of(zoneNodes + 1).nearMillis();
+    long detectedMillis = LOSS_MILLIS + SilenceTimeouts.of(zoneNodes + 1).nearMillis();
 
-    for (long now = 0; now < END_MILLIS; now += SilenceTimes.ROUND_MILLIS) {
+    for (long now = 0; now < END_MILLIS; now += SilenceTimeouts.ROUND_MILLIS) {
       boolean isExpired = now >= LOSS_MILLIS + LEASE_MILLIS;
       Set<String> dead = now < LOSS_MILLIS ? Set.of() : Set.of(lost);
       Set<String> listed = new HashSet<>(nodes.keySet());
@@ -161,7 +162,7 @@
     Set<String> listed = new HashSet<>(nodes.keySet());
     listed.remove(first);
 
-    for (long now = 0; now < END_MILLIS; now += SilenceTimes.ROUND_MILLIS) {
+    for (long now = 0; now < END_MILLIS; now += SilenceTimeouts.ROUND_MILLIS) {
       runRound(now, Set.of(), now < LOSS_MILLIS ? nodes.keySet() : listed);
       assertThat(zonesWithReader(now, Set.of())).as("at %d ms", now).hasSize(ONE_READER_ZONES);
     }
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/SilentWatchTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/SilentWatchTest.java
@@ -2,9 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.umberpath.control.store.StoreAnswer;
-import io.umberpath.control.store.StoreCall;
 import io.umberpath.control.store.StorePosition;
+import io.umberpath.control.store.StoreRequest;
+import io.umberpath.control.store.StoreResponse;
 import io.umberpath.control.store.StoreWatcher;
 import io.umberpath.control.store.StoreWatcher.Step;
 import java.util.List;
@@ -23,13 +23,13 @@
   @ValueSource(doubles = {0, 0.5, 1})
   void watchThatHearsNothingEndsWellWithinTheBound(double drawn) {
     StoreWatcher watcher = new StoreWatcher("", StoreWatchTimings.PROMPT, () -> drawn);
-    watcher.next(0);
-    watcher.answered(
-        0, new StoreAnswer.Page(List.of(), false, new StorePosition(StorePosition.NO_ERA, 1)));
+    watcher.nextStep(0);
+    watcher.onResponse(
+        0, new StoreResponse.Page(List.of(), false, new StorePosition(StorePosition.NO_ERA, 1)));
 
-    Step.Call step = (Step.Call) watcher.next(1);
+    Step.Call step = (Step.Call) watcher.nextStep(1);
 
-    StoreCall.Watch watch = (StoreCall.Watch) step.call();
+    StoreRequest.Watch watch = (StoreRequest.Watch) step.call();
     assertThat(watch.waitMillis()).isLessThanOrEqualTo(BOUND_MILLIS - TWO_CALLS_MILLIS);
   }
 }
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/SimulatedFleet.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/SimulatedFleet.java
@@ -1,9 +1,9 @@
 package io.umberpath.node.mesh;
 
 import io.umberpath.control.store.StateRequest;
-import io.umberpath.control.store.StoreAnswer;
-import io.umberpath.control.store.StoreCall;
 import io.umberpath.control.store.StorePosition;
+import io.umberpath.control.store.StoreRequest;
+import io.umberpath.control.store.StoreResponse;
 import io.umberpath.control.store.StoreWatcher;
 import io.umberpath.control.store.StoreWatcher.Step;
 import io.umberpath.model.PeerAddress;
@@ -152,7 +152,7 @@
     List<PendingWatch> failed = List.copyOf(pendingWatches);
     pendingWatches.clear();
     failed.forEach(
-        pending -> deliverAfterDelay(pending.node(), new StoreAnswer.Unavailable("cut")));
+        pending -> deliverAfterDelay(pending.node(), new StoreResponse.Unavailable("cut")));
   }
 
   /** Partitions a zone from the store and the other zones; -1 for none. */
@@ -169,7 +169,7 @@
         pendingWatches.add(pending);
       } else {
         deliverAfterDelay(
-            pending.node(), store.answer(new StoreCall.Watch("", pending.afterRevision(), 0)));
+            pending.node(), store.answer(new StoreRequest.Watch("", pending.afterRevision(), 0)));
       }
     }
   }
@@ -199,27 +199,27 @@
   private void callStore(Node node) {
     node.state
         .watcher()
-        .pace(isPrompt(node) ? StoreWatchTimings.PROMPT : StoreWatchTimings.STANDBY);
-    Step step = node.state.watcher().next(now);
+        .updateSettings(isPrompt(node) ? StoreWatchTimings.PROMPT : StoreWatchTimings.STANDBY);
+    Step step = node.state.watcher().nextStep(now);
     if (step instanceof Step.Wait wait) {
       schedule(Math.max(now + 1, wait.untilMillis()), () -> callStore(node));
       return;
     }
     storeCalls++;
-    StoreCall call = ((Step.Call) step).call();
+    StoreRequest call = ((Step.Call) step).call();
     if (isStoreDown || isIsolated(node)) {
-      deliverAfterDelay(node, new StoreAnswer.Unavailable("away"));
-    } else if (call instanceof StoreCall.Watch watch) {
+      deliverAfterDelay(node, new StoreResponse.Unavailable("away"));
+    } else if (call instanceof StoreRequest.Watch watch) {
       watch(node, watch);
     } else {
-      fullReads += ((StoreCall.Read) call).after().isEmpty() ? 1 : 0;
+      fullReads += ((StoreRequest.Read) call).after().isEmpty() ? 1 : 0;
       deliverAfterDelay(node, store.answer(call));
     }
   }
 
-  private void watch(Node node, StoreCall.Watch watch) {
-    StoreAnswer immediate = store.answer(watch);
-    boolean waits = immediate instanceof StoreAnswer.Events events && events.events().isEmpty();
+  private void watch(Node node, StoreRequest.Watch watch) {
+    StoreResponse immediate = store.answer(watch);
+    boolean waits = immediate instanceof StoreResponse.Events events && events.events().isEmpty();
     if (!waits) {
       deliverAfterDelay(node, immediate);
       return;
@@ -235,14 +235,14 @@
         });
   }
 
-  private void deliverAfterDelay(Node node, StoreAnswer answer) {
+  private void deliverAfterDelay(Node node, StoreResponse answer) {
     scheduleAfter(STORE_MILLIS, () -> handleResponse(node, answer));
   }
 
-  private void handleResponse(Node node, StoreAnswer answer) {
-    StorePosition before = node.state.watcher().at();
-    boolean changed = node.state.watcher().answered(now, answer);
-    if (changed || !node.state.watcher().at().equals(before)) {
+  private void handleResponse(Node node, StoreResponse answer) {
+    StorePosition before = node.state.watcher().position();
+    boolean changed = node.state.watcher().onResponse(now, answer);
+    if (changed || !node.state.watcher().position().equals(before)) {
       node.state.refresh("store");
       announce(node);
     }
@@ -364,7 +364,7 @@
   }
 
   private void adopt(Node node, PeerAddress source, StateTransfer transfer) {
-    node.schedule.recordResponse(transfer.changes().at());
+    node.schedule.recordResponse(transfer.changes().position());
     boolean isAdopted = node.state.adopt(transfer, source.host()) == MeshState.Adoption.ADOPTED;
     if (isAdopted && isReader(node)) {
       announce(node);
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/StatePullerTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/StatePullerTest.java
@@ -103,7 +103,7 @@
   private static StateTransfer changesTo(long revision) {
     List<StoreItem> items = List.of(new StoreItem("a", "80", 3));
     return new StateTransfer(
-        new StoreChanges(StorePosition.NOTHING, position(revision), items, List.of()),
+        new StoreChanges(StorePosition.UNKNOWN, position(revision), items, List.of()),
         StoreFacts.NONE);
   }
 
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/StoreFollowerTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/StoreFollowerTest.java
@@ -2,9 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.umberpath.control.store.StoreAnswer;
-import io.umberpath.control.store.StoreCall;
 import io.umberpath.control.store.StorePosition;
+import io.umberpath.control.store.StoreRequest;
+import io.umberpath.control.store.StoreResponse;
 import io.umberpath.control.store.StoreWatcher;
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
@@ -29,12 +29,12 @@
     private final AtomicInteger calls = new AtomicInteger();
 
     @Override
-    public StoreAnswer call(StoreCall call) {
+    public StoreResponse call(StoreRequest call) {
       int revision = calls.incrementAndGet();
-      return call instanceof StoreCall.Read
-          ? new StoreAnswer.Page(
+      return call instanceof StoreRequest.Read
+          ? new StoreResponse.Page(
               List.of(), false, new StorePosition(StorePosition.NO_ERA, revision))
-          : new StoreAnswer.Events(List.of(), new StorePosition(StorePosition.NO_ERA, revision));
+          : new StoreResponse.Events(List.of(), new StorePosition(StorePosition.NO_ERA, revision));
     }
 
     @Override
@@ -89,11 +89,11 @@
     StoreClient client =
         new StoreClient() {
           @Override
-          public StoreAnswer call(StoreCall call) {
+          public StoreResponse call(StoreRequest call) {
             calls.countDown();
             return calls.getCount() > 0
-                ? new StoreAnswer.Throttled()
-                : new StoreAnswer.Page(
+                ? new StoreResponse.Throttled()
+                : new StoreResponse.Page(
                     List.of(), false, new StorePosition(StorePosition.NO_ERA, 1));
           }
 
@@ -108,14 +108,14 @@
   }
 
   /** Blocks each call until the test supplies its response. */
-  private static StoreClient blockingClient(SynchronousQueue<StoreAnswer> answers) {
+  private static StoreClient blockingClient(SynchronousQueue<StoreResponse> answers) {
     return new StoreClient() {
       @Override
-      public StoreAnswer call(StoreCall call) {
+      public StoreResponse call(StoreRequest call) {
         try {
           return answers.take();
         } catch (InterruptedException ended) {
-          return new StoreAnswer.Unavailable("ended");
+          return new StoreResponse.Unavailable("ended");
         }
       }
 
@@ -131,14 +131,14 @@
     MeshEvents events = new MeshEvents(CLOCK);
     StoreWatcher watcher = new StoreWatcher("", StoreWatchTimings.PROMPT, () -> 0.5);
     MeshState state = new MeshState(new FakeStoreDocuments(), watcher, events, CLOCK);
-    SynchronousQueue<StoreAnswer> answers = new SynchronousQueue<>();
+    SynchronousQueue<StoreResponse> answers = new SynchronousQueue<>();
     try (StoreFollower follower =
         new StoreFollower(state, blockingClient(answers), events, now::get)) {
       follower.start();
       assertThat(follower.reportedContact().state()).isEqualTo(ReportedContact.State.NONE);
 
       answers.put(
-          new StoreAnswer.Page(List.of(), false, new StorePosition(StorePosition.NO_ERA, 1)));
+          new StoreResponse.Page(List.of(), false, new StorePosition(StorePosition.NO_ERA, 1)));
       await(() -> follower.reportedContact().state() == ReportedContact.State.REACHABLE);
 
       now.addAndGet(10_000);
@@ -164,13 +164,13 @@
     MeshEvents events = new MeshEvents(CLOCK);
     StoreWatcher watcher = new StoreWatcher("", StoreWatchTimings.PROMPT, () -> 1);
     MeshState held = new MeshState(new FakeStoreDocuments(), watcher, events, CLOCK);
-    SynchronousQueue<StoreAnswer> answers = new SynchronousQueue<>();
+    SynchronousQueue<StoreResponse> answers = new SynchronousQueue<>();
     try (StoreFollower follower =
         new StoreFollower(held, blockingClient(answers), events, now::get)) {
       follower.setReadPolicy(() -> new ReadDecision(true, standby, () -> "set by the test"));
       follower.start();
       answers.put(
-          new StoreAnswer.Page(List.of(), false, new StorePosition(StorePosition.NO_ERA, 1)));
+          new StoreResponse.Page(List.of(), false, new StorePosition(StorePosition.NO_ERA, 1)));
       await(() -> follower.reportedContact().state() == ReportedContact.State.REACHABLE);
 
       now.addAndGet(Long.parseLong(millis.replace("_", "")));
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/StoreModel.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/StoreModel.java
@@ -1,10 +1,10 @@
 package io.umberpath.node.mesh;
 
-import io.umberpath.control.store.StoreAnswer;
-import io.umberpath.control.store.StoreCall;
 import io.umberpath.control.store.StoreEvent;
 import io.umberpath.control.store.StoreItem;
 import io.umberpath.control.store.StorePosition;
+import io.umberpath.control.store.StoreRequest;
+import io.umberpath.control.store.StoreResponse;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
@@ -22,7 +22,7 @@
   }
 
   void remove(String key) {
-    events.add(new StoreEvent.Gone(key, revision() + 1));
+    events.add(new StoreEvent.Delete(key, revision() + 1));
   }
 
   /** Restores the store without the latest changes, whose revisions are then reused. */
@@ -59,22 +59,22 @@
   }
 
   /** Answers immediately; a watch without new events returns an empty list. */
-  StoreAnswer answer(StoreCall call) {
-    if (call instanceof StoreCall.Watch watch) {
+  StoreResponse answer(StoreRequest call) {
+    if (call instanceof StoreRequest.Watch watch) {
       return changes(watch.afterRevision());
     }
-    String after = ((StoreCall.Read) call).after().orElse("");
+    String after = ((StoreRequest.Read) call).after().orElse("");
     List<StoreItem> left = List.copyOf(items().tailMap(after, false).values());
     // Pages of two items, so that a restore can happen in the middle of a read.
     int size = Math.min(2, left.size());
-    return new StoreAnswer.Page(left.subList(0, size), size < left.size(), position());
+    return new StoreResponse.Page(left.subList(0, size), size < left.size(), position());
   }
 
-  private StoreAnswer changes(long after) {
+  private StoreResponse changes(long after) {
     if (after > revision() || after < oldestHistoryRevision) {
-      return new StoreAnswer.HistoryGone(era);
+      return new StoreResponse.HistoryGone(era);
     }
     List<StoreEvent> later = events.subList((int) after, events.size());
-    return new StoreAnswer.Events(List.copyOf(later), position());
+    return new StoreResponse.Events(List.copyOf(later), position());
   }
 }
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/ZoneReadersTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/ZoneReadersTest.java
@@ -52,7 +52,7 @@
 
   private boolean shouldReadAfter(ZoneReaders readers, boolean refused, long millis) {
     now += millis;
-    return readers.decide(now, refused).reads();
+    return readers.decide(now, refused).isReader();
   }
 
   /** The one of the two nodes that is elected as reader, and the other one. */
@@ -89,7 +89,7 @@
   @Test
   void readerIsOnStandbyOnceTwoHigherRankedReadersCallPromptly() throws IOException {
     List<String> ranked =
-        Stream.of("10.1.0.1", "10.2.0.1", "10.3.0.1").sorted(StoreReaders.rank()).toList();
+        Stream.of("10.1.0.1", "10.2.0.1", "10.3.0.1").sorted(StoreReaders.rankOrder()).toList();
     ZoneReaders last = readersFor(ranked.get(2));
     peers = PeerView.of(Set.copyOf(ranked.subList(0, 2)), Set.of(), "z", each -> Optional.of("y"));
 
