--- a/umberpath-control/src/main/java/io/umberpath/control/store/BackendListing.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/BackendListing.java
@@ -257,7 +257,7 @@
       return Optional.of(entry);
     }
     contradictedDepartures.add(departure.get().departed());
-    BackendEntry drainingEntry = drainingByEntry.getOrDefault(entry, entry.leaving());
+    BackendEntry drainingEntry = drainingByEntry.getOrDefault(entry, entry.asDraining());
     stillDraining.put(entry, drainingEntry);
     return Optional.of(drainingEntry);
   }
--- a/umberpath-model/src/main/java/io/umberpath/model/routing/BackendEntry.java
+++ b/umberpath-model/src/main/java/io/umberpath/model/routing/BackendEntry.java
@@ -12,8 +12,8 @@
  * @param slots requests that it processes concurrently, at least 1
  * @param state whether it accepts new work
  * @param warmupMillis remaining warm-up when it wrote the entry, milliseconds
- * @param bornMillis start time, Unix time in milliseconds; {@link BackendStart#UNKNOWN_BORN_MILLIS}
- *     if not stated
+ * @param startTimeMillis start time, Unix time in milliseconds; {@link
+ *     BackendStart#UNKNOWN_START_TIME_MILLIS} if not stated
  */
 public record BackendEntry(
     String id,
@@ -23,7 +23,7 @@
     int slots,
     State state,
     long warmupMillis,
-    long bornMillis) {
+    long startTimeMillis) {
   /** Creates an entry without a start time. */
   public BackendEntry(
       String id,
@@ -33,18 +33,26 @@
       int slots,
       State state,
       long warmupMillis) {
-    this(id, service, address, zone, slots, state, warmupMillis, BackendStart.UNKNOWN_BORN_MILLIS);
+    this(
+        id,
+        service,
+        address,
+        zone,
+        slots,
+        state,
+        warmupMillis,
+        BackendStart.UNKNOWN_START_TIME_MILLIS);
   }
 
   /** Start of the backend that wrote the entry. */
   public BackendStart start() {
-    return new BackendStart(id, bornMillis);
+    return new BackendStart(id, startTimeMillis);
   }
 
   /** Returns a copy that is draining. */
-  public BackendEntry leaving() {
+  public BackendEntry asDraining() {
     return new BackendEntry(
-        id, service, address, zone, slots, State.DRAINING, warmupMillis, bornMillis);
+        id, service, address, zone, slots, State.DRAINING, warmupMillis, startTimeMillis);
   }
 
   /** Whether a backend accepts new work. */
--- a/umberpath-model/src/main/java/io/umberpath/model/routing/BackendStart.java
+++ b/umberpath-model/src/main/java/io/umberpath/model/routing/BackendStart.java
@@ -6,23 +6,23 @@
  * One start of a backend. Statistics of an earlier start with the same id do not apply to it.
  *
  * @param id id of the backend
- * @param bornMillis start time, Unix time in milliseconds on its own clock; 0 if not stated
+ * @param startTimeMillis start time, Unix time in milliseconds on its own clock; 0 if not stated
  */
-public record BackendStart(String id, long bornMillis) {
+public record BackendStart(String id, long startTimeMillis) {
   /** Start time of a backend that does not state one; such starts are not distinguished. */
-  public static final long UNKNOWN_BORN_MILLIS = 0;
+  public static final long UNKNOWN_START_TIME_MILLIS = 0;
 
   // Implemented explicitly, as it is a map key for each request and during startup; see
   // PeerAddress.
   @Override
   public boolean equals(Object other) {
     return other instanceof BackendStart start
-        && bornMillis == start.bornMillis
+        && startTimeMillis == start.startTimeMillis
         && Objects.equals(id, start.id);
   }
 
   @Override
   public int hashCode() {
-    return 31 * Objects.hashCode(id) + Long.hashCode(bornMillis);
+    return 31 * Objects.hashCode(id) + Long.hashCode(startTimeMillis);
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/Fingerprints.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/Fingerprints.java
@@ -17,7 +17,7 @@
   /** Returns the part of the fingerprint that depends on the request's head. */
   static long targetOf(RequestHead head) {
     String target = head.query().map(query -> head.path() + '?' + query).orElse(head.path());
-    return RequestFingerprint.targetOf(
+    return RequestFingerprint.hashTarget(
         head.method(),
         head.field(Header.Host.toString()).orElse(null),
         target,
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/LocalBackend.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/LocalBackend.java
@@ -32,7 +32,7 @@
   private boolean wasEvacuated;
   private volatile boolean draining;
   private volatile int slots = DEFAULT_SLOTS;
-  private volatile long bornMillis = BackendStart.UNKNOWN_BORN_MILLIS;
+  private volatile long bornMillis = BackendStart.UNKNOWN_START_TIME_MILLIS;
 
   /**
    * Creates the state of a backend that has not been seen yet.
@@ -80,7 +80,8 @@
   }
 
   /**
-   * Returns the start time of the listed or last listed start; see {@link BackendEntry#bornMillis}.
+   * Returns the start time of the listed or last listed start; see {@link
+   * BackendEntry#startTimeMillis}.
    */
   long bornMillis() {
     return bornMillis;
@@ -91,7 +92,7 @@
     List<BackendEntry> entries = view.get().backends().at(settings.backend());
     for (BackendEntry entry : entries) {
       lastKnownStarts.put(entry.id(), entry.start());
-      bornMillis = entry.bornMillis();
+      bornMillis = entry.startTimeMillis();
     }
     int reportedSlots = entries.stream().mapToInt(BackendEntry::slots).max().orElse(slots);
     boolean changed = reportedSlots != slots;
@@ -113,7 +114,7 @@
         .byId(instance)
         .map(BackendEntry::start)
         .or(() -> Optional.ofNullable(lastKnownStarts.get(instance)))
-        .orElseGet(() -> new BackendStart(instance, BackendStart.UNKNOWN_BORN_MILLIS));
+        .orElseGet(() -> new BackendStart(instance, BackendStart.UNKNOWN_START_TIME_MILLIS));
   }
 
   /**
@@ -132,7 +133,7 @@
         .ifPresent(
             service -> {
               long now = clockMillis.getAsLong();
-              coldStarts.cold(now, now + millis, service.coldPerSecond());
+              coldStarts.markCold(now, now + millis, service.coldPerSecond());
             });
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/LocalBackendFailures.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/LocalBackendFailures.java
@@ -3,7 +3,7 @@
 import io.umberpath.model.Verdict;
 import io.umberpath.node.proxy.inbound.Refusal;
 import io.umberpath.traffic.outlier.AttemptResult;
-import io.umberpath.traffic.outlier.FailureShare;
+import io.umberpath.traffic.outlier.FailureRate;
 
 /** Tracks the share of failed attempts at the local backend. Thread-safe. */
 final class LocalBackendFailures {
@@ -17,7 +17,7 @@
   private static final int LOG_THRESHOLD_PERCENT = 20;
 
   private final MeshEvents events;
-  private FailureShare failureShare = new FailureShare();
+  private FailureRate failureShare = new FailureRate();
   private boolean isLoggedAsFailing;
 
   LocalBackendFailures(MeshEvents events) {
@@ -32,7 +32,7 @@
    * @param status status code of that response
    */
   synchronized void recordAttempt(long nowMillis, String backend, Refusal refusal, int status) {
-    failureShare.ended(
+    failureShare.recordResult(
         nowMillis, refusal == null ? resultOfResponse(status) : resultOfFailure(refusal.verdict()));
     int percent = failureShare.percent(nowMillis);
     boolean isFailing = percent > LOG_THRESHOLD_PERCENT;
@@ -41,13 +41,13 @@
     if (isFailing && !isLoggedAsFailing
         || isLoggedAsFailing && percent < LOG_THRESHOLD_PERCENT / 2) {
       isLoggedAsFailing = isFailing;
-      events.backendFailing(backend, isFailing, percent, failureShare.kinds(nowMillis));
+      events.backendFailing(backend, isFailing, percent, failureShare.describeCounts(nowMillis));
     }
   }
 
   /** Discards all attempts, which belong to an earlier start of the backend. */
   synchronized void reset() {
-    failureShare = new FailureShare();
+    failureShare = new FailureRate();
   }
 
   /** Returns the share of recent attempts that failed, percent. */
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/LocalBackendSpeed.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/LocalBackendSpeed.java
@@ -2,7 +2,7 @@
 
 import io.umberpath.traffic.load.BackendSpeed;
 import io.umberpath.traffic.load.BackendStatement;
-import io.umberpath.traffic.routing.Slowness;
+import io.umberpath.traffic.routing.SlowdownDetector;
 import io.vavr.control.Either;
 import java.util.Collection;
 import java.util.function.Function;
@@ -48,7 +48,7 @@
       return;
     }
     synchronized (this) {
-      speed.stated(clockMillis.getAsLong(), report.get());
+      speed.updateStatement(clockMillis.getAsLong(), report.get());
     }
   }
 
@@ -57,15 +57,15 @@
    * speed.
    */
   synchronized long recordDuration(String route, long micros) {
-    return speed.answered(clockMillis.getAsLong(), route, micros);
+    return speed.recordResponse(clockMillis.getAsLong(), route, micros);
   }
 
   /** Updates the estimate from the requests that are running. */
-  synchronized void observeRunning(Collection<Slowness.Running> running) {
-    slownessByAge = Slowness.of(running);
-    if (speed.isBelieved() != areReportsTrusted) {
-      areReportsTrusted = speed.isBelieved();
-      events.statementsBelieved(areReportsTrusted, speed.errors());
+  synchronized void observeRunning(Collection<SlowdownDetector.Running> running) {
+    slownessByAge = SlowdownDetector.slowdownFactor(running);
+    if (speed.isTrusted() != areReportsTrusted) {
+      areReportsTrusted = speed.isTrusted();
+      events.statementsBelieved(areReportsTrusted, speed.describeErrors());
     }
   }
 
@@ -77,6 +77,6 @@
 
   /** Returns the factor by which requests currently take longer than usual. */
   synchronized double slowness() {
-    return speed.slowness(clockMillis.getAsLong(), slownessByAge);
+    return speed.slowdown(clockMillis.getAsLong(), slownessByAge);
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshEvents.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshEvents.java
@@ -284,7 +284,8 @@
         backend(MeshEvent.BACKEND_RESTARTED, entry)
             .with(REVISION, revision)
             .log(
-                "%s: start time %d, before %d", source, entry.bornMillis(), old.get().bornMillis());
+                "%s: start time %d, before %d",
+                source, entry.startTimeMillis(), old.get().startTimeMillis());
       }
       if (changed) {
         boolean ready = entry.state() == BackendEntry.State.READY;
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshInboundHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshInboundHandler.java
@@ -16,10 +16,10 @@
 import io.umberpath.node.proxy.stats.ProxyStats;
 import io.umberpath.traffic.AdmissionController;
 import io.umberpath.traffic.AdmissionController.AdmissionRequest;
-import io.umberpath.traffic.routing.GateLoad;
-import io.umberpath.traffic.routing.NestedRoutes;
-import io.umberpath.traffic.routing.RouteMeans;
-import io.umberpath.traffic.routing.Slowness;
+import io.umberpath.traffic.routing.BackendLoad;
+import io.umberpath.traffic.routing.NestedRouteDetector;
+import io.umberpath.traffic.routing.RouteAverages;
+import io.umberpath.traffic.routing.SlowdownDetector;
 import io.vavr.control.Either;
 import java.util.ArrayList;
 import java.util.List;
@@ -68,11 +68,11 @@
   private final MeshEvents events;
   private final RequestEvents requestEvents;
   private final LongSupplier clockMillis;
-  private final RouteMeans routeTimes = new RouteMeans(MIN_TIME_SAMPLES);
-  private final NestedRoutes nestedRoutes = new NestedRoutes();
+  private final RouteAverages routeTimes = new RouteAverages(MIN_TIME_SAMPLES);
+  private final NestedRouteDetector nestedRoutes = new NestedRouteDetector();
   private final LocalBackendFailures failures;
   private volatile double retriedWorkShare;
-  private long observedBornMillis = BackendStart.UNKNOWN_BORN_MILLIS;
+  private long observedBornMillis = BackendStart.UNKNOWN_START_TIME_MILLIS;
   private final RefusalStyle style = new MeshRefusalStyle();
   private final Set<String> replacedHeaders = new TreeSet<>(String.CASE_INSENSITIVE_ORDER);
 
@@ -164,12 +164,13 @@
    */
   void observe() {
     resetAfterRestart();
-    List<Slowness.Running> running = new ArrayList<>();
+    List<SlowdownDetector.Running> running = new ArrayList<>();
     int retries = 0;
     for (Exchange exchange : admissionQueue.exchangesHoldingSlot()) {
       long expectedDurationMicros = expectedMicros(planOf(exchange).route());
       running.add(
-          new Slowness.Running(exchange.history().sinceSentMicros(), expectedDurationMicros));
+          new SlowdownDetector.Running(
+              exchange.history().sinceSentMicros(), expectedDurationMicros));
       retries += planOf(exchange).hop().isRetry() ? 1 : 0;
     }
     speed.observeRunning(running);
@@ -198,12 +199,12 @@
   }
 
   /** Returns the load of the backend that this node reports. */
-  GateLoad load() {
-    int slownessPercent = (int) Math.round(speed.slowness() * GateLoad.USUAL_PERCENT);
+  BackendLoad load() {
+    int slownessPercent = (int) Math.round(speed.slowness() * BackendLoad.USUAL_PERCENT);
     long serviceMicros = admissionQueue.meanServiceMicros();
     int slots =
         backend.coldStarts().usableSlots(clockMillis.getAsLong(), backend.slots(), serviceMicros);
-    return new GateLoad(
+    return new BackendLoad(
         admissionQueue.running(),
         admissionQueue.queued() + uploads.waitingCount(),
         slots,
@@ -216,13 +217,13 @@
 
   private long expectedMicros(String route) {
     synchronized (routeTimes) {
-      return routeTimes.expected(route);
+      return routeTimes.average(route);
     }
   }
 
   private long likelyMaxMicros(String route) {
     synchronized (routeTimes) {
-      return routeTimes.likelyMost(route);
+      return routeTimes.upperEstimate(route);
     }
   }
 
@@ -323,7 +324,7 @@
     String callerService = exchange.request().field(settings.headers().callerService()).orElse("");
     String route = planOf(exchange).route();
     synchronized (nestedRoutes) {
-      nestedRoutes.arrived(route, callerService);
+      nestedRoutes.recordRequest(route, callerService);
       return nestedRoutes.isNested(route);
     }
   }
@@ -358,7 +359,7 @@
 
   @Override
   public void addResponseHeaders(RequestPlan plan, HttpResponsePacket response) {
-    GateLoad load = plan == null ? load() : load().withRoute(expectedMicros(plan.route()));
+    BackendLoad load = plan == null ? load() : load().withRoute(expectedMicros(plan.route()));
     response.getHeaders().setValue(LOAD_HEADER).setString(load.encode());
     if (plan != null && isNested(plan.route())) {
       response.getHeaders().setValue(NESTED_HEADER).setString("1");
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshNode.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshNode.java
@@ -4,8 +4,8 @@
 import io.umberpath.control.store.StoreWatcher;
 import io.umberpath.model.PeerAddress;
 import io.umberpath.traffic.quarantine.RequestFingerprint;
-import io.umberpath.traffic.quarantine.SuspectLedger;
-import io.umberpath.traffic.routing.GateBalancer;
+import io.umberpath.traffic.quarantine.SuspectRegistry;
+import io.umberpath.traffic.routing.LatencyAwareBalancer;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -65,7 +65,7 @@
   private final ConfigurationWarmUp warmUp;
   private final StoreFollower follower;
   private final StatePuller puller;
-  private final GateBalancer balancer;
+  private final LatencyAwareBalancer balancer;
   private final RequestQuarantine quarantine;
   private final PeerExchange peers;
   private final LocalBackend backend;
@@ -120,10 +120,10 @@
     this.follower = new StoreFollower(state, client, events, clockMillis);
     this.puller = new StatePuller(settings, state, follower::isReading, events, clockMillis);
     this.balancer =
-        new GateBalancer(settings.zone(), () -> ThreadLocalRandom.current().nextDouble());
+        new LatencyAwareBalancer(settings.zone(), () -> ThreadLocalRandom.current().nextDouble());
     this.quarantine =
         new RequestQuarantine(
-            new SuspectLedger(MARKS_TO_HOLD), this::isElectedToRetry, events, clockMillis);
+            new SuspectRegistry(MARKS_TO_HOLD), this::isElectedToRetry, events, clockMillis);
     this.peers =
         new PeerExchange(
             settings, state::view, this::storeContact, balancer, quarantine, events, clockMillis);
@@ -262,7 +262,7 @@
     quarantine.forget();
     proxy.closeIdle();
     synchronized (balancer) {
-      balancer.forget(clockMillis.getAsLong());
+      balancer.removeExpired(clockMillis.getAsLong());
     }
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshOutboundHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshOutboundHandler.java
@@ -16,10 +16,10 @@
 import io.umberpath.node.proxy.inbound.RequestPlan;
 import io.umberpath.node.proxy.origin.OriginConnectionPools;
 import io.umberpath.node.proxy.stats.ProxyStats;
-import io.umberpath.traffic.routing.CallerPatience;
-import io.umberpath.traffic.routing.GateBalancer;
-import io.umberpath.traffic.routing.GateLoad;
-import io.umberpath.traffic.routing.WeightedSplit;
+import io.umberpath.traffic.routing.BackendLoad;
+import io.umberpath.traffic.routing.LatencyAwareBalancer;
+import io.umberpath.traffic.routing.RequestAgeEstimator;
+import io.umberpath.traffic.routing.WeightedRoundRobin;
 import io.vavr.control.Either;
 import java.util.List;
 import java.util.Optional;
@@ -45,14 +45,14 @@
   private final MeshSettings settings;
   private final Supplier<MeshView> view;
   private final OriginConnectionPools origins;
-  private final GateBalancer balancer;
+  private final LatencyAwareBalancer balancer;
   private final PeerExchange peers;
   private final RequestQuarantine quarantine;
   private final RequestEvents events;
   private final LongSupplier clockMillis;
-  private final WeightedSplit split = new WeightedSplit();
+  private final WeightedRoundRobin split = new WeightedRoundRobin();
   private final OutboundRetryPolicy retryPolicy;
-  private final CallerPatience patience = new CallerPatience();
+  private final RequestAgeEstimator patience = new RequestAgeEstimator();
   private final RequestCosts costs = new RequestCosts();
   private final RefusalStyle style = new MeshRefusalStyle();
   private final Set<String> replacedHeaders = new TreeSet<>(String.CASE_INSENSITIVE_ORDER);
@@ -70,7 +70,7 @@
       MeshSettings settings,
       Supplier<MeshView> view,
       OriginConnectionPools origins,
-      GateBalancer balancer,
+      LatencyAwareBalancer balancer,
       PeerExchange peers,
       DoubleSupplier retriedWorkShare,
       MeshEvents events,
@@ -211,8 +211,8 @@
     Set<String> silent = peers.silentBackends(candidates);
     boolean mayBeRefusedForLoad = mayBeRefusedForLoad(exchange, plan);
     Set<String> excluded = plan.retryState().excludedBackends(mayBeRefusedForLoad);
-    GateBalancer.RequestConstraints constraints = costs.constraints(exchange, plan, now);
-    Optional<GateBalancer.Choice> choice;
+    LatencyAwareBalancer.RequestConstraints constraints = costs.constraints(exchange, plan, now);
+    Optional<LatencyAwareBalancer.Choice> choice;
     synchronized (balancer) {
       choice = balancer.pick(now, candidates, constraints, excluded, silent);
       if (choice.isEmpty()) {
@@ -230,7 +230,7 @@
         .setToleratedWaitMillis(
             mayBeRefusedForLoad
                 ? choice.get().toleratedWaitMillis()
-                : GateBalancer.ANY_WAIT_MILLIS);
+                : LatencyAwareBalancer.ANY_WAIT_MILLIS);
     PeerAddress peerInbound = new PeerAddress(chosen.address().host(), settings.inbound().port());
     if (!exchange.sendTo(origins.poolOf(peerInbound), chosen.id())) {
       synchronized (balancer) {
@@ -355,14 +355,15 @@
   }
 
   private void recordBackendLoad(String backend, String route, ResponseHead head) {
-    GateLoad load = head.field(MeshInboundHandler.LOAD_HEADER).map(GateLoad::decode).orElse(null);
+    BackendLoad load =
+        head.field(MeshInboundHandler.LOAD_HEADER).map(BackendLoad::decode).orElse(null);
     if (head.field(MeshInboundHandler.NESTED_HEADER).isPresent()) {
       retryPolicy.addNestedRoute(route);
     }
     if (load != null) {
       synchronized (balancer) {
-        balancer.stated(clockMillis.getAsLong(), backend, load);
-        balancer.answered(backend, route, load.routeMicros());
+        balancer.updateLoad(clockMillis.getAsLong(), backend, load);
+        balancer.updateRouteTime(backend, route, load.routeMicros());
       }
     }
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshProxy.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshProxy.java
@@ -13,7 +13,7 @@
 import io.umberpath.node.proxy.pool.ConnectionPool;
 import io.umberpath.traffic.AdmissionControllers;
 import io.umberpath.traffic.AdmissionSettings;
-import io.umberpath.traffic.routing.GateBalancer;
+import io.umberpath.traffic.routing.LatencyAwareBalancer;
 import java.io.IOException;
 import java.util.List;
 import java.util.function.LongSupplier;
@@ -56,7 +56,7 @@
   MeshProxy(
       MeshSettings settings,
       Supplier<MeshView> view,
-      GateBalancer balancer,
+      LatencyAwareBalancer balancer,
       PeerExchange peers,
       LocalBackend backend,
       MeshEvents events,
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/OutboundRetryPolicy.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/OutboundRetryPolicy.java
@@ -2,7 +2,7 @@
 
 import io.umberpath.model.Verdict;
 import io.umberpath.node.proxy.inbound.Exchange;
-import io.umberpath.traffic.routing.RetryWindow;
+import io.umberpath.traffic.routing.RetryBudgetWindow;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.DoubleSupplier;
@@ -28,7 +28,7 @@
    */
   private final Set<String> nestedRoutes = ConcurrentHashMap.newKeySet();
 
-  private final RetryWindow window;
+  private final RetryBudgetWindow window;
   private final IntSupplier nodeCount;
   private final DoubleSupplier retriedWorkShare;
 
@@ -41,7 +41,7 @@
    */
   OutboundRetryPolicy(
       MeshSettings.Retry bounds, IntSupplier nodeCount, DoubleSupplier retriedWorkShare) {
-    this.window = new RetryWindow(bounds.windowMillis(), bounds.ratio(), bounds.extra());
+    this.window = new RetryBudgetWindow(bounds.windowMillis(), bounds.ratio(), bounds.extra());
     this.nodeCount = nodeCount;
     this.retriedWorkShare = retriedWorkShare;
   }
@@ -50,9 +50,9 @@
   void recordRequest(long nowMillis, String route, String service) {
     synchronized (window) {
       if (nestedRoutes.contains(route)) {
-        window.repeated(nowMillis, service, retriedWorkShare.getAsDouble());
+        window.recordRetries(nowMillis, service, retriedWorkShare.getAsDouble());
       } else {
-        window.requestStarted(nowMillis, service);
+        window.recordRequest(nowMillis, service);
       }
     }
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerExchange.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerExchange.java
@@ -5,7 +5,7 @@
 import io.umberpath.control.store.ReaderElection;
 import io.umberpath.control.store.StorePosition;
 import io.umberpath.model.routing.BackendEntry;
-import io.umberpath.traffic.routing.GateBalancer;
+import io.umberpath.traffic.routing.LatencyAwareBalancer;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -35,7 +35,7 @@
 
   private final Supplier<MeshView> view;
   private final Supplier<StoreContact> contact;
-  private final GateBalancer balancer;
+  private final LatencyAwareBalancer balancer;
   private final LongSupplier clockMillis;
   private final String self;
   private final PeerFailureDetector failureDetector;
@@ -60,7 +60,7 @@
       MeshSettings settings,
       Supplier<MeshView> view,
       Supplier<StoreContact> contact,
-      GateBalancer balancer,
+      LatencyAwareBalancer balancer,
       RequestQuarantine quarantine,
       MeshEvents events,
       LongSupplier clockMillis) {
@@ -200,10 +200,10 @@
     MeshView current = view.get();
     synchronized (balancer) {
       if (report.attested().isPresent()) {
-        balancer.stated(madeAtMillis, report.attested().get().id(), report.load());
+        balancer.updateLoad(madeAtMillis, report.attested().get().id(), report.load());
       }
       for (BackendEntry backend : current.backends().atHost(host)) {
-        balancer.stated(madeAtMillis, backend.id(), report.load());
+        balancer.updateLoad(madeAtMillis, backend.id(), report.load());
       }
     }
     if (current.isBehind(report.version(), report.position())) {
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerReport.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerReport.java
@@ -6,7 +6,7 @@
 import io.umberpath.control.store.StorePosition;
 import io.umberpath.model.PeerAddress;
 import io.umberpath.model.routing.BackendEntry;
-import io.umberpath.traffic.routing.GateLoad;
+import io.umberpath.traffic.routing.BackendLoad;
 import java.io.IOException;
 import java.util.Optional;
 
@@ -24,7 +24,7 @@
  * @param attested entry of the local backend if it is alive but no longer listed by the store
  */
 record PeerReport(
-    GateLoad load,
+    BackendLoad load,
     boolean isDraining,
     long version,
     StorePosition position,
@@ -73,10 +73,10 @@
     int queued = (int) readNumber(in);
     int slots = Math.max(1, (int) readNumber(in));
     long serviceMicros = readNumber(in);
-    int slownessPercent = GateLoad.boundedSlowness((int) readNumber(in));
-    int failurePercent = GateLoad.percent(readNumber(in));
-    GateLoad load =
-        new GateLoad(running, queued, slots, serviceMicros, slownessPercent, 0)
+    int slownessPercent = BackendLoad.clampSlowness((int) readNumber(in));
+    int failurePercent = BackendLoad.clampPercent(readNumber(in));
+    BackendLoad load =
+        new BackendLoad(running, queued, slots, serviceMicros, slownessPercent, 0)
             .withFailures(failurePercent);
     boolean isDraining = Boolean.TRUE.equals(in.nextBooleanValue());
     long version = readNumber(in);
@@ -111,7 +111,7 @@
     out.writeNumber(entry.address().port());
     out.writeString(entry.zone());
     out.writeNumber(entry.slots());
-    out.writeNumber(entry.bornMillis());
+    out.writeNumber(entry.startTimeMillis());
   }
 
   /** Reads an entry whose id has been read; the parser is at its service. */
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/RequestCosts.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/RequestCosts.java
@@ -2,8 +2,8 @@
 
 import io.umberpath.node.proxy.http.RequestHead;
 import io.umberpath.node.proxy.inbound.Exchange;
-import io.umberpath.traffic.routing.GateBalancer;
-import io.umberpath.traffic.routing.RouteMeans;
+import io.umberpath.traffic.routing.LatencyAwareBalancer;
+import io.umberpath.traffic.routing.RouteAverages;
 
 /** Computes what a request costs on each backend, for load balancing. Thread-safe. */
 final class RequestCosts {
@@ -25,7 +25,7 @@
   /** Assumed body size of a request without a content length, bytes. */
   private static final long DEFAULT_BODY_BYTES = 8 * 1024;
 
-  private final RouteMeans responseBytes = new RouteMeans(1);
+  private final RouteAverages responseBytes = new RouteAverages(1);
 
   /** Records the response size of a request of the route. */
   void recordResponse(String route, long contentLength) {
@@ -35,17 +35,17 @@
   }
 
   /** Returns the target latency of the request and its cross-zone cost. */
-  GateBalancer.RequestConstraints constraints(
+  LatencyAwareBalancer.RequestConstraints constraints(
       Exchange exchange, MeshOutboundPlan plan, long nowMillis) {
     RequestHead request = exchange.request();
     long requestBodyBytes = request.isChunked() ? DEFAULT_BODY_BYTES : request.contentLength();
     long bytes = HEAD_BYTES + Math.max(0, requestBodyBytes);
     synchronized (responseBytes) {
-      bytes += responseBytes.expected(plan.route());
+      bytes += responseBytes.average(plan.route());
     }
     double share = bytes / CROSS_ZONE_BYTES_PER_REQUEST;
     double crossZoneCost = Math.min(MAX_CROSS_ZONE_COST, share * share);
-    return new GateBalancer.RequestConstraints(
+    return new LatencyAwareBalancer.RequestConstraints(
         plan.route(), RequestTimes.targetInMillis(plan, nowMillis), crossZoneCost);
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/RequestQuarantine.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/RequestQuarantine.java
@@ -3,8 +3,8 @@
 import io.umberpath.model.routing.BackendStart;
 import io.umberpath.traffic.quarantine.CrashMark;
 import io.umberpath.traffic.quarantine.RequestFingerprint;
-import io.umberpath.traffic.quarantine.SuspectLedger;
-import io.umberpath.traffic.quarantine.Suspicion;
+import io.umberpath.traffic.quarantine.SuspectRegistry;
+import io.umberpath.traffic.quarantine.SuspectReport;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashSet;
@@ -18,18 +18,18 @@
 
 /**
  * Keeps requests that crash backends away from them, based on the crashes that all nodes have seen
- * ({@link SuspectLedger}). Thread-safe; waits for nothing but its own lock.
+ * ({@link SuspectRegistry}). Thread-safe; waits for nothing but its own lock.
  */
 final class RequestQuarantine {
   private static final long MILLIS_PER_SECOND = 1_000;
 
-  private final SuspectLedger ledger;
+  private final SuspectRegistry ledger;
   private final Predicate<RequestFingerprint> isTrialOwner;
   private final MeshEvents events;
   private final LongSupplier clockMillis;
 
   /** Suspicions not sent to the other nodes yet; guarded by this object's lock. */
-  private final List<Suspicion> unsentSuspicions = new ArrayList<>();
+  private final List<SuspectReport> unsentSuspicions = new ArrayList<>();
 
   private volatile Set<Long> heldTargets = Set.of();
   private volatile int suspectCount;
@@ -42,7 +42,7 @@
    * @param isTrialOwner whether this node is the one that may retry a given held request as a trial
    */
   RequestQuarantine(
-      SuspectLedger ledger,
+      SuspectRegistry ledger,
       Predicate<RequestFingerprint> isTrialOwner,
       MeshEvents events,
       LongSupplier clockMillis) {
@@ -68,7 +68,7 @@
   boolean blocksOutbound(RequestFingerprint request) {
     long now = clockMillis.getAsLong();
     synchronized (this) {
-      if (!ledger.isHeld(request)) {
+      if (!ledger.isQuarantined(request)) {
         return false;
       }
       if (!ledger.isTrialDue(now, request) || !isTrialOwner.test(request)) {
@@ -84,7 +84,7 @@
   boolean blocksInbound(RequestFingerprint request) {
     long now = clockMillis.getAsLong();
     synchronized (this) {
-      return ledger.isHeld(request) && !ledger.isTrialDue(now, request);
+      return ledger.isQuarantined(request) && !ledger.isTrialDue(now, request);
     }
   }
 
@@ -92,14 +92,14 @@
   synchronized void recordBackendCrash(
       BackendStart backend, Collection<RequestFingerprint> running) {
     Set<RequestFingerprint> heldBefore = heldAmong(running);
-    unsentSuspicions.addAll(ledger.ended(clockMillis.getAsLong(), backend, running));
+    unsentSuspicions.addAll(ledger.recordCrash(clockMillis.getAsLong(), backend, running));
     publishChanges(heldBefore, running);
   }
 
   /** Records that a request completed successfully on the local backend. */
   synchronized void recordSuccess(RequestFingerprint request) {
-    boolean heldBefore = ledger.isHeld(request);
-    Optional<Suspicion> cleared = ledger.succeeded(clockMillis.getAsLong(), request);
+    boolean heldBefore = ledger.isQuarantined(request);
+    Optional<SuspectReport> cleared = ledger.recordSuccess(clockMillis.getAsLong(), request);
     if (cleared.isPresent()) {
       unsentSuspicions.add(cleared.get());
       publishChanges(heldBefore ? Set.of(request) : Set.of(), List.of(request));
@@ -112,11 +112,11 @@
    */
   synchronized void take(SuspectMessage message) {
     long now = clockMillis.getAsLong();
-    List<Suspicion> received = message.asOf(now);
-    List<RequestFingerprint> affected = received.stream().map(Suspicion::request).toList();
+    List<SuspectReport> received = message.asOf(now);
+    List<RequestFingerprint> affected = received.stream().map(SuspectReport::request).toList();
     Set<RequestFingerprint> heldBefore = heldAmong(affected);
-    for (Suspicion each : received) {
-      ledger.take(now, each).stream().skip(1).forEach(unsentSuspicions::add);
+    for (SuspectReport each : received) {
+      ledger.merge(now, each).stream().skip(1).forEach(unsentSuspicions::add);
     }
     publishChanges(heldBefore, affected);
   }
@@ -124,7 +124,7 @@
   private Set<RequestFingerprint> heldAmong(Collection<RequestFingerprint> requests) {
     Set<RequestFingerprint> held = new HashSet<>();
     for (RequestFingerprint request : requests) {
-      if (ledger.isHeld(request)) {
+      if (ledger.isQuarantined(request)) {
         held.add(request);
       }
     }
@@ -135,10 +135,10 @@
       Set<RequestFingerprint> heldBefore, Collection<RequestFingerprint> affected) {
     updateSummary();
     for (RequestFingerprint request : affected) {
-      boolean isHeld = ledger.isHeld(request);
+      boolean isHeld = ledger.isQuarantined(request);
       if (isHeld != heldBefore.contains(request)) {
-        events.requestHeld(request, isHeld, ledger.weight(request));
-        heldTargets = ledger.heldTargets();
+        events.requestHeld(request, isHeld, ledger.crashCount(request));
+        heldTargets = ledger.quarantinedTargets();
       }
     }
   }
@@ -146,8 +146,8 @@
   /** Removes expired suspicions. */
   synchronized void forget() {
     if (suspectCount > 0) {
-      ledger.forget(clockMillis.getAsLong());
-      heldTargets = ledger.heldTargets();
+      ledger.removeExpired(clockMillis.getAsLong());
+      heldTargets = ledger.quarantinedTargets();
       updateSummary();
     }
   }
@@ -158,30 +158,30 @@
   }
 
   /** Returns the suspicions recorded since the last call, to be sent to the other nodes. */
-  synchronized List<Suspicion> drainUnsent() {
-    List<Suspicion> drained = List.copyOf(unsentSuspicions);
+  synchronized List<SuspectReport> drainUnsent() {
+    List<SuspectReport> drained = List.copyOf(unsentSuspicions);
     unsentSuspicions.clear();
     return drained;
   }
 
   /** Returns all suspicions, for a node that lacks some. */
-  synchronized List<Suspicion> allSuspicions() {
-    return ledger.all();
+  synchronized List<SuspectReport> allSuspicions() {
+    return ledger.snapshot();
   }
 
   /** Returns the held requests for operators, one per line. */
   synchronized String page() {
     long now = clockMillis.getAsLong();
     StringBuilder lines = new StringBuilder();
-    for (Suspicion each : ledger.all()) {
-      if (ledger.isHeld(each.request())) {
+    for (SuspectReport each : ledger.snapshot()) {
+      if (ledger.isQuarantined(each.request())) {
         lines.append(statusLine(now, each));
       }
     }
     return lines.toString();
   }
 
-  private static String statusLine(long nowMillis, Suspicion held) {
+  private static String statusLine(long nowMillis, SuspectReport held) {
     LongSummaryStatistics crashTimes =
         held.marks().stream()
             .filter(mark -> !mark.cleared())
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/StateChangesCodec.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/StateChangesCodec.java
@@ -107,7 +107,7 @@
     out.writeStartArray();
     for (Departed departed : facts.departed()) {
       out.writeString(departed.start().id());
-      out.writeNumber(departed.start().bornMillis());
+      out.writeNumber(departed.start().startTimeMillis());
       out.writeNumber(departed.departure().ordinal());
       write(out, departed.position());
     }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/SuspectExchange.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/SuspectExchange.java
@@ -1,6 +1,6 @@
 package io.umberpath.node.mesh;
 
-import io.umberpath.traffic.quarantine.Suspicion;
+import io.umberpath.traffic.quarantine.SuspectReport;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.List;
@@ -45,7 +45,7 @@
 
   /** Sends new suspicions to all other nodes. */
   void tick() {
-    List<Suspicion> unsent = quarantine.drainUnsent();
+    List<SuspectReport> unsent = quarantine.drainUnsent();
     if (!unsent.isEmpty()) {
       sender.send(SuspectMessage.encode(clockMillis.getAsLong(), unsent), peers.get());
     }
@@ -56,7 +56,7 @@
     if (digest == quarantine.digest()) {
       return;
     }
-    List<Suspicion> all = quarantine.allSuspicions();
+    List<SuspectReport> all = quarantine.allSuspicions();
     long now = clockMillis.getAsLong();
     if (!all.isEmpty() && tryStartFullSync(host, now)) {
       sender.send(SuspectMessage.encode(now, all), List.of(host));
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/SuspectMessage.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/SuspectMessage.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.core.JsonToken;
 import io.umberpath.traffic.quarantine.CrashMark;
 import io.umberpath.traffic.quarantine.RequestFingerprint;
-import io.umberpath.traffic.quarantine.Suspicion;
+import io.umberpath.traffic.quarantine.SuspectReport;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -17,25 +17,25 @@
  * @param suspicions suspicions that carry ages instead of times, so that receivers need not know
  *     the sender's clock
  */
-record SuspectMessage(List<Suspicion> suspicions) implements PeerDatagram {
+record SuspectMessage(List<SuspectReport> suspicions) implements PeerDatagram {
   /** Distinguishes this message from the kinds of {@link PeerMessage}. */
   static final int KIND = 2;
 
   private static final int INITIAL_BYTES = 128;
 
   /** Encodes all suspicions into datagrams, each small enough to be sent unfragmented. */
-  static List<byte[]> encode(long nowMillis, List<Suspicion> suspicions) {
+  static List<byte[]> encode(long nowMillis, List<SuspectReport> suspicions) {
     List<byte[]> datagrams = new ArrayList<>();
     PeerDatagram.split(suspicions, some -> write(nowMillis, some), datagrams);
     return datagrams;
   }
 
-  private static byte[] write(long nowMillis, List<Suspicion> suspicions) {
+  private static byte[] write(long nowMillis, List<SuspectReport> suspicions) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_BYTES);
     try (JsonGenerator out = CBOR.createGenerator(bytes)) {
       out.writeStartArray();
       out.writeNumber(KIND);
-      for (Suspicion suspicion : suspicions) {
+      for (SuspectReport suspicion : suspicions) {
         write(nowMillis, suspicion, out);
       }
       out.writeEndArray();
@@ -45,13 +45,13 @@
     return bytes.toByteArray();
   }
 
-  private static void write(long nowMillis, Suspicion suspicion, JsonGenerator out)
+  private static void write(long nowMillis, SuspectReport suspicion, JsonGenerator out)
       throws IOException {
     out.writeStartArray();
     out.writeNumber(suspicion.request().target());
     out.writeNumber(suspicion.request().body());
     for (CrashMark mark : suspicion.marks()) {
-      out.writeNumber(mark.crash());
+      out.writeNumber(mark.crashId());
       out.writeNumber(nowMillis - mark.atMillis());
       out.writeBoolean(mark.cleared());
     }
@@ -60,7 +60,7 @@
 
   /** Reads the suspicions of a datagram whose kind has been read; their times are ages. */
   static SuspectMessage readEntries(JsonParser in) throws IOException {
-    List<Suspicion> suspicions = new ArrayList<>();
+    List<SuspectReport> suspicions = new ArrayList<>();
     for (JsonToken token = in.nextToken(); token != JsonToken.END_ARRAY; token = in.nextToken()) {
       PeerDatagram.require(
           token == JsonToken.START_ARRAY, "has no suspicion where one is expected");
@@ -69,7 +69,7 @@
     return new SuspectMessage(List.copyOf(suspicions));
   }
 
-  private static Suspicion readSuspicion(JsonParser in) throws IOException {
+  private static SuspectReport readSuspicion(JsonParser in) throws IOException {
     PeerDatagram.require(
         in.nextToken() == JsonToken.VALUE_NUMBER_INT, "has no request fingerprint");
     RequestFingerprint request = new RequestFingerprint(in.getLongValue(), number(in));
@@ -83,7 +83,7 @@
       PeerDatagram.require(cleared != null, "does not say whether a mark is cleared");
       marks.add(new CrashMark(crash, ageMillis, cleared));
     }
-    return new Suspicion(request, List.copyOf(marks));
+    return new SuspectReport(request, List.copyOf(marks));
   }
 
   private static long number(JsonParser in) throws IOException {
@@ -93,15 +93,15 @@
   }
 
   /** Returns the suspicions with times on this node's clock. */
-  List<Suspicion> asOf(long nowMillis) {
+  List<SuspectReport> asOf(long nowMillis) {
     return suspicions.stream()
-        .map(each -> new Suspicion(each.request(), asOf(nowMillis, each.marks())))
+        .map(each -> new SuspectReport(each.request(), asOf(nowMillis, each.marks())))
         .toList();
   }
 
   private static List<CrashMark> asOf(long nowMillis, List<CrashMark> marks) {
     return marks.stream()
-        .map(mark -> new CrashMark(mark.crash(), nowMillis - mark.atMillis(), mark.cleared()))
+        .map(mark -> new CrashMark(mark.crashId(), nowMillis - mark.atMillis(), mark.cleared()))
         .toList();
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/EdgeHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/EdgeHandler.java
@@ -21,7 +21,7 @@
 import io.umberpath.node.proxy.inbound.RequestPlan;
 import io.umberpath.node.proxy.origin.OriginConnectionPools;
 import io.umberpath.node.proxy.stats.ProxyStats;
-import io.umberpath.traffic.ChainBudget;
+import io.umberpath.traffic.ChainRetryBudget;
 import io.umberpath.traffic.LoadBalancer;
 import io.umberpath.traffic.RetryPolicy;
 import io.umberpath.traffic.RetrySettings;
@@ -80,7 +80,7 @@
     if (!observed.equals(lastObserved)) {
       lastObserved = Map.copyOf(observed);
       synchronized (balancer) {
-        balancer.observed(nowMillis, List.copyOf(observed.values()));
+        balancer.updateReports(nowMillis, List.copyOf(observed.values()));
       }
     }
   }
@@ -136,7 +136,7 @@
         0,
         route.secret().map(snapshot.secrets()::get).map(Secret::headerValue).map("Bearer "::concat),
         Optional.of(snapshot.pools().get(route.pool())),
-        ChainBudget.ofRequest(head.field(ChainBudget.HEADER), RetrySettings.DEFAULT));
+        ChainRetryBudget.ofRequest(head.field(ChainRetryBudget.HEADER), RetrySettings.DEFAULT));
   }
 
   private RouteTable tableOf(ProxySnapshot snapshot) {
@@ -211,7 +211,10 @@
     Headers.addUnread(exchange, outgoing);
     set(outgoing, ProxyHeaders.REQUEST_ID, attemptId(exchange));
     set(outgoing, ProxyHeaders.ATTEMPT, Integer.toString(exchange.history().count()));
-    set(outgoing, ChainBudget.HEADER, plan.chain().forAttempt(exchange.history().count()).encode());
+    set(
+        outgoing,
+        ChainRetryBudget.HEADER,
+        plan.chain().forAttempt(exchange.history().count()).encode());
     set(outgoing, ProxyHeaders.ROUTE, plan.route());
     set(outgoing, ProxyHeaders.TENANT, plan.tenant());
     set(outgoing, ProxyHeaders.TIER, plan.tier().name());
@@ -247,7 +250,7 @@
     synchronized (balancer) {
       balancer.finished(now, originId, verdict, micros);
       if (refusal != null && refusal.fromOrigin() && refusal.retryAfterMillis() > 0) {
-        balancer.shed(now, originId, planOf(exchange).tier(), refusal.retryAfterMillis());
+        balancer.backOff(now, originId, planOf(exchange).tier(), refusal.retryAfterMillis());
       }
     }
   }
@@ -269,9 +272,9 @@
   }
 
   /** The request's remaining chain budget after the retries made here. */
-  private static ChainBudget remainingChainBudget(Exchange exchange) {
+  private static ChainRetryBudget remainingChainBudget(Exchange exchange) {
     int retriesMade = exchange.history().count() - 1;
-    return new ChainBudget(Math.max(0, planOf(exchange).chain().retriesLeft() - retriesMade));
+    return new ChainRetryBudget(Math.max(0, planOf(exchange).chain().retriesLeft() - retriesMade));
   }
 
   @Override
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/HopHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/HopHandler.java
@@ -18,7 +18,7 @@
 import io.umberpath.node.settings.NodeSettings;
 import io.umberpath.traffic.AdmissionController;
 import io.umberpath.traffic.AdmissionController.AdmissionRequest;
-import io.umberpath.traffic.ChainBudget;
+import io.umberpath.traffic.ChainRetryBudget;
 import io.umberpath.traffic.RetrySettings;
 import io.vavr.control.Either;
 import java.util.Optional;
@@ -94,7 +94,7 @@
             Headers.unreadMillis(head),
             Optional.empty(),
             Optional.empty(),
-            ChainBudget.ofRequest(head.field(ChainBudget.HEADER), RetrySettings.DEFAULT));
+            ChainRetryBudget.ofRequest(head.field(ChainRetryBudget.HEADER), RetrySettings.DEFAULT));
     return Either.right(plan);
   }
 
@@ -135,7 +135,7 @@
         .addValue(ProxyHeaders.DEADLINE_MILLIS)
         .setString(Long.toString(remainingMillis));
     outgoing.getHeaders().addValue(ProxyHeaders.REQUEST_ID).setString(plan.requestId());
-    outgoing.getHeaders().addValue(ChainBudget.HEADER).setString(plan.chain().encode());
+    outgoing.getHeaders().addValue(ChainRetryBudget.HEADER).setString(plan.chain().encode());
   }
 
   @Override
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/SlotGate.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/SlotGate.java
@@ -71,7 +71,7 @@
     AdmissionRequest admissionRequest = requestFactory.apply(request.id());
     List<Decision> decisions;
     synchronized (admission) {
-      decisions = admission.ask(clockMillis.getAsLong(), admissionRequest);
+      decisions = admission.submit(clockMillis.getAsLong(), admissionRequest);
     }
     apply(decisions);
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/PoolRequestPlan.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/PoolRequestPlan.java
@@ -2,7 +2,7 @@
 
 import io.umberpath.model.ProxySnapshot;
 import io.umberpath.model.Tier;
-import io.umberpath.traffic.ChainBudget;
+import io.umberpath.traffic.ChainRetryBudget;
 import java.util.Optional;
 
 /**
@@ -29,5 +29,5 @@
     long unreadBeforeMillis,
     Optional<String> authorization,
     Optional<ProxySnapshot.PoolView> pool,
-    ChainBudget chain)
+    ChainRetryBudget chain)
     implements RequestPlan {}
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/RequestBody.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/RequestBody.java
@@ -45,7 +45,7 @@
       append(content);
       return;
     }
-    hash = OptionalLong.of(RequestFingerprint.bodyOf(prefixWith(content)));
+    hash = OptionalLong.of(RequestFingerprint.hashBody(prefixWith(content)));
     isReplayable = false;
     buffered.reset();
   }
@@ -81,7 +81,7 @@
   public synchronized OptionalLong hash() {
     boolean hasPrefix = isComplete || buffered.size() >= RequestFingerprint.BODY_PREFIX_BYTES;
     if (hash.isEmpty() && hasPrefix) {
-      hash = OptionalLong.of(RequestFingerprint.bodyOf(buffered.toByteArray()));
+      hash = OptionalLong.of(RequestFingerprint.hashBody(buffered.toByteArray()));
     }
     return hash;
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ResponseWriter.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ResponseWriter.java
@@ -9,7 +9,7 @@
 import io.umberpath.node.proxy.http.ResponseHead;
 import io.umberpath.node.proxy.http.VerdictHeader;
 import io.umberpath.node.proxy.origin.ResponsePart;
-import io.umberpath.traffic.ChainBudget;
+import io.umberpath.traffic.ChainRetryBudget;
 import java.nio.charset.StandardCharsets;
 import java.util.Set;
 import org.glassfish.grizzly.Buffer;
@@ -84,8 +84,9 @@
     response.setStatus(head.status());
     head.reason().ifPresent(response::setReasonPhrase);
     HeaderCopier.copy(head.fields(), response, Set.of());
-    head.field(ChainBudget.HEADER)
-        .ifPresent(budget -> response.getHeaders().setValue(ChainBudget.HEADER).setString(budget));
+    head.field(ChainRetryBudget.HEADER)
+        .ifPresent(
+            budget -> response.getHeaders().setValue(ChainRetryBudget.HEADER).setString(budget));
     if (head.contentLength() >= 0 && !head.isChunked()) {
       writeWithLength(head.contentLength());
     } else if (hasNoBody(head.status())) {
@@ -141,7 +142,10 @@
       response.getHeaders().setValue(ProxyHeaders.REQUEST_ID).setString(requestId);
     } else {
       // This proxy has given up: no proxy upstream of it should retry.
-      response.getHeaders().setValue(ChainBudget.HEADER).setString(ChainBudget.NONE.encode());
+      response
+          .getHeaders()
+          .setValue(ChainRetryBudget.HEADER)
+          .setString(ChainRetryBudget.NONE.encode());
     }
     if (refusal.retryAfterMillis() > 0) {
       String retryAfter = handler.refusalStyle().retryAfter(refusal.retryAfterMillis());
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/LocalBackendTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/LocalBackendTest.java
@@ -109,7 +109,7 @@
 
     assertThat(backend.acceptsNewWork("first")).isTrue();
     assertThat(backend.bornMillis()).isEqualTo(2_000);
-    assertThat(backend.startOf("first").bornMillis()).isEqualTo(2_000);
+    assertThat(backend.startOf("first").startTimeMillis()).isEqualTo(2_000);
   }
 
   @Test
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/MeshStateTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/MeshStateTest.java
@@ -62,11 +62,11 @@
   @Test
   void lastWrittenOfTwoStartsUnderOneIdIsListedWhateverItsStartTime() {
     state.adopt(whole(3, List.of(new StoreItem("a", "80@9000", 3))), "peer");
-    assertThat(state.view().backends().byId("a").get().bornMillis()).isEqualTo(9_000);
+    assertThat(state.view().backends().byId("a").get().startTimeMillis()).isEqualTo(9_000);
 
     state.adopt(whole(5, List.of(new StoreItem("a", "80@7000", 5))), "peer");
 
-    assertThat(state.view().backends().byId("a").get().bornMillis()).isEqualTo(7_000);
+    assertThat(state.view().backends().byId("a").get().startTimeMillis()).isEqualTo(7_000);
   }
 
   @Test
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/PeerMessagesTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/PeerMessagesTest.java
@@ -18,8 +18,8 @@
 import io.umberpath.model.routing.BackendStart;
 import io.umberpath.traffic.quarantine.CrashMark;
 import io.umberpath.traffic.quarantine.RequestFingerprint;
-import io.umberpath.traffic.quarantine.Suspicion;
-import io.umberpath.traffic.routing.GateLoad;
+import io.umberpath.traffic.quarantine.SuspectReport;
+import io.umberpath.traffic.routing.BackendLoad;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -41,7 +41,7 @@
 
   private static PeerReport report(boolean leaving, Optional<BackendEntry> attested) {
     return new PeerReport(
-        new GateLoad(5, 2, 6, 61_000, 400, 0),
+        new BackendLoad(5, 2, 6, 61_000, 400, 0),
         leaving,
         42,
         new StorePosition(3, 1_000_000_007),
@@ -87,8 +87,9 @@
   void suspicionsRoundTrip() throws IOException {
     CrashMark mark = new CrashMark(-7, 90_000, false);
     CrashMark cleared = new CrashMark(1_234_567_890, 99_750, true);
-    Suspicion first = new Suspicion(new RequestFingerprint(-1, Long.MAX_VALUE), List.of(mark));
-    Suspicion second = new Suspicion(new RequestFingerprint(2, 3), List.of(mark, cleared));
+    SuspectReport first =
+        new SuspectReport(new RequestFingerprint(-1, Long.MAX_VALUE), List.of(mark));
+    SuspectReport second = new SuspectReport(new RequestFingerprint(2, 3), List.of(mark, cleared));
 
     byte[] bytes = SuspectMessage.encode(100_000, List.of(first, second)).get(0);
     SuspectMessage read = (SuspectMessage) PeerDatagram.decode(bytes, bytes.length);
@@ -98,8 +99,8 @@
     CrashMark clearedMoved = new CrashMark(1_234_567_890, 499_750, true);
     assertThat(read.asOf(500_000))
         .containsExactly(
-            new Suspicion(first.request(), List.of(moved)),
-            new Suspicion(second.request(), List.of(moved, clearedMoved)));
+            new SuspectReport(first.request(), List.of(moved)),
+            new SuspectReport(second.request(), List.of(moved, clearedMoved)));
     assertThat(bytes.length).isLessThan(80);
   }
 
@@ -107,12 +108,12 @@
   void manySuspicionsAreSplitIntoUnfragmentedDatagrams() throws IOException {
     List<CrashMark> marks =
         IntStream.range(0, 64).mapToObj(crash -> new CrashMark(crash << 24, 0, true)).toList();
-    List<Suspicion> many =
+    List<SuspectReport> many =
         IntStream.range(0, 50)
-            .mapToObj(index -> new Suspicion(new RequestFingerprint(index, -index), marks))
+            .mapToObj(index -> new SuspectReport(new RequestFingerprint(index, -index), marks))
             .toList();
 
-    List<Suspicion> read = new ArrayList<>();
+    List<SuspectReport> read = new ArrayList<>();
     for (byte[] bytes : SuspectMessage.encode(3_600_000, many)) {
       assertThat(bytes.length).isLessThanOrEqualTo(PeerDatagram.MAX_BYTES);
       read.addAll(((SuspectMessage) PeerDatagram.decode(bytes, bytes.length)).asOf(3_600_000));
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/PeerReportsTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/PeerReportsTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.umberpath.control.store.StorePosition;
-import io.umberpath.traffic.routing.GateLoad;
+import io.umberpath.traffic.routing.BackendLoad;
 import java.io.IOException;
 import java.util.Optional;
 import java.util.Set;
@@ -13,7 +13,7 @@
   private final PeerReports reports = new PeerReports();
 
   private static PeerReport report(ReportedContact contact, int running) {
-    GateLoad load = new GateLoad(running, 0, 6, 60_000, GateLoad.USUAL_PERCENT, 0);
+    BackendLoad load = new BackendLoad(running, 0, 6, 60_000, BackendLoad.USUAL_PERCENT, 0);
     return new PeerReport(
         load, false, 1, new StorePosition(1, 1), contact, 0, Optional.empty(), Optional.empty());
   }
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/QuarantineSimulation.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/QuarantineSimulation.java
@@ -2,7 +2,7 @@
 
 import io.umberpath.model.routing.BackendStart;
 import io.umberpath.traffic.quarantine.RequestFingerprint;
-import io.umberpath.traffic.quarantine.SuspectLedger;
+import io.umberpath.traffic.quarantine.SuspectRegistry;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.ArrayList;
@@ -109,7 +109,7 @@
   private final class Node {
     private final int index;
     private final int zone;
-    private SuspectLedger ledger;
+    private SuspectRegistry ledger;
     private RequestQuarantine quarantine;
     private SuspectExchange exchange;
     private long startedMillis = -CONTACT_MILLIS;
@@ -123,7 +123,7 @@
     }
 
     private void clearSuspicions() {
-      ledger = new SuspectLedger(policy.marksToHold());
+      ledger = new SuspectRegistry(policy.marksToHold());
       quarantine = new RequestQuarantine(ledger, request -> false, EVENTS, () -> now);
       exchange = new SuspectExchange(quarantine, () -> hosts, this::send, () -> now);
     }
@@ -351,7 +351,7 @@
   }
 
   private static boolean isSuspect(Node node, Request request) {
-    return node.ledger.weight(request.fingerprint) > 0;
+    return node.ledger.crashCount(request.fingerprint) > 0;
   }
 
   private void recordArrival(Request request) {
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/SuspectExchangeTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/SuspectExchangeTest.java
@@ -4,7 +4,7 @@
 
 import io.umberpath.model.routing.BackendStart;
 import io.umberpath.traffic.quarantine.RequestFingerprint;
-import io.umberpath.traffic.quarantine.SuspectLedger;
+import io.umberpath.traffic.quarantine.SuspectRegistry;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.ArrayList;
@@ -33,7 +33,7 @@
   private final class Node {
     private final RequestQuarantine quarantine =
         new RequestQuarantine(
-            new SuspectLedger(3), request -> false, new MeshEvents(() -> now), () -> now);
+            new SuspectRegistry(3), request -> false, new MeshEvents(() -> now), () -> now);
     private final SuspectExchange exchange;
 
     Node(int index) {
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/ZoneReadersTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/ZoneReadersTest.java
@@ -4,7 +4,7 @@
 
 import io.umberpath.control.store.StorePosition;
 import io.umberpath.control.store.StoreReaders;
-import io.umberpath.traffic.routing.GateLoad;
+import io.umberpath.traffic.routing.BackendLoad;
 import java.io.IOException;
 import java.util.HashSet;
 import java.util.List;
@@ -19,7 +19,7 @@
   private static final String ONE = "10.0.0.1";
   private static final String OTHER = "10.0.0.2";
   private static final long ROUND_MILLIS = 250;
-  private static final GateLoad LOAD = new GateLoad(0, 0, 6, 50_000, 100, 0);
+  private static final BackendLoad LOAD = new BackendLoad(0, 0, 6, 50_000, 100, 0);
 
   private final PeerReports reports = new PeerReports();
   private final Set<String> drainingHosts = new HashSet<>();
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/inbound/RequestBodyTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/inbound/RequestBodyTest.java
@@ -39,7 +39,7 @@
     assertThat(body.hash()).isEmpty();
     body.complete(null);
 
-    assertThat(body.hash()).hasValue(RequestFingerprint.bodyOf(all));
+    assertThat(body.hash()).hasValue(RequestFingerprint.hashBody(all));
   }
 
   @Test
@@ -50,7 +50,7 @@
 
     body.buffer(buffer(Arrays.copyOfRange(all, PREFIX - 1, all.length)));
 
-    assertThat(body.hash()).hasValue(RequestFingerprint.bodyOf(all));
+    assertThat(body.hash()).hasValue(RequestFingerprint.hashBody(all));
   }
 
   @Test
@@ -60,13 +60,13 @@
     body.noteForwarded(buffer(Arrays.copyOfRange(all, 10, all.length)));
 
     assertThat(body.isReplayable()).isFalse();
-    assertThat(body.hash()).hasValue(RequestFingerprint.bodyOf(all));
+    assertThat(body.hash()).hasValue(RequestFingerprint.hashBody(all));
   }
 
   @Test
   void hashOfEmptyBodyIsKnownOnceComplete() {
     body.complete(null);
 
-    assertThat(body.hash()).hasValue(RequestFingerprint.bodyOf(new byte[0]));
+    assertThat(body.hash()).hasValue(RequestFingerprint.hashBody(new byte[0]));
   }
 }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/AdmissionController.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/AdmissionController.java
@@ -93,7 +93,7 @@
   }
 
   /** Handles a request; the first decision is its own, others may follow for queued requests. */
-  List<Decision> ask(long nowMillis, AdmissionRequest request);
+  List<Decision> submit(long nowMillis, AdmissionRequest request);
 
   /** Releases the slot of a completed request. */
   List<Decision> release(long nowMillis, long id, long serviceMicros);
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/AdmissionSettings.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/AdmissionSettings.java
@@ -30,12 +30,12 @@
 
   /** Validates the limits; the error names field and value. */
   public AdmissionSettings {
-    Settings.atLeast("slots", slots, 1);
-    Settings.atLeast("queueLimit", queueLimit, Tier.values().length);
-    Settings.atLeast("starvationBound", starvationBound, 1);
-    Settings.atLeast("initialServiceMicros", initialServiceMicros, 1);
-    Settings.atLeast("minRetryAfterMillis", minRetryAfterMillis, 0);
-    Settings.atLeast("maxRetryAfterMillis", maxRetryAfterMillis, minRetryAfterMillis);
+    SettingChecks.requireAtLeast("slots", slots, 1);
+    SettingChecks.requireAtLeast("queueLimit", queueLimit, Tier.values().length);
+    SettingChecks.requireAtLeast("starvationBound", starvationBound, 1);
+    SettingChecks.requireAtLeast("initialServiceMicros", initialServiceMicros, 1);
+    SettingChecks.requireAtLeast("minRetryAfterMillis", minRetryAfterMillis, 0);
+    SettingChecks.requireAtLeast("maxRetryAfterMillis", maxRetryAfterMillis, minRetryAfterMillis);
   }
 
   /**
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/BalancerSettings.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/BalancerSettings.java
@@ -42,15 +42,16 @@
 
   /** Validates the settings; the error names field and value. */
   public BalancerSettings {
-    Settings.atLeast("choices", choices, 2);
-    Settings.between("spillOverLoad", spillOverLoad, 0, MAX_SPILL_OVER_LOAD);
-    Settings.between("remotePenaltySlots", remotePenaltySlots, 0, MAX_REMOTE_PENALTY_SLOTS);
-    Settings.atLeast("reportHalfLifeMillis", reportHalfLifeMillis, 1);
-    Settings.atLeast("slowStartMillis", slowStartMillis, 1);
-    Settings.atLeast("ejectionFailures", ejectionFailures, 1);
-    Settings.atLeast("ejectionMillis", ejectionMillis, 1);
-    Settings.atLeast("connectionLimit", connectionLimit, 1);
-    Settings.atLeast("connectionsPerEdge", connectionsPerEdge, 1);
+    SettingChecks.requireAtLeast("choices", choices, 2);
+    SettingChecks.requireBetween("spillOverLoad", spillOverLoad, 0, MAX_SPILL_OVER_LOAD);
+    SettingChecks.requireBetween(
+        "remotePenaltySlots", remotePenaltySlots, 0, MAX_REMOTE_PENALTY_SLOTS);
+    SettingChecks.requireAtLeast("reportHalfLifeMillis", reportHalfLifeMillis, 1);
+    SettingChecks.requireAtLeast("slowStartMillis", slowStartMillis, 1);
+    SettingChecks.requireAtLeast("ejectionFailures", ejectionFailures, 1);
+    SettingChecks.requireAtLeast("ejectionMillis", ejectionMillis, 1);
+    SettingChecks.requireAtLeast("connectionLimit", connectionLimit, 1);
+    SettingChecks.requireAtLeast("connectionsPerEdge", connectionsPerEdge, 1);
   }
 
   /**
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/BudgetedRetryPolicy.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/BudgetedRetryPolicy.java
@@ -19,11 +19,11 @@
 
   @Override
   public void requestStarted(long nowMillis) {
-    requestStarted(nowMillis, ChainBudget.atEntry(settings));
+    requestStarted(nowMillis, ChainRetryBudget.atEntry(settings));
   }
 
   @Override
-  public void requestStarted(long nowMillis, ChainBudget chain) {
+  public void requestStarted(long nowMillis, ChainRetryBudget chain) {
     if (chain.retriesLeft() > 0) {
       tokens = Math.min(settings.budgetCap(), tokens + settings.budgetRatio());
     }
@@ -31,11 +31,11 @@
 
   @Override
   public boolean mayRetry(long nowMillis, FailedAttempt failed) {
-    return mayRetry(nowMillis, failed, ChainBudget.atEntry(settings));
+    return mayRetry(nowMillis, failed, ChainRetryBudget.atEntry(settings));
   }
 
   @Override
-  public boolean mayRetry(long nowMillis, FailedAttempt failed, ChainBudget chain) {
+  public boolean mayRetry(long nowMillis, FailedAttempt failed, ChainRetryBudget chain) {
     boolean allowed =
         failed.bodyReplayable()
             && canSucceed(failed.verdict())
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/ChainBudget.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/ChainRetryBudget.java
@@ -13,7 +13,7 @@
  *
  * @param retriesLeft remaining retries, 0 to 9
  */
-public record ChainBudget(int retriesLeft) {
+public record ChainRetryBudget(int retriesLeft) {
   /** Header name in requests and refusals. */
   public static final String HEADER = "Umberpath-Retry";
 
@@ -21,16 +21,16 @@
   public static final int MAX_RETRIES = 9;
 
   /** No retries left; also returned by a proxy that gives up. */
-  public static final ChainBudget NONE = new ChainBudget(0);
+  public static final ChainRetryBudget NONE = new ChainRetryBudget(0);
 
   /** Validates the number of retries. */
-  public ChainBudget {
-    Settings.between("retriesLeft", retriesLeft, 0, MAX_RETRIES);
+  public ChainRetryBudget {
+    SettingChecks.requireBetween("retriesLeft", retriesLeft, 0, MAX_RETRIES);
   }
 
   /** Budget of a request without the header, which enters the mesh here. */
-  public static ChainBudget atEntry(RetrySettings settings) {
-    return new ChainBudget(settings.chainRetries());
+  public static ChainRetryBudget atEntry(RetrySettings settings) {
+    return new ChainRetryBudget(settings.chainRetries());
   }
 
   /**
@@ -40,8 +40,8 @@
    * @return the smaller of the value and this proxy's own limit; {@link #NONE} if the value is
    *     malformed
    */
-  public static ChainBudget ofRequest(Optional<String> header, RetrySettings settings) {
-    ChainBudget own = atEntry(settings);
+  public static ChainRetryBudget ofRequest(Optional<String> header, RetrySettings settings) {
+    ChainRetryBudget own = atEntry(settings);
     return header.map(value -> own.atMost(parse(value))).orElse(own);
   }
 
@@ -50,13 +50,13 @@
    *
    * @param header its value, if present
    */
-  public ChainBudget afterRefusal(Optional<String> header) {
+  public ChainRetryBudget afterRefusal(Optional<String> header) {
     return header.map(value -> atMost(parse(value))).orElse(this);
   }
 
   /** Budget that is left at this proxy after one retry. */
-  public ChainBudget afterRetry() {
-    return new ChainBudget(Math.max(0, retriesLeft - 1));
+  public ChainRetryBudget afterRetry() {
+    return new ChainRetryBudget(Math.max(0, retriesLeft - 1));
   }
 
   /**
@@ -64,7 +64,7 @@
    *
    * @param attempt 1 for the first; a retry carries {@link #NONE}, so that retries do not multiply
    */
-  public ChainBudget forAttempt(int attempt) {
+  public ChainRetryBudget forAttempt(int attempt) {
     return attempt == 1 ? this : NONE;
   }
 
@@ -73,13 +73,13 @@
     return Integer.toString(retriesLeft);
   }
 
-  private ChainBudget atMost(ChainBudget other) {
+  private ChainRetryBudget atMost(ChainRetryBudget other) {
     return other.retriesLeft < retriesLeft ? other : this;
   }
 
-  private static ChainBudget parse(String value) {
+  private static ChainRetryBudget parse(String value) {
     String digits = value.strip();
     boolean isOneDigit = digits.length() == 1 && digits.charAt(0) >= '0' && digits.charAt(0) <= '9';
-    return isOneDigit ? new ChainBudget(digits.charAt(0) - '0') : NONE;
+    return isOneDigit ? new ChainRetryBudget(digits.charAt(0) - '0') : NONE;
   }
 }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/ColdStartLimiter.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/ColdStartLimiter.java
@@ -77,7 +77,7 @@
    * @param untilMillis earliest end of its warm-up
    * @param coldPerSecond requests a second that it can take; 0 for no limit
    */
-  public synchronized void cold(long nowMillis, long untilMillis, double coldPerSecond) {
+  public synchronized void markCold(long nowMillis, long untilMillis, double coldPerSecond) {
     if (coldPerSecond <= 0 || untilMillis <= nowMillis) {
       return;
     }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/DueOrderAdmissionController.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/DueOrderAdmissionController.java
@@ -43,7 +43,7 @@
   }
 
   @Override
-  public List<Decision> ask(long nowMillis, AdmissionRequest request) {
+  public List<Decision> submit(long nowMillis, AdmissionRequest request) {
     if (draining) {
       return List.of(new Decision.Refused(request.id(), Reason.DRAINING, 0));
     }
@@ -52,7 +52,7 @@
     }
     if (queued() == 0 && canStart(nowMillis)) {
       start(nowMillis, request);
-      backoff.record(false);
+      backoff.recordOutcome(false);
       return List.of(new Decision.Admitted(request.id()));
     }
     if (request.nested()) {
@@ -77,7 +77,7 @@
     double waitMillis = waitMillis(nowMillis, nested.size() + onTime.headSet(request).size());
     boolean isTimely = canMeetTarget(nowMillis, request, waitMillis);
     boolean isRefused = !isTimely && nowMillis <= request.refuseByMillis();
-    backoff.record(isRefused);
+    backoff.recordOutcome(isRefused);
     if (isRefused) {
       return refusalOfOverload(nowMillis, request);
     }
@@ -168,7 +168,7 @@
 
   @Override
   public List<Decision> resize(long nowMillis, int newSlots) {
-    Settings.atLeast("slots", newSlots, 1);
+    SettingChecks.requireAtLeast("slots", newSlots, 1);
     slots = newSlots;
     return dispatch(nowMillis);
   }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/LeastLoadBalancer.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/LeastLoadBalancer.java
@@ -183,12 +183,12 @@
   }
 
   @Override
-  public void shed(long nowMillis, String backendId, Tier tier, long retryAfterMillis) {
+  public void backOff(long nowMillis, String backendId, Tier tier, long retryAfterMillis) {
     state(nowMillis, backendId).backOff(nowMillis, tier, retryAfterMillis);
   }
 
   @Override
-  public void observed(long nowMillis, List<ObservedBackend> backends) {
+  public void updateReports(long nowMillis, List<ObservedBackend> backends) {
     for (ObservedBackend backend : backends) {
       state(nowMillis, backend.backendId()).updateReport(nowMillis, backend);
     }
@@ -199,8 +199,8 @@
   }
 
   @Override
-  public void edgeCount(int newEdgeCount) {
-    Settings.atLeast("edges", newEdgeCount, 1);
+  public void setEdgeCount(int newEdgeCount) {
+    SettingChecks.requireAtLeast("edges", newEdgeCount, 1);
     edgeCount = newEdgeCount;
   }
 
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/LoadBalancer.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/LoadBalancer.java
@@ -55,10 +55,10 @@
    *
    * @param retryAfterMillis time from now, milliseconds
    */
-  default void shed(long nowMillis, String backendId, Tier tier, long retryAfterMillis) {}
+  default void backOff(long nowMillis, String backendId, Tier tier, long retryAfterMillis) {}
 
   /** Applies reports of the nodes beside the backends. */
-  void observed(long nowMillis, List<ObservedBackend> backends);
+  void updateReports(long nowMillis, List<ObservedBackend> backends);
 
   /**
    * Sets the number of edge proxies that share the backends; it determines the size of this proxy's
@@ -66,5 +66,5 @@
    *
    * @param edges at least 1
    */
-  default void edgeCount(int edges) {}
+  default void setEdgeCount(int edges) {}
 }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/OverloadBackoff.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/OverloadBackoff.java
@@ -34,7 +34,7 @@
   }
 
   /** Records whether a request was refused because it could not be in time. */
-  void record(boolean refused) {
+  void recordOutcome(boolean refused) {
     refusalRate += SAMPLE_WEIGHT * ((refused ? 1 : 0) - refusalRate);
   }
 
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/RetryPolicy.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/RetryPolicy.java
@@ -28,7 +28,7 @@
    *
    * @param chain budget from its {@value ChainBudget#HEADER} header
    */
-  void requestStarted(long nowMillis, ChainBudget chain);
+  void requestStarted(long nowMillis, ChainRetryBudget chain);
 
   /** Whether to retry a request that entered the mesh here; takes from the budget if so. */
   boolean mayRetry(long nowMillis, FailedAttempt failed);
@@ -38,5 +38,5 @@
    *
    * @param chain budget of its chain that is left after the refusal and earlier retries here
    */
-  boolean mayRetry(long nowMillis, FailedAttempt failed, ChainBudget chain);
+  boolean mayRetry(long nowMillis, FailedAttempt failed, ChainRetryBudget chain);
 }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/RetrySettings.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/RetrySettings.java
@@ -23,10 +23,10 @@
 
   /** Validates the limits; the error names field and value. */
   public RetrySettings {
-    Settings.atLeast("maxAttempts", maxAttempts, 1);
-    Settings.between("budgetRatio", budgetRatio, 0, 1);
-    Settings.between("budgetCap", budgetCap, 1, Integer.MAX_VALUE);
-    Settings.atLeast("minRemainingMillis", minRemainingMillis, 0);
-    Settings.between("chainRetries", chainRetries, 0, ChainBudget.MAX_RETRIES);
+    SettingChecks.requireAtLeast("maxAttempts", maxAttempts, 1);
+    SettingChecks.requireBetween("budgetRatio", budgetRatio, 0, 1);
+    SettingChecks.requireBetween("budgetCap", budgetCap, 1, Integer.MAX_VALUE);
+    SettingChecks.requireAtLeast("minRemainingMillis", minRemainingMillis, 0);
+    SettingChecks.requireBetween("chainRetries", chainRetries, 0, ChainRetryBudget.MAX_RETRIES);
   }
 }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/SlotAdmissionController.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/SlotAdmissionController.java
@@ -40,7 +40,7 @@
   }
 
   @Override
-  public List<Decision> ask(long nowMillis, AdmissionRequest request) {
+  public List<Decision> submit(long nowMillis, AdmissionRequest request) {
     if (running.containsKey(request.id())) {
       throw new IllegalArgumentException("request " + request.id() + " already holds a slot");
     }
@@ -117,7 +117,7 @@
 
   @Override
   public List<Decision> resize(long nowMillis, int newSlots) {
-    Settings.atLeast("slots", newSlots, 1);
+    SettingChecks.requireAtLeast("slots", newSlots, 1);
     slots = newSlots;
     return dispatch(nowMillis);
   }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/load/BackendSpeed.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/load/BackendSpeed.java
@@ -1,6 +1,6 @@
 package io.umberpath.traffic.load;
 
-import io.umberpath.traffic.routing.RouteMeans;
+import io.umberpath.traffic.routing.RouteAverages;
 import java.util.ArrayDeque;
 import java.util.Deque;
 
@@ -41,8 +41,8 @@
 
   private final Deque<StatedFactor> recentStatements = new ArrayDeque<>();
   private final DecayingSlowdown deviation = new DecayingSlowdown();
-  private final RouteMeans plainTimes = new RouteMeans(1);
-  private final RouteMeans normalizedTimes = new RouteMeans(1);
+  private final RouteAverages plainTimes = new RouteAverages(1);
+  private final RouteAverages normalizedTimes = new RouteAverages(1);
   private long statementCount;
   private double usualFactor = 1;
   private double plainError;
@@ -51,7 +51,7 @@
   private boolean trusted = true;
 
   /** Applies the statement that came with a response. */
-  public void stated(long nowMillis, BackendStatement statement) {
+  public void updateStatement(long nowMillis, BackendStatement statement) {
     double statedFactor = statement.slownessPercent() / (double) BackendStatement.USUAL_PERCENT;
     double factor = Math.min(MAX_FACTOR, Math.max(1 / MAX_FACTOR, statedFactor));
     double sinceLastMillis =
@@ -74,15 +74,15 @@
    * @param micros how long the request ran, microseconds
    * @return how long it would have run at the usual speed, microseconds
    */
-  public long answered(long nowMillis, String route, long micros) {
+  public long recordResponse(long nowMillis, String route, long micros) {
     long normalizedMicros =
         Math.max(1, Math.round(normalizedMillis(nowMillis, micros) * MICROS_PER_MILLI));
-    if (plainTimes.expected(route) > 0 && normalizedTimes.expected(route) > 0) {
+    if (plainTimes.average(route) > 0 && normalizedTimes.average(route) > 0) {
       comparisons++;
       double weight = Math.max(ERROR_WEIGHT, 1.0 / comparisons);
-      plainError += weight * (logError(micros, plainTimes.expected(route)) - plainError);
+      plainError += weight * (logError(micros, plainTimes.average(route)) - plainError);
       statedError +=
-          weight * (logError(normalizedMicros, normalizedTimes.expected(route)) - statedError);
+          weight * (logError(normalizedMicros, normalizedTimes.average(route)) - statedError);
       updateTrust();
     }
     plainTimes.add(route, micros);
@@ -119,7 +119,7 @@
   }
 
   /** Whether the statements of the backend are used. */
-  public boolean isBelieved() {
+  public boolean isTrusted() {
     return trusted;
   }
 
@@ -129,13 +129,13 @@
    * @param ageFactor the same factor estimated from the ages of running requests, see {@link
    *     io.umberpath.traffic.routing.Slowness}; overrides a backend that states less
    */
-  public double slowness(long nowMillis, double ageFactor) {
+  public double slowdown(long nowMillis, double ageFactor) {
     double statedFactor = trusted ? deviation.factorAt(nowMillis) : 1;
     return ageFactor > 1 ? Math.max(statedFactor, ageFactor) : statedFactor;
   }
 
   /** Prediction errors with and without statements, for a log line. */
-  public String errors() {
+  public String describeErrors() {
     return "off by %.2f with statements, by %.2f without".formatted(statedError, plainError);
   }
 }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/outlier/FailureShare.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/outlier/FailureRate.java
@@ -11,7 +11,7 @@
  * backend, a node that sends requests only a few. Health checks are not counted, so a wrong one has
  * no effect here. The owner synchronizes access.
  */
-public final class FailureShare {
+public final class FailureRate {
   /** Half-life of a result, milliseconds: a recovered backend shows it within seconds. */
   private static final double HALF_LIFE_MILLIS = 2_000;
 
@@ -23,14 +23,14 @@
   private final Map<AttemptResult, DecayingValue> counts = new EnumMap<>(AttemptResult.class);
 
   /** Creates a rate without attempts. */
-  public FailureShare() {
+  public FailureRate() {
     for (AttemptResult result : AttemptResult.values()) {
       counts.put(result, new DecayingValue(HALF_LIFE_MILLIS));
     }
   }
 
   /** Records the result of an attempt. */
-  public void ended(long nowMillis, AttemptResult result) {
+  public void recordResult(long nowMillis, AttemptResult result) {
     counts.get(result).add(nowMillis, 1);
   }
 
@@ -50,7 +50,7 @@
   }
 
   /** Decayed counts of each kind of result, for a log line. */
-  public String kinds(long nowMillis) {
+  public String describeCounts(long nowMillis) {
     return counts.entrySet().stream()
         .filter(each -> Math.round(each.getValue().get(nowMillis)) > 0)
         .map(each -> each.getKey() + " " + Math.round(each.getValue().get(nowMillis)))
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/quarantine/RequestFingerprint.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/quarantine/RequestFingerprint.java
@@ -33,7 +33,8 @@
    * @param pathAndQuery as the client sent it
    * @param credential credential of the client; null if there is none
    */
-  public static long targetOf(String method, String host, String pathAndQuery, String credential) {
+  public static long hashTarget(
+      String method, String host, String pathAndQuery, String credential) {
     Hasher hasher = HASH.newHasher();
     add(hasher, method);
     add(hasher, host);
@@ -51,7 +52,7 @@
    *
    * @param bytes the body, or at least the prefix that is hashed
    */
-  public static long bodyOf(byte[] bytes) {
+  public static long hashBody(byte[] bytes) {
     return HASH.hashBytes(bytes, 0, Math.min(bytes.length, BODY_PREFIX_BYTES)).asLong();
   }
 
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/quarantine/SuspectLedger.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/quarantine/SuspectRegistry.java
@@ -24,7 +24,7 @@
  * three crashes, while requests that merely ran at the same time rarely are, and these are cleared
  * when they succeed. The owner synchronizes access.
  */
-public final class SuspectLedger {
+public final class SuspectRegistry {
   /**
    * Upper bound on the suspects, some 200 bytes each. A crashed backend adds as many as it has
    * slots.
@@ -54,7 +54,7 @@
    *
    * @param quarantineThreshold crashes from which a request is quarantined
    */
-  public SuspectLedger(int quarantineThreshold) {
+  public SuspectRegistry(int quarantineThreshold) {
     this.quarantineThreshold = quarantineThreshold;
   }
 
@@ -65,13 +65,13 @@
    * @param running the requests that it was running
    * @return changes to report to the other nodes
    */
-  public List<Suspicion> ended(
+  public List<SuspectReport> recordCrash(
       long nowMillis, BackendStart backend, Collection<RequestFingerprint> running) {
-    int crashId = Objects.hash(backend.id(), backend.bornMillis());
+    int crashId = Objects.hash(backend.id(), backend.startTimeMillis());
     CrashMark mark = new CrashMark(crashId, nowMillis, false);
-    List<Suspicion> changes = new ArrayList<>();
+    List<SuspectReport> changes = new ArrayList<>();
     for (RequestFingerprint request : running) {
-      changes.addAll(take(nowMillis, new Suspicion(request, List.of(mark))));
+      changes.addAll(merge(nowMillis, new SuspectReport(request, List.of(mark))));
     }
     return changes;
   }
@@ -81,20 +81,20 @@
    *
    * @return change to report to the other nodes
    */
-  public Optional<Suspicion> succeeded(long nowMillis, RequestFingerprint request) {
+  public Optional<SuspectReport> recordSuccess(long nowMillis, RequestFingerprint request) {
     successes.add(nowMillis, request);
     SuspectRequest suspect = suspects.get(request);
     return suspect == null ? Optional.empty() : clear(request, suspect, nowMillis);
   }
 
-  private Optional<Suspicion> clear(
+  private Optional<SuspectReport> clear(
       RequestFingerprint request, SuspectRequest suspect, long untilMillis) {
     if (suspect.crashCount() < MIN_MARKS_TO_CLEAR) {
       return Optional.empty();
     }
     List<CrashMark> cleared = suspect.clear(untilMillis);
     updateDerivedState(request, suspect);
-    return cleared.isEmpty() ? Optional.empty() : Optional.of(new Suspicion(request, cleared));
+    return cleared.isEmpty() ? Optional.empty() : Optional.of(new SuspectReport(request, cleared));
   }
 
   /**
@@ -102,7 +102,7 @@
    *
    * @return what changed, plus what this node knows against it; empty if nothing changed
    */
-  public List<Suspicion> take(long nowMillis, Suspicion received) {
+  public List<SuspectReport> merge(long nowMillis, SuspectReport received) {
     RequestFingerprint request = received.request();
     SuspectRequest suspect =
         suspects.getOrDefault(request, new SuspectRequest(quarantineThreshold));
@@ -112,7 +112,7 @@
     }
     suspects.put(request, suspect);
     updateDerivedState(request, suspect);
-    List<Suspicion> changes = new ArrayList<>(List.of(new Suspicion(request, changed)));
+    List<SuspectReport> changes = new ArrayList<>(List.of(new SuspectReport(request, changed)));
     if (successes.containsSince(suspect.lastCrashMillis() - SUCCESS_WINDOW_MILLIS, request)) {
       clear(request, suspect, suspect.lastCrashMillis()).ifPresent(changes::add);
     }
@@ -154,19 +154,19 @@
   }
 
   /** Whether a request is quarantined. */
-  public boolean isHeld(RequestFingerprint request) {
+  public boolean isQuarantined(RequestFingerprint request) {
     return quarantined.contains(request);
   }
 
   /** Crashes of a request that are not cleared. */
-  public int weight(RequestFingerprint request) {
+  public int crashCount(RequestFingerprint request) {
     SuspectRequest suspect = suspects.get(request);
     return suspect == null ? 0 : suspect.crashCount();
   }
 
   /** Whether a quarantined request may be tried once more. */
   public boolean isTrialDue(long nowMillis, RequestFingerprint request) {
-    return isHeld(request) && suspects.get(request).isTrialDue(nowMillis);
+    return isQuarantined(request) && suspects.get(request).isTrialDue(nowMillis);
   }
 
   /** Records that a quarantined request is tried once more. */
@@ -175,7 +175,7 @@
   }
 
   /** Targets of the quarantined requests; see {@link RequestFingerprint#target}. */
-  public Set<Long> heldTargets() {
+  public Set<Long> quarantinedTargets() {
     return quarantined.stream()
         .map(RequestFingerprint::target)
         .collect(Collectors.toUnmodifiableSet());
@@ -187,14 +187,14 @@
   }
 
   /** The whole state, for a node that lacks some of it. */
-  public List<Suspicion> all() {
+  public List<SuspectReport> snapshot() {
     return suspects.entrySet().stream()
-        .map(each -> new Suspicion(each.getKey(), each.getValue().marks()))
+        .map(each -> new SuspectReport(each.getKey(), each.getValue().marks()))
         .toList();
   }
 
   /** Removes expired crashes. */
-  public void forget(long nowMillis) {
+  public void removeExpired(long nowMillis) {
     List<RequestFingerprint> known = List.copyOf(suspects.keySet());
     for (RequestFingerprint request : known) {
       SuspectRequest suspect = suspects.get(request);
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/quarantine/Suspicion.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/quarantine/SuspectReport.java
@@ -8,4 +8,4 @@
  * @param request the suspected request
  * @param marks crashes of backends that were running it
  */
-public record Suspicion(RequestFingerprint request, List<CrashMark> marks) {}
+public record SuspectReport(RequestFingerprint request, List<CrashMark> marks) {}
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/quarantine/SuspectRequest.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/quarantine/SuspectRequest.java
@@ -60,16 +60,16 @@
   List<CrashMark> merge(long nowMillis, Collection<CrashMark> received) {
     List<CrashMark> changed = received.stream().filter(this::mergeMark).toList();
     removeExpired(nowMillis);
-    return changed.stream().filter(mark -> marks.containsKey(mark.crash())).toList();
+    return changed.stream().filter(mark -> marks.containsKey(mark.crashId())).toList();
   }
 
   private boolean mergeMark(CrashMark mark) {
-    CrashMark known = marks.get(mark.crash());
+    CrashMark known = marks.get(mark.crashId());
     if (known == null && marks.size() >= MAX_MARKS) {
       return false;
     }
     CrashMark merged = known == null ? mark : known.merge(mark);
-    marks.put(mark.crash(), merged);
+    marks.put(mark.crashId(), merged);
     return known == null || known.cleared() != merged.cleared();
   }
 
@@ -80,7 +80,7 @@
             .filter(mark -> !mark.cleared() && mark.atMillis() <= untilMillis)
             .map(CrashMark::asCleared)
             .toList();
-    cleared.forEach(mark -> marks.put(mark.crash(), mark));
+    cleared.forEach(mark -> marks.put(mark.crashId(), mark));
     return cleared;
   }
 
@@ -145,7 +145,7 @@
 
   private static long digest(RequestFingerprint request, CrashMark mark) {
     long mixed = request.target() * HASH_FACTOR + request.body();
-    mixed = mixed * HASH_FACTOR + mark.crash();
+    mixed = mixed * HASH_FACTOR + mark.crashId();
     mixed = mixed * HASH_FACTOR + (mark.cleared() ? 1 : 2);
     mixed = (mixed ^ (mixed >>> 30)) * MIX_1;
     mixed = (mixed ^ (mixed >>> 27)) * MIX_2;
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/GateLoad.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/BackendLoad.java
@@ -12,17 +12,17 @@
  * @param routeMicros mean response time of the route that a response belongs to, microseconds; 0 if
  *     not known or not sent with a response
  * @param bornMillis start time of the backend, as {@link
- *     io.umberpath.model.routing.BackendEntry#bornMillis}; 0 if not known
+ *     io.umberpath.model.routing.BackendEntry#startTimeMillis}; 0 if not known
  * @param failurePercent share of its recent responses that failed, percent
  */
-public record GateLoad(
+public record BackendLoad(
     int running,
     int queued,
     int slots,
     long serviceMicros,
     int slownessPercent,
     long routeMicros,
-    long bornMillis,
+    long startTimeMillis,
     int failurePercent) {
   /** Slowdown of a backend at its usual speed. */
   public static final int USUAL_PERCENT = 100;
@@ -32,7 +32,7 @@
   private static final int FIELD_COUNT = 8;
 
   /** Creates a report without a start time and without failures. */
-  public GateLoad(
+  public BackendLoad(
       int running,
       int queued,
       int slots,
@@ -43,38 +43,45 @@
   }
 
   /** Creates a report without failures. */
-  public GateLoad(
+  public BackendLoad(
       int running,
       int queued,
       int slots,
       long serviceMicros,
       int slownessPercent,
       long routeMicros,
-      long bornMillis) {
-    this(running, queued, slots, serviceMicros, slownessPercent, routeMicros, bornMillis, 0);
+      long startTimeMillis) {
+    this(running, queued, slots, serviceMicros, slownessPercent, routeMicros, startTimeMillis, 0);
   }
 
   /** Returns a copy with that share of failed responses. */
-  public GateLoad withFailures(int percent) {
-    return new GateLoad(
-        running, queued, slots, serviceMicros, slownessPercent, routeMicros, bornMillis, percent);
+  public BackendLoad withFailures(int percent) {
+    return new BackendLoad(
+        running,
+        queued,
+        slots,
+        serviceMicros,
+        slownessPercent,
+        routeMicros,
+        startTimeMillis,
+        percent);
   }
 
   /** Clamps a slowdown that another node reports, to limit the effect of a faulty report. */
-  public static int boundedSlowness(int percent) {
+  public static int clampSlowness(int percent) {
     return Math.min(MAX_PERCENT, Math.max(MIN_PERCENT, percent));
   }
 
   /** Returns a copy with the response time of a route. */
-  public GateLoad withRoute(long newRouteMicros) {
-    return new GateLoad(
+  public BackendLoad withRoute(long newRouteMicros) {
+    return new BackendLoad(
         running,
         queued,
         slots,
         serviceMicros,
         slownessPercent,
         newRouteMicros,
-        bornMillis,
+        startTimeMillis,
         failurePercent);
   }
 
@@ -92,34 +99,34 @@
         + ","
         + routeMicros
         + ","
-        + bornMillis
+        + startTimeMillis
         + ","
         + failurePercent;
   }
 
   /** Decodes the text form; null if it is malformed. */
-  public static GateLoad decode(String text) {
+  public static BackendLoad decode(String text) {
     String[] fields = text.split(",", FIELD_COUNT + 1);
     if (fields.length != FIELD_COUNT) {
       return null;
     }
     try {
-      return new GateLoad(
+      return new BackendLoad(
           Integer.parseInt(fields[0]),
           Integer.parseInt(fields[1]),
           Math.max(1, Integer.parseInt(fields[2])),
           Long.parseLong(fields[3]),
-          boundedSlowness(Integer.parseInt(fields[4])),
+          clampSlowness(Integer.parseInt(fields[4])),
           Long.parseLong(fields[5]),
           Long.parseLong(fields[6]),
-          percent(Long.parseLong(fields[7])));
+          clampPercent(Long.parseLong(fields[7])));
     } catch (NumberFormatException malformed) {
       return null;
     }
   }
 
   /** Clamps a received percentage to 0 to 100. */
-  public static int percent(long value) {
+  public static int clampPercent(long value) {
     return (int) Math.max(0, Math.min(USUAL_PERCENT, value));
   }
 }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/BackendStats.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/BackendStats.java
@@ -23,7 +23,7 @@
   private final long firstSeenMillis;
 
   /** Start time of the backend; unknown until its entry or the node beside it has reported it. */
-  private long startTimeMillis = BackendStart.UNKNOWN_BORN_MILLIS;
+  private long startTimeMillis = BackendStart.UNKNOWN_START_TIME_MILLIS;
 
   private boolean hasLoadReport;
   private long reportedAtMillis = Long.MIN_VALUE;
@@ -56,14 +56,14 @@
 
   /** Whether both start times are known and differ. */
   boolean isDifferentStart(long otherStartTimeMillis) {
-    return startTimeMillis != BackendStart.UNKNOWN_BORN_MILLIS
-        && otherStartTimeMillis != BackendStart.UNKNOWN_BORN_MILLIS
+    return startTimeMillis != BackendStart.UNKNOWN_START_TIME_MILLIS
+        && otherStartTimeMillis != BackendStart.UNKNOWN_START_TIME_MILLIS
         && startTimeMillis != otherStartTimeMillis;
   }
 
   /** Takes start time and slots from the entry of the backend. */
   void updateEntry(BackendEntry entry) {
-    startTimeMillis = entry.bornMillis();
+    startTimeMillis = entry.startTimeMillis();
     slots = Math.max(slots, entry.slots());
   }
 
@@ -115,12 +115,12 @@
   }
 
   /** Applies a load report from the node beside the backend, unless a newer one is known. */
-  void updateLoad(long atMillis, GateLoad load) {
+  void updateLoad(long atMillis, BackendLoad load) {
     if (atMillis < reportedAtMillis) {
       // Gossiped reports are delayed; a load header on a response may be newer than this one.
       return;
     }
-    if (isDifferentStart(load.bornMillis())) {
+    if (isDifferentStart(load.startTimeMillis())) {
       // The report is about an earlier start, or about one that this node has not heard of yet.
       return;
     }
@@ -129,8 +129,8 @@
     outstanding = load.running() + load.queued();
     slots = load.slots();
     serviceMillis = load.serviceMicros() / MICROS_PER_MILLI;
-    slowdown.update(atMillis, load.slownessPercent() / (double) GateLoad.USUAL_PERCENT);
-    failureRate = load.failurePercent() / (double) GateLoad.USUAL_PERCENT;
+    slowdown.update(atMillis, load.slownessPercent() / (double) BackendLoad.USUAL_PERCENT);
+    failureRate = load.failurePercent() / (double) BackendLoad.USUAL_PERCENT;
   }
 
   /**
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/BackendStatsTable.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/BackendStatsTable.java
@@ -37,7 +37,7 @@
   /** Returns the statistics of the listed start; null if there are none. */
   BackendStats find(BackendEntry entry) {
     BackendStats stats = byId.get(entry.id());
-    return stats == null || stats.isDifferentStart(entry.bornMillis()) ? null : stats;
+    return stats == null || stats.isDifferentStart(entry.startTimeMillis()) ? null : stats;
   }
 
   /** Returns the statistics of a backend, whatever its start; null if there are none. */
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/GateBalancer.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/LatencyAwareBalancer.java
@@ -18,7 +18,7 @@
  * candidates compared. Load reports are some tenths of a second old, and nodes that all compare the
  * same old reports send their requests to the same few backends. The owner synchronizes access.
  */
-public final class GateBalancer {
+public final class LatencyAwareBalancer {
   /**
    * A chosen backend.
    *
@@ -78,7 +78,7 @@
   private final CandidateSampler sampler;
   private final DoubleSupplier random;
   private final BackendStatsTable statsTable = new BackendStatsTable();
-  private final RouteMeans routeTimes = new RouteMeans(1);
+  private final RouteAverages routeTimes = new RouteAverages(1);
 
   /**
    * Creates a balancer without statistics.
@@ -86,7 +86,7 @@
    * @param zone zone of this node
    * @param random source of numbers from 0 to 1
    */
-  public GateBalancer(String zone, DoubleSupplier random) {
+  public LatencyAwareBalancer(String zone, DoubleSupplier random) {
     this.sampler = new CandidateSampler(zone);
     this.random = random;
   }
@@ -216,7 +216,7 @@
    *
    * @param nowMillis when the report was made
    */
-  public void stated(long nowMillis, String id, GateLoad load) {
+  public void updateLoad(long nowMillis, String id, BackendLoad load) {
     statsTable.getOrCreate(nowMillis, id).updateLoad(nowMillis, load);
   }
 
@@ -225,17 +225,17 @@
    *
    * @param routeMicros mean response time there, microseconds; 0 if not known
    */
-  public void answered(String id, String route, long routeMicros) {
+  public void updateRouteTime(String id, String route, long routeMicros) {
     BackendStats stats = statsTable.find(id);
     if (stats == null || routeMicros <= 0) {
       return;
     }
     routeTimes.add(route, routeMicros);
-    stats.updateRouteTime(route, routeMicros, routeTimes.expected(route));
+    stats.updateRouteTime(route, routeMicros, routeTimes.average(route));
   }
 
   /** Removes backends that have been inactive for too long. */
-  public void forget(long nowMillis) {
+  public void removeExpired(long nowMillis) {
     statsTable.removeExpired(nowMillis);
   }
 }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/NestedRoutes.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/NestedRouteDetector.java
@@ -9,7 +9,7 @@
  * have origins beside those of every service. The sender of a nested request holds a slot while it
  * waits. The owner synchronizes access.
  */
-public final class NestedRoutes {
+public final class NestedRouteDetector {
   /** Requests of a route before it is classified. */
   private static final int MIN_REQUESTS = 24;
 
@@ -53,7 +53,7 @@
    * @param route its route
    * @param callerService service of the backend beside the node where the request originated
    */
-  public void arrived(String route, String callerService) {
+  public void recordRequest(String route, String callerService) {
     if (byRoute.size() >= MAX_ROUTES && !byRoute.containsKey(route)) {
       byRoute.clear();
     }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/CallerPatience.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/RequestAgeEstimator.java
@@ -8,7 +8,7 @@
  * same timeout and state what is left of it when they retry, so the difference to the usual timeout
  * is the age. The owner synchronizes access.
  */
-public final class CallerPatience {
+public final class RequestAgeEstimator {
   private static final int MAX_ROUTES = 1_024;
 
   /** Relative difference up to which two timeouts count as equal. */
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/RetryWindow.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/RetryBudgetWindow.java
@@ -8,7 +8,7 @@
  * the service plus a few extra ones. Each node keeps to its share, which bounds the retries of the
  * whole fleet. The owner synchronizes access.
  */
-public final class RetryWindow {
+public final class RetryBudgetWindow {
   /** Buckets per window; a bucket enters and leaves the window as a whole. */
   private static final int BUCKETS_PER_WINDOW = 20;
 
@@ -63,7 +63,7 @@
    * @param ratio retries per request
    * @param extra additional retries, shared by all nodes
    */
-  public RetryWindow(long windowMillis, double ratio, double extra) {
+  public RetryBudgetWindow(long windowMillis, double ratio, double extra) {
     this.bucketMillis = Math.max(1, (windowMillis + BUCKETS_PER_WINDOW - 1) / BUCKETS_PER_WINDOW);
     this.ratio = ratio;
     this.extra = extra;
@@ -73,7 +73,7 @@
    * Records a request of a client to the service; nested calls of backends add nothing to the
    * budget.
    */
-  public void requestStarted(long nowMillis, String service) {
+  public void recordRequest(long nowMillis, String service) {
     Counts counts = counts(nowMillis, service);
     counts.requests[Counts.index(counts.bucket)]++;
   }
@@ -100,7 +100,7 @@
    *
    * @param retries how many; a fraction if only the probability is known
    */
-  public void repeated(long nowMillis, String service, double retries) {
+  public void recordRetries(long nowMillis, String service, double retries) {
     Counts counts = counts(nowMillis, service);
     counts.retries[Counts.index(counts.bucket)] += retries;
   }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/RouteMeans.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/RouteAverages.java
@@ -7,7 +7,7 @@
  * Moving averages and mean deviations of one value per route, such as a time or a size. The owner
  * synchronizes access.
  */
-public final class RouteMeans {
+public final class RouteAverages {
   private static final double SAMPLE_WEIGHT = 0.1;
   private static final int MAX_ROUTES = 4_096;
 
@@ -25,7 +25,7 @@
    *
    * @param minSamples samples before an average is used, at least 1
    */
-  public RouteMeans(int minSamples) {
+  public RouteAverages(int minSamples) {
     this.minSamples = minSamples;
   }
 
@@ -51,14 +51,14 @@
    * retransmission timeout of TCP (RFC 6298) but with one deviation instead of four; 0 if there are
    * too few samples.
    */
-  public long likelyMost(String route) {
+  public long upperEstimate(String route) {
     MovingAverage mean = byRoute.get(route);
     boolean known = mean != null && mean.samples >= minSamples;
     return known ? Math.round(mean.value + mean.deviation) : 0;
   }
 
   /** The moving average; 0 if there are too few samples. */
-  public long expected(String route) {
+  public long average(String route) {
     MovingAverage mean = byRoute.get(route);
     return mean == null || mean.samples < minSamples ? 0 : Math.round(mean.value);
   }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/Slowness.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/SlowdownDetector.java
@@ -7,7 +7,7 @@
  * Detects a slowdown of a backend from the ages of its running requests, before the first slow
  * request ends.
  */
-public final class Slowness {
+public final class SlowdownDetector {
   /** Running requests that are needed for an estimate. */
   private static final int MIN_RUNNING = 3;
 
@@ -17,7 +17,7 @@
   /** On average a running request is at half of its duration. */
   private static final double DURATION_PER_AGE = 2;
 
-  private Slowness() {}
+  private SlowdownDetector() {}
 
   /**
    * A running request.
@@ -28,7 +28,7 @@
   public record Running(long ageMicros, long expectedMicros) {}
 
   /** Estimates the slowdown factor; 1 if there is no significant slowdown. */
-  public static double of(Collection<Running> running) {
+  public static double slowdownFactor(Collection<Running> running) {
     if (running.size() < MIN_RUNNING) {
       return 1;
     }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/WeightedSplit.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/WeightedRoundRobin.java
@@ -11,7 +11,7 @@
  * weighted round robin): after any number of requests each target is within one request of its
  * share. The owner synchronizes access.
  */
-public final class WeightedSplit {
+public final class WeightedRoundRobin {
   private static final int MAX_ROUTES = 10_000;
 
   private static final class RouteCredits {
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/AdmissionControllerTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/AdmissionControllerTest.java
@@ -36,8 +36,8 @@
   }
 
   private void fillSlots() {
-    controller.ask(0, request(-1, "other", Tier.STANDARD));
-    controller.ask(0, request(-2, "other", Tier.STANDARD));
+    controller.submit(0, request(-1, "other", Tier.STANDARD));
+    controller.submit(0, request(-2, "other", Tier.STANDARD));
   }
 
   /** Two slots of 10 ms: a request that finds n before it waits for (n + 1) * 5 ms. */
@@ -53,10 +53,10 @@
   void refusesImmediatelyIfTheDeadlineCannotBeMet(int before, long deadline, String expected) {
     fillSlots();
     for (int i = 0; i < before; i++) {
-      controller.ask(0, request(i, "a", Tier.STANDARD));
+      controller.submit(0, request(i, "a", Tier.STANDARD));
     }
     List<Decision> decisions =
-        controller.ask(0, new AdmissionRequest(9, "a", Tier.STANDARD, deadline));
+        controller.submit(0, new AdmissionRequest(9, "a", Tier.STANDARD, deadline));
     if (expected.equals("QUEUED")) {
       assertThat(decisions).containsExactly(new Queued(9));
     } else {
@@ -68,16 +68,16 @@
 
   @Test
   void admitsToAFreeSlotDespiteSlowEarlierRequests() {
-    controller.ask(0, request(1, "a", Tier.BASIC));
+    controller.submit(0, request(1, "a", Tier.BASIC));
     controller.release(0, 1, 60_000_000);
-    assertThat(controller.ask(0, new AdmissionRequest(2, "a", Tier.BASIC, 5)))
+    assertThat(controller.submit(0, new AdmissionRequest(2, "a", Tier.BASIC, 5)))
         .containsExactly(new Admitted(2));
   }
 
   @Test
   void refusesAQueuedRequestAtItsDeadline() {
     fillSlots();
-    controller.ask(0, new AdmissionRequest(1, "a", Tier.STANDARD, 30));
+    controller.submit(0, new AdmissionRequest(1, "a", Tier.STANDARD, 30));
     assertThat(controller.tick(29)).isEmpty();
     assertThat(controller.tick(30)).containsExactly(new Refused(1, Reason.DEADLINE, 0));
     assertThat(controller.queued()).isZero();
@@ -87,16 +87,18 @@
   void aFullQueueEvictsTheLowestTierAndReservesAPlaceForEach() {
     fillSlots();
     for (int i = 0; i < 4; i++) {
-      assertThat(controller.ask(0, request(i, "a", Tier.BASIC))).containsExactly(new Queued(i));
+      assertThat(controller.submit(0, request(i, "a", Tier.BASIC))).containsExactly(new Queued(i));
     }
-    assertThat(controller.ask(0, request(4, "a", Tier.BASIC)).get(0)).isInstanceOf(Refused.class);
+    assertThat(controller.submit(0, request(4, "a", Tier.BASIC)).get(0))
+        .isInstanceOf(Refused.class);
     List<Decision> all = new ArrayList<>();
     for (int i = 10; i < 20; i++) {
-      all.addAll(controller.ask(0, request(i, "a", Tier.PREMIUM)));
+      all.addAll(controller.submit(0, request(i, "a", Tier.PREMIUM)));
     }
     assertThat(all.stream().filter(Queued.class::isInstance)).hasSize(4);
     assertThat(all).anyMatch(decision -> decision instanceof Refused refused && refused.id() == 3);
-    assertThat(controller.ask(0, request(30, "a", Tier.STANDARD))).containsExactly(new Queued(30));
+    assertThat(controller.submit(0, request(30, "a", Tier.STANDARD)))
+        .containsExactly(new Queued(30));
     assertThat(controller.queued()).isEqualTo(6);
   }
 
@@ -104,9 +106,9 @@
   void aFullTierEvictsTheNewestRequestOfTheLargestTenant() {
     fillSlots();
     for (int i = 0; i < 4; i++) {
-      controller.ask(0, request(i, "greedy", Tier.STANDARD));
+      controller.submit(0, request(i, "greedy", Tier.STANDARD));
     }
-    List<Decision> decisions = controller.ask(0, request(9, "modest", Tier.STANDARD));
+    List<Decision> decisions = controller.submit(0, request(9, "modest", Tier.STANDARD));
     assertThat(decisions.get(0)).isEqualTo(new Queued(9));
     assertThat(decisions.get(1).id()).isEqualTo(3);
   }
@@ -114,12 +116,12 @@
   @Test
   void cancelledDrainedAndUnknownRequestsNeverHoldASlot() {
     fillSlots();
-    controller.ask(0, request(1, "a", Tier.STANDARD));
-    controller.ask(0, request(2, "a", Tier.STANDARD));
+    controller.submit(0, request(1, "a", Tier.STANDARD));
+    controller.submit(0, request(2, "a", Tier.STANDARD));
     assertThat(controller.cancel(0, 1)).containsExactly(new Refused(1, Reason.CANCELLED, 0));
     assertThat(controller.cancel(0, -1)).isEmpty();
     assertThat(controller.drain(0)).containsExactly(new Refused(2, Reason.DRAINING, 0));
-    assertThat(controller.ask(0, request(3, "a", Tier.PREMIUM)))
+    assertThat(controller.submit(0, request(3, "a", Tier.PREMIUM)))
         .containsExactly(new Refused(3, Reason.DRAINING, 0));
     assertThat(controller.release(0, 77, 5)).isEmpty();
     assertThat(controller.running()).isEqualTo(2);
@@ -132,9 +134,9 @@
   @Test
   void moreSlotsAdmitAtOnceAndFewerSlotsLetRunningRequestsFinish() {
     fillSlots();
-    controller.ask(0, request(1, "a", Tier.STANDARD));
+    controller.submit(0, request(1, "a", Tier.STANDARD));
     assertThat(controller.resize(0, 3)).containsExactly(new Admitted(1));
-    controller.ask(0, request(2, "a", Tier.STANDARD));
+    controller.submit(0, request(2, "a", Tier.STANDARD));
     assertThat(controller.resize(0, 1)).isEmpty();
     controller.release(0, 1, 5);
     controller.release(0, -1, 5);
@@ -159,7 +161,7 @@
         for (String tenant : List.of("slow", "b", "c")) {
           AdmissionRequest request = request(id++, tenant, tier);
           requests.put(request.id(), request);
-          addAdmitted(singleSlotController.ask(0, request), running);
+          addAdmitted(singleSlotController.submit(0, request), running);
         }
       }
       AdmissionRequest ended = requests.get(running.poll());
@@ -177,13 +179,13 @@
   @Test
   void uncontendedUseDoesNotCountAgainstATenantLater() {
     for (int i = 100; i < 1_100; i++) {
-      controller.ask(0, request(i, "busy", Tier.STANDARD));
+      controller.submit(0, request(i, "busy", Tier.STANDARD));
       controller.release(0, i, 10_000);
     }
     fillSlots();
     for (int i = 0; i < 2; i++) {
-      controller.ask(0, request(2 * i, "new", Tier.STANDARD));
-      controller.ask(0, request(2 * i + 1, "busy", Tier.STANDARD));
+      controller.submit(0, request(2 * i, "new", Tier.STANDARD));
+      controller.submit(0, request(2 * i + 1, "busy", Tier.STANDARD));
     }
     controller.release(0, -1, 10_000);
     controller.release(0, -2, 10_000);
@@ -225,7 +227,7 @@
     return switch (random.nextInt(8)) {
       case 0, 1, 2, 3 -> {
         Tier tier = Tier.values()[random.nextInt(3)];
-        yield controller.ask(
+        yield controller.submit(
             step,
             new AdmissionRequest(step, "t" + random.nextInt(4), tier, step + random.nextInt(60)));
       }
@@ -245,9 +247,9 @@
   @Test
   void refusesARequestWhoseWaitExceedsItsTolerance() {
     AdmissionController controller = AdmissionControllers.create(AdmissionSettings.forSlots(1));
-    controller.ask(0, new AdmissionController.AdmissionRequest(1, "t", Tier.STANDARD, 60_000));
+    controller.submit(0, new AdmissionController.AdmissionRequest(1, "t", Tier.STANDARD, 60_000));
     controller.release(100, 1, 100_000);
-    controller.ask(100, new AdmissionController.AdmissionRequest(2, "t", Tier.STANDARD, 60_000));
+    controller.submit(100, new AdmissionController.AdmissionRequest(2, "t", Tier.STANDARD, 60_000));
 
     assertThat(submitTolerating(controller, 3, 50))
         .isInstanceOf(AdmissionController.Decision.Refused.class);
@@ -258,7 +260,7 @@
   private static AdmissionController.Decision submitTolerating(
       AdmissionController controller, long id, long waitMillis) {
     return controller
-        .ask(
+        .submit(
             100,
             new AdmissionController.AdmissionRequest(
                 id, "t", Tier.STANDARD, 60_000, 0, waitMillis, 60_000))
@@ -268,13 +270,13 @@
   @Test
   void refusesARequestThatCannotFinishBeforeItsDeadline() {
     AdmissionController controller = AdmissionControllers.create(AdmissionSettings.forSlots(1));
-    controller.ask(0, new AdmissionController.AdmissionRequest(1, "t", Tier.STANDARD, 60_000));
+    controller.submit(0, new AdmissionController.AdmissionRequest(1, "t", Tier.STANDARD, 60_000));
     controller.release(10, 1, 10_000);
-    controller.ask(10, new AdmissionController.AdmissionRequest(2, "t", Tier.STANDARD, 60_000));
+    controller.submit(10, new AdmissionController.AdmissionRequest(2, "t", Tier.STANDARD, 60_000));
 
     AdmissionController.Decision decision =
         controller
-            .ask(
+            .submit(
                 10,
                 new AdmissionController.AdmissionRequest(
                     3, "t", Tier.STANDARD, 110, 240_000, 1_000, 110))
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/ColdStartLimiterTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/ColdStartLimiterTest.java
@@ -22,7 +22,7 @@
   void noSecondExceedsTheLimitUnderAnyDemand(double perSecond, double overage, double slack) {
     ColdStartLimiter limiter =
         new ColdStartLimiter(new ColdStartLimiter.Bounds(overage, slack), LONG_AGO);
-    limiter.cold(0, WARMUP_MILLIS, perSecond);
+    limiter.markCold(0, WARMUP_MILLIS, perSecond);
     Deque<Long> lastSecond = new ArrayDeque<>();
     int total = 0;
 
@@ -52,7 +52,7 @@
       limiter.recordStart(0);
     }
 
-    limiter.cold(0, WARMUP_MILLIS, perSecond);
+    limiter.markCold(0, WARMUP_MILLIS, perSecond);
     assertThat(limiter.canStart(0)).isFalse();
     assertThat(limiter.waitMillis(0, 0)).isEqualTo(1_100);
     assertThat(limiter.usableSlots(0, 13, 200_000)).isEqualTo(5);
@@ -77,7 +77,7 @@
     for (int round = 0; round < 50; round++) {
       ColdStartLimiter limiter =
           new ColdStartLimiter(new ColdStartLimiter.Bounds(overage, slack), LONG_AGO);
-      limiter.cold(0, WARMUP_MILLIS, perSecond);
+      limiter.markCold(0, WARMUP_MILLIS, perSecond);
       List<Long> arrivals = new ArrayList<>();
       double load = random.nextDouble();
       for (long now = 0; now < WARMUP_MILLIS; now++) {
@@ -97,7 +97,7 @@
   @Test
   void theLimitIsUsedFullyAndEvenly() {
     ColdStartLimiter limiter = new ColdStartLimiter(new ColdStartLimiter.Bounds(1.5, 8), LONG_AGO);
-    limiter.cold(0, WARMUP_MILLIS, 10.5);
+    limiter.markCold(0, WARMUP_MILLIS, 10.5);
 
     assertThat(limiter.usableSlots(0, 4, 130_000)).isEqualTo(4);
     assertThat(startAllAllowed(limiter, 0)).isEqualTo(6);
@@ -116,7 +116,7 @@
   @Test
   void aNewProcessAllowsForStartsOfAnEarlierProcess() {
     ColdStartLimiter limiter = new ColdStartLimiter(new ColdStartLimiter.Bounds(1.5, 8), 0);
-    limiter.cold(0, WARMUP_MILLIS, 10.5);
+    limiter.markCold(0, WARMUP_MILLIS, 10.5);
 
     assertThat(startAllAllowed(limiter, 0)).isZero();
     assertThat(startAllAllowed(limiter, 275)).isEqualTo(5);
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/DecisionCosts.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/DecisionCosts.java
@@ -36,14 +36,14 @@
     measure("ask and release, free slots", i -> submitAndRelease(free, i, i));
     AdmissionController full = AdmissionControllers.create(AdmissionSettings.forSlots(6));
     for (int i = 1; i <= 26; i++) {
-      full.ask(
+      full.submit(
           0,
           new AdmissionController.AdmissionRequest(-i, "t" + i % 5, Tier.STANDARD, Long.MAX_VALUE));
     }
     measure(
         "ask and cancel, full slots, 20 queued",
         i -> {
-          full.ask(
+          full.submit(
               i, new AdmissionController.AdmissionRequest(i, "t", Tier.STANDARD, Long.MAX_VALUE));
           full.cancel(i, i);
         });
@@ -60,7 +60,7 @@
   }
 
   private static void submitAndRelease(AdmissionController controller, long now, long id) {
-    controller.ask(
+    controller.submit(
         now, new AdmissionController.AdmissionRequest(id, "t", Tier.STANDARD, Long.MAX_VALUE));
     controller.release(now, id, 5_000);
   }
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/DueOrderAdmissionControllerTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/DueOrderAdmissionControllerTest.java
@@ -32,16 +32,16 @@
   }
 
   private void fillSlots() {
-    controller.ask(0, request(-1, 0));
-    controller.ask(0, request(-2, 0));
+    controller.submit(0, request(-1, 0));
+    controller.submit(0, request(-2, 0));
   }
 
   @Test
   void admitsInDueOrder() {
     fillSlots();
-    controller.ask(0, request(1, 600));
-    controller.ask(0, request(2, 60));
-    controller.ask(0, request(3, 300));
+    controller.submit(0, request(1, 600));
+    controller.submit(0, request(2, 60));
+    controller.submit(0, request(3, 300));
 
     assertThat(controller.release(1, -1, 10_000)).containsExactly(new Admitted(2));
     assertThat(controller.release(1, -2, 10_000)).containsExactly(new Admitted(3));
@@ -51,17 +51,17 @@
   @Test
   void onlyRequestsDueEarlierCountTowardsTheWait() {
     fillSlots();
-    controller.ask(0, request(1, 600));
-    controller.ask(0, request(2, 600));
-    controller.ask(0, request(3, 600));
+    controller.submit(0, request(1, 600));
+    controller.submit(0, request(2, 600));
+    controller.submit(0, request(3, 600));
 
     AdmissionRequest urgent =
         new AdmissionRequest(4, "", Tier.STANDARD, FAR_DEADLINE_MILLIS, 0, 5, 60);
     AdmissionRequest patient =
         new AdmissionRequest(5, "", Tier.STANDARD, FAR_DEADLINE_MILLIS, 0, 5, 700);
 
-    assertThat(controller.ask(0, urgent)).containsExactly(new Queued(4));
-    assertThat(controller.ask(0, patient).get(0)).isInstanceOf(Refused.class);
+    assertThat(controller.submit(0, urgent)).containsExactly(new Queued(4));
+    assertThat(controller.submit(0, patient).get(0)).isInstanceOf(Refused.class);
   }
 
   @Test
@@ -71,13 +71,14 @@
     AdmissionRequest request =
         new AdmissionRequest(1, "", Tier.STANDARD, 50, 60_000, FAR_DEADLINE_MILLIS, 50);
 
-    assertThat(controller.ask(0, request).get(0)).isEqualTo(new Refused(1, Reason.OVERLOADED, 20));
+    assertThat(controller.submit(0, request).get(0))
+        .isEqualTo(new Refused(1, Reason.OVERLOADED, 20));
   }
 
   @Test
   void refusesAQueuedRequestThatCanNoLongerMeetItsDeadline() {
     fillSlots();
-    controller.ask(
+    controller.submit(
         0, new AdmissionRequest(1, "", Tier.STANDARD, 100, 60_000, FAR_DEADLINE_MILLIS, 50));
 
     assertThat(controller.tick(30)).isEmpty();
@@ -106,8 +107,8 @@
   @Test
   void requestsThatCanMeetTheirTargetGoFirst() {
     fillSlots();
-    controller.ask(0, withTarget(1, 10, 30, 500));
-    controller.ask(0, withTarget(2, 90, 100, 500));
+    controller.submit(0, withTarget(1, 10, 30, 500));
+    controller.submit(0, withTarget(2, 90, 100, 500));
 
     assertThat(controller.release(25, -1, 10_000)).containsExactly(new Admitted(2));
     assertThat(controller.release(25, -2, 10_000)).containsExactly(new Admitted(1));
@@ -116,8 +117,8 @@
   @Test
   void aRequestThatCannotMeetItsTargetQueuesBehindTheOthers() {
     fillSlots();
-    controller.ask(0, withTarget(1, 10, 12, 500));
-    controller.ask(0, withTarget(2, 90, 100, 500));
+    controller.submit(0, withTarget(1, 10, 12, 500));
+    controller.submit(0, withTarget(2, 90, 100, 500));
 
     assertThat(controller.release(5, -1, 10_000)).containsExactly(new Admitted(2));
   }
@@ -125,7 +126,7 @@
   @Test
   void aRequestThatWaitedTooLongIsRefusedWithARetryAfter() {
     fillSlots();
-    controller.ask(0, withTarget(1, 10, 30, 50));
+    controller.submit(0, withTarget(1, 10, 30, 50));
 
     assertThat(controller.tick(50)).isEmpty();
     assertThat(controller.tick(51)).containsExactly(new Refused(1, Reason.OVERLOADED, 20));
@@ -136,10 +137,10 @@
   void aRequestThatWouldWaitTooLongIsRefusedImmediately() {
     fillSlots();
     for (int id = 1; id <= 4; id++) {
-      controller.ask(0, withTarget(id, 10, 200, 500));
+      controller.submit(0, withTarget(id, 10, 200, 500));
     }
 
-    assertThat(controller.ask(0, withTarget(5, 90, 200, 20)).get(0)).isInstanceOf(Refused.class);
+    assertThat(controller.submit(0, withTarget(5, 90, 200, 20)).get(0)).isInstanceOf(Refused.class);
   }
 
   /** A request that takes 10 ms and for which another request holds a slot. */
@@ -162,8 +163,8 @@
   @Test
   void nestedRequestsGoFirst() {
     fillSlots();
-    controller.ask(0, withTarget(1, 10, 100, 500));
-    controller.ask(0, nested(2, 90, 200));
+    controller.submit(0, withTarget(1, 10, 100, 500));
+    controller.submit(0, nested(2, 90, 200));
 
     assertThat(controller.release(5, -1, 10_000)).containsExactly(new Admitted(2));
     assertThat(controller.release(5, -2, 10_000)).containsExactly(new Admitted(1));
@@ -172,8 +173,8 @@
   @Test
   void nestedRequestsThatAreLateStillGoFirstAndWaitUntilTheirDeadline() {
     fillSlots();
-    controller.ask(0, nested(1, 5, 60));
-    controller.ask(0, withTarget(2, 90, 100, 500));
+    controller.submit(0, nested(1, 5, 60));
+    controller.submit(0, withTarget(2, 90, 100, 500));
 
     assertThat(controller.tick(45)).isEmpty();
     assertThat(controller.release(50, -1, 10_000)).containsExactly(new Admitted(1));
@@ -182,7 +183,7 @@
   @Test
   void nestedRequestsAreRefusedOnceTheirDeadlineCannotBeMet() {
     fillSlots();
-    controller.ask(0, nested(1, 5, 60));
+    controller.submit(0, nested(1, 5, 60));
 
     assertThat(controller.tick(51)).containsExactly(new Refused(1, Reason.DEADLINE, 0));
   }
@@ -191,16 +192,16 @@
   void theQueueIsBounded() {
     fillSlots();
     for (int id = 1; id <= 6; id++) {
-      controller.ask(0, request(id, 600));
+      controller.submit(0, request(id, 600));
     }
 
-    assertThat(controller.ask(0, request(7, 1)).get(0)).isInstanceOf(Refused.class);
+    assertThat(controller.submit(0, request(7, 1)).get(0)).isInstanceOf(Refused.class);
   }
 
   @Test
   void aCancelledRequestIsNotAdmitted() {
     fillSlots();
-    controller.ask(0, request(1, 600));
+    controller.submit(0, request(1, 600));
     controller.cancel(0, 1);
 
     assertThat(controller.release(1, -1, 10_000)).isEmpty();
@@ -209,10 +210,10 @@
   @Test
   void drainingRefusesQueuedAndNewRequests() {
     fillSlots();
-    controller.ask(0, request(1, 600));
+    controller.submit(0, request(1, 600));
 
     assertThat(controller.drain(0)).containsExactly(new Refused(1, Reason.DRAINING, 0));
-    assertThat(controller.ask(0, request(2, 600)))
+    assertThat(controller.submit(0, request(2, 600)))
         .containsExactly(new Refused(2, Reason.DRAINING, 0));
     assertThat(controller.running()).isEqualTo(2);
   }
@@ -250,7 +251,7 @@
         long id = nextId++;
         waiting.add(id);
         long due = now + random.nextInt(500);
-        decisions = controller.ask(now, randomRequest(random, id, due));
+        decisions = controller.submit(now, randomRequest(random, id, due));
       } else {
         long id = running.iterator().next();
         running.remove(id);
@@ -272,8 +273,8 @@
   }
 
   private void useUpTheColdLimitOfOneSecond() {
-    coldStartLimiter.cold(0, 3_000, 1);
-    controller.ask(0, request(-1, 600));
+    coldStartLimiter.markCold(0, 3_000, 1);
+    controller.submit(0, request(-1, 600));
     controller.release(10, -1, 10_000);
   }
 
@@ -282,7 +283,7 @@
   void aColdBackendIsRateLimitedThoughSlotsAreFree() {
     useUpTheColdLimitOfOneSecond();
 
-    assertThat(controller.ask(10, request(1, 600))).containsExactly(new Queued(1));
+    assertThat(controller.submit(10, request(1, 600))).containsExactly(new Queued(1));
     assertThat(controller.tick(1_099)).isEmpty();
     assertThat(controller.tick(1_100)).containsExactly(new Admitted(1));
   }
@@ -294,7 +295,7 @@
     AdmissionRequest impatient =
         new AdmissionRequest(2, "", Tier.STANDARD, FAR_DEADLINE_MILLIS, 0, 1_000, 700);
 
-    assertThat(controller.ask(10, impatient).get(0)).isInstanceOf(Refused.class);
-    assertThat(controller.ask(3_000, request(3, 700))).containsExactly(new Admitted(3));
+    assertThat(controller.submit(10, impatient).get(0)).isInstanceOf(Refused.class);
+    assertThat(controller.submit(3_000, request(3, 700))).containsExactly(new Admitted(3));
   }
 }
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/LoadBalancerTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/LoadBalancerTest.java
@@ -45,7 +45,7 @@
   }
 
   private void report(long now, String id, Phase phase, int load) {
-    balancer.observed(now, List.of(new ObservedBackend(id, 1, ++counter, phase, load)));
+    balancer.updateReports(now, List.of(new ObservedBackend(id, 1, ++counter, phase, load)));
   }
 
   /** Counts picks per backend; each request ends before the next. */
@@ -72,9 +72,9 @@
 
   @Test
   void anOlderReportIsIgnored() {
-    balancer.observed(0, List.of(new ObservedBackend("b0", 7, 2, Phase.DRAINING, 0)));
-    balancer.observed(0, List.of(new ObservedBackend("b0", 7, 1, Phase.READY, 0)));
-    balancer.observed(0, List.of(new ObservedBackend("b0", 6, 9, Phase.READY, 0)));
+    balancer.updateReports(0, List.of(new ObservedBackend("b0", 7, 2, Phase.DRAINING, 0)));
+    balancer.updateReports(0, List.of(new ObservedBackend("b0", 7, 1, Phase.READY, 0)));
+    balancer.updateReports(0, List.of(new ObservedBackend("b0", 6, 9, Phase.READY, 0)));
     assertThat(countPicks(1, pool("aa"))).containsOnlyKeys("b1");
   }
 
@@ -96,7 +96,7 @@
   @Test
   void sheddingAppliesToTheTierAndLowerTiers() {
     PoolView one = pool("a");
-    balancer.shed(0, "b0", Tier.STANDARD, 100);
+    balancer.backOff(0, "b0", Tier.STANDARD, 100);
     assertThat(balancer.pick(99, one, Tier.BASIC, 1, Set.of()))
         .isEqualTo(Either.left(Reason.OVERLOADED));
     assertThat(balancer.retryAfterMillis(40, one, Tier.STANDARD)).isEqualTo(60);
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/OverloadBackoffTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/OverloadBackoffTest.java
@@ -11,7 +11,7 @@
 
   private void record(int count, boolean refused) {
     for (int index = 0; index < count; index++) {
-      backoff.record(refused);
+      backoff.recordOutcome(refused);
     }
   }
 
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/RetryChainTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/RetryChainTest.java
@@ -88,12 +88,12 @@
   private Optional<String> call(int level, Optional<String> header, RetrySettings settings) {
     arrivals[level]++;
     if (level == failingLevel && random.nextDouble() < failureRatio) {
-      return Optional.of(new ChainBudget(settings.chainRetries()).encode());
+      return Optional.of(new ChainRetryBudget(settings.chainRetries()).encode());
     }
     if (level + 1 == arrivals.length) {
       return Optional.empty();
     }
-    ChainBudget budget = ChainBudget.ofRequest(header, settings);
+    ChainRetryBudget budget = ChainRetryBudget.ofRequest(header, settings);
     RetryPolicy policy = policies.get(level);
     policy.requestStarted(0, budget);
     for (int attempt = 1; ; attempt++) {
@@ -102,10 +102,10 @@
       if (refusal.isEmpty()) {
         return Optional.empty();
       }
-      ChainBudget left = budget.afterRefusal(refusal);
+      ChainRetryBudget left = budget.afterRefusal(refusal);
       if (!policy.mayRetry(
           0, new RetryPolicy.FailedAttempt(REFUSED, false, attempt, true, 9_999), left)) {
-        return Optional.of(ChainBudget.NONE.encode());
+        return Optional.of(ChainRetryBudget.NONE.encode());
       }
       budget = left.afterRetry();
     }
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/RetryPolicyTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/RetryPolicyTest.java
@@ -50,7 +50,7 @@
           default -> new Verdict.Completed();
         };
     FailedAttempt failed = new FailedAttempt(verdict, repeatable, attempts, bodyKept, timeLeft);
-    assertThat(policy.mayRetry(0, failed, new ChainBudget(chain))).isEqualTo(expected);
+    assertThat(policy.mayRetry(0, failed, new ChainRetryBudget(chain))).isEqualTo(expected);
   }
 
   @Test
@@ -72,7 +72,7 @@
       assertThat(policy).isNotNull();
     }
     for (int request = 0; request < 100; request++) {
-      policy.requestStarted(0, ChainBudget.NONE);
+      policy.requestStarted(0, ChainRetryBudget.NONE);
     }
     assertThat(policy.mayRetry(0, REFUSED)).isFalse();
   }
@@ -82,9 +82,10 @@
       value = {"-, 2", "0, 0", "1, 1", "' 1 ', 1", "9, 2", "10, 0", "-1, 0", "x, 0", "'', 0"},
       nullValues = "-")
   void headerIsReadStrictlyAndNeverRaisesTheLimit(String header, int expected) {
-    ChainBudget budget = ChainBudget.ofRequest(Optional.ofNullable(header), RetrySettings.DEFAULT);
+    ChainRetryBudget budget =
+        ChainRetryBudget.ofRequest(Optional.ofNullable(header), RetrySettings.DEFAULT);
     assertThat(budget.retriesLeft()).isEqualTo(expected);
-    assertThat(ChainBudget.ofRequest(Optional.of(budget.encode()), RetrySettings.DEFAULT))
+    assertThat(ChainRetryBudget.ofRequest(Optional.of(budget.encode()), RetrySettings.DEFAULT))
         .isEqualTo(budget);
   }
 }
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/load/BackendSpeedTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/load/BackendSpeedTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.umberpath.traffic.routing.RouteMeans;
+import io.umberpath.traffic.routing.RouteAverages;
 import java.util.Random;
 import org.assertj.core.data.Offset;
 import org.junit.jupiter.api.Test;
@@ -24,7 +24,7 @@
   private long now = 1_000_000;
 
   private void sendStatement(int percent) {
-    speed.stated(now, new BackendStatement(3, 0, 6, percent));
+    speed.updateStatement(now, new BackendStatement(3, 0, 6, percent));
   }
 
   private void sendStatementsFor(long millis, int percent) {
@@ -38,18 +38,18 @@
     sendStatementsFor(10_000, 100);
     sendStatement(250);
 
-    assertThat(speed.slowness(now, NO_AGE_SIGNAL)).isEqualTo(2.5, TOLERANCE);
-    assertThat(speed.slowness(now + 300, NO_AGE_SIGNAL)).isEqualTo(1.75, TOLERANCE);
+    assertThat(speed.slowdown(now, NO_AGE_SIGNAL)).isEqualTo(2.5, TOLERANCE);
+    assertThat(speed.slowdown(now + 300, NO_AGE_SIGNAL)).isEqualTo(1.75, TOLERANCE);
   }
 
   /** Some backends of a service always take 1.7 times as long as is usual there. */
   @Test
   void aConstantlySlowBackendIsAtItsUsualSpeed() {
     sendStatementsFor(10_000, 170);
-    assertThat(speed.slowness(now, NO_AGE_SIGNAL)).isEqualTo(1, TOLERANCE);
+    assertThat(speed.slowdown(now, NO_AGE_SIGNAL)).isEqualTo(1, TOLERANCE);
 
     sendStatement(100);
-    assertThat(speed.slowness(now, NO_AGE_SIGNAL)).isEqualTo(0.59, TOLERANCE);
+    assertThat(speed.slowdown(now, NO_AGE_SIGNAL)).isEqualTo(0.59, TOLERANCE);
   }
 
   @Test
@@ -57,7 +57,7 @@
     sendStatementsFor(20_000, 100);
     sendStatementsFor(500, 200);
 
-    long usual = speed.answered(now, ROUTE, 300_000);
+    long usual = speed.recordResponse(now, ROUTE, 300_000);
 
     assertThat(usual / 1_000.0).isEqualTo(150, Offset.offset(12.0));
   }
@@ -65,17 +65,17 @@
   @Test
   void withoutStatementsTimesAreNotNormalized() {
     for (int responses = 0; responses < 50; responses++) {
-      assertThat(speed.answered(now, ROUTE, 60_000)).isEqualTo(60_000);
+      assertThat(speed.recordResponse(now, ROUTE, 60_000)).isEqualTo(60_000);
       now += 50;
     }
-    assertThat(speed.slowness(now, NO_AGE_SIGNAL)).isEqualTo(1);
+    assertThat(speed.slowdown(now, NO_AGE_SIGNAL)).isEqualTo(1);
   }
 
   @Test
   void requestAgesOverrideAStatementOfNormalSpeed() {
     sendStatementsFor(5_000, 100);
 
-    assertThat(speed.slowness(now, 4)).isEqualTo(4);
+    assertThat(speed.slowdown(now, 4)).isEqualTo(4);
   }
 
   @Test
@@ -83,7 +83,7 @@
     sendStatementsFor(10_000, 100);
     sendStatement(999_999_999);
 
-    assertThat(speed.slowness(now, NO_AGE_SIGNAL)).isLessThanOrEqualTo(10);
+    assertThat(speed.slowdown(now, NO_AGE_SIGNAL)).isLessThanOrEqualTo(10);
   }
 
   @Test
@@ -91,19 +91,19 @@
     Random random = new Random(3);
     for (int responses = 0; responses < 60; responses++) {
       sendStatement(random.nextBoolean() ? 1_000 : 100);
-      speed.answered(now, ROUTE, 60_000);
+      speed.recordResponse(now, ROUTE, 60_000);
       now += 70;
     }
     sendStatement(1_000);
-    assertThat(speed.isBelieved()).isFalse();
-    assertThat(speed.slowness(now, NO_AGE_SIGNAL)).isEqualTo(1);
+    assertThat(speed.isTrusted()).isFalse();
+    assertThat(speed.slowdown(now, NO_AGE_SIGNAL)).isEqualTo(1);
 
     for (int responses = 0; responses < 400; responses++) {
       int percent = random.nextInt(4) == 0 ? 250 : 100;
       sendStatementsFor(100, percent);
-      speed.answered(now, ROUTE, 600L * percent);
+      speed.recordResponse(now, ROUTE, 600L * percent);
     }
-    assertThat(speed.isBelieved()).isTrue();
+    assertThat(speed.isTrusted()).isTrue();
   }
 
   /**
@@ -114,8 +114,8 @@
   @ValueSource(longs = {1, 2, 3, 4})
   void normalizedEstimatesAreCloserThanPlainMeans(long seed) {
     Random random = new Random(seed);
-    RouteMeans plain = new RouteMeans(1);
-    RouteMeans usual = new RouteMeans(1);
+    RouteAverages plain = new RouteAverages(1);
+    RouteAverages usual = new RouteAverages(1);
     double plainError = 0;
     double statedError = 0;
     double factor = 1;
@@ -124,18 +124,18 @@
       for (int each = 0; each < PHASE_MILLIS / 60; each++) {
         now += 60;
         long micros = Math.round(60_000 * factor * (0.7 + 0.6 * random.nextDouble()));
-        double expected = usual.expected(ROUTE) * speed.slowness(now - 60, NO_AGE_SIGNAL);
+        double expected = usual.average(ROUTE) * speed.slowdown(now - 60, NO_AGE_SIGNAL);
         if (phase > 10) {
           statedError += Math.abs(Math.log(micros / expected));
-          plainError += Math.abs(Math.log(micros / (double) plain.expected(ROUTE)));
+          plainError += Math.abs(Math.log(micros / (double) plain.average(ROUTE)));
         }
         sendStatement((int) (factor * 100));
-        usual.add(ROUTE, speed.answered(now, ROUTE, micros));
+        usual.add(ROUTE, speed.recordResponse(now, ROUTE, micros));
         plain.add(ROUTE, micros);
       }
     }
 
-    assertThat(speed.isBelieved()).isTrue();
+    assertThat(speed.isTrusted()).isTrue();
     assertThat(statedError).isLessThan(0.8 * plainError);
   }
 }
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/outlier/FailureShareTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/outlier/FailureRateTest.java
@@ -8,12 +8,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-final class FailureShareTest {
-  private final FailureShare failures = new FailureShare();
+final class FailureRateTest {
+  private final FailureRate failures = new FailureRate();
 
   private void ended(long now, int times, AttemptResult result) {
     for (int index = 0; index < times; index++) {
-      failures.ended(now, result);
+      failures.recordResult(now, result);
     }
   }
 
@@ -27,7 +27,7 @@
     ended(0, 50, AttemptResult.NO_EVIDENCE);
 
     assertThat(failures.percent(0)).isEqualTo(50);
-    assertThat(failures.kinds(0))
+    assertThat(failures.describeCounts(0))
         .contains("served 10", kind.name().toLowerCase(Locale.ROOT).replace('_', '-') + " 10");
   }
 
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/quarantine/RequestFingerprintTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/quarantine/RequestFingerprintTest.java
@@ -8,24 +8,24 @@
 final class RequestFingerprintTest {
   @Test
   void eachPartOfTheTargetChangesTheHash() {
-    long target = RequestFingerprint.targetOf("GET", "shop.example", "/a/1?x=2", "Token k");
+    long target = RequestFingerprint.hashTarget("GET", "shop.example", "/a/1?x=2", "Token k");
 
-    assertThat(RequestFingerprint.targetOf("GET", "shop.example", "/a/1?x=2", "Token k"))
+    assertThat(RequestFingerprint.hashTarget("GET", "shop.example", "/a/1?x=2", "Token k"))
         .isEqualTo(target);
-    assertThat(RequestFingerprint.targetOf("PUT", "shop.example", "/a/1?x=2", "Token k"))
+    assertThat(RequestFingerprint.hashTarget("PUT", "shop.example", "/a/1?x=2", "Token k"))
         .isNotEqualTo(target);
-    assertThat(RequestFingerprint.targetOf("GET", "pay.example", "/a/1?x=2", "Token k"))
+    assertThat(RequestFingerprint.hashTarget("GET", "pay.example", "/a/1?x=2", "Token k"))
         .isNotEqualTo(target);
-    assertThat(RequestFingerprint.targetOf("GET", "shop.example", "/a/1?x=3", "Token k"))
+    assertThat(RequestFingerprint.hashTarget("GET", "shop.example", "/a/1?x=3", "Token k"))
         .isNotEqualTo(target);
-    assertThat(RequestFingerprint.targetOf("GET", "shop.example", "/a/1?x=2", null))
+    assertThat(RequestFingerprint.hashTarget("GET", "shop.example", "/a/1?x=2", null))
         .isNotEqualTo(target);
   }
 
   @Test
   void partsAreSeparatedInTheHash() {
-    assertThat(RequestFingerprint.targetOf("GET", "a", "b", null))
-        .isNotEqualTo(RequestFingerprint.targetOf("GET", "ab", "", null));
+    assertThat(RequestFingerprint.hashTarget("GET", "a", "b", null))
+        .isNotEqualTo(RequestFingerprint.hashTarget("GET", "ab", "", null));
   }
 
   @Test
@@ -35,7 +35,8 @@
     byte[] other = body.clone();
     other[RequestFingerprint.BODY_PREFIX_BYTES - 1] = 1;
 
-    assertThat(RequestFingerprint.bodyOf(sameBeginning)).isEqualTo(RequestFingerprint.bodyOf(body));
-    assertThat(RequestFingerprint.bodyOf(other)).isNotEqualTo(RequestFingerprint.bodyOf(body));
+    assertThat(RequestFingerprint.hashBody(sameBeginning))
+        .isEqualTo(RequestFingerprint.hashBody(body));
+    assertThat(RequestFingerprint.hashBody(other)).isNotEqualTo(RequestFingerprint.hashBody(body));
   }
 }
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/BalancingWithStaleStatsTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/BalancingWithStaleStatsTest.java
@@ -42,7 +42,7 @@
     private final BackendEntry entry;
     private final double speed;
     private final Queue<Double> waiting = new ArrayDeque<>();
-    private final Queue<GateBalancer> senders = new ArrayDeque<>();
+    private final Queue<LatencyAwareBalancer> senders = new ArrayDeque<>();
     private int running;
 
     Server(BackendEntry entry, double speed) {
@@ -50,9 +50,9 @@
       this.speed = speed;
     }
 
-    GateLoad load() {
+    BackendLoad load() {
       long micros = Math.round(WORK_MILLIS * speed * 1_000);
-      return new GateLoad(running, waiting.size(), SLOTS, micros, 100, micros);
+      return new BackendLoad(running, waiting.size(), SLOTS, micros, 100, micros);
     }
 
     double finishMillis() {
@@ -63,7 +63,7 @@
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(Comparator.comparingDouble(Event::atMillis).thenComparing(Event::order));
   private final List<Server> servers = new ArrayList<>();
-  private final List<GateBalancer> nodes = new ArrayList<>();
+  private final List<LatencyAwareBalancer> nodes = new ArrayList<>();
   private Random random;
   private double nowMillis;
   private long nextOrder;
@@ -103,7 +103,7 @@
       perMilli += load * SLOTS / (WORK_MILLIS * speed);
     }
     for (int index = 0; index < NODES; index++) {
-      nodes.add(new GateBalancer("a", random::nextDouble));
+      nodes.add(new LatencyAwareBalancer("a", random::nextDouble));
     }
     servers.forEach(
         each -> scheduleRepeatedly(statsAgeMillis, () -> broadcastLoad(each, statsAgeMillis)));
@@ -118,18 +118,18 @@
 
   /** Delivers a load report to all nodes after the age of the statistics. */
   private void broadcastLoad(Server server, int statsAgeMillis) {
-    GateLoad load = server.load();
+    BackendLoad load = server.load();
     long reportedMillis = (long) nowMillis;
     schedule(
         nowMillis + statsAgeMillis,
-        () -> nodes.forEach(node -> node.stated(reportedMillis, server.entry.id(), load)));
+        () -> nodes.forEach(node -> node.updateLoad(reportedMillis, server.entry.id(), load)));
   }
 
   private void scheduleArrival(Strategy strategy, double gapMillis) {
     schedule(
         nowMillis - Math.log(1 - random.nextDouble()) * gapMillis,
         () -> {
-          GateBalancer node = nodes.get(random.nextInt(NODES));
+          LatencyAwareBalancer node = nodes.get(random.nextInt(NODES));
           Server server = choose(strategy, node);
           node.started((long) nowMillis, server.entry.id());
           requests++;
@@ -140,7 +140,7 @@
         });
   }
 
-  private Server choose(Strategy strategy, GateBalancer node) {
+  private Server choose(Strategy strategy, LatencyAwareBalancer node) {
     if (strategy == Strategy.ORACLE) {
       return servers.stream().min(Comparator.comparingDouble(Server::finishMillis)).orElseThrow();
     }
@@ -151,8 +151,8 @@
       candidates = List.of(bySpeed());
     }
     List<BackendEntry> entries = candidates.stream().map(each -> each.entry).toList();
-    GateBalancer.RequestConstraints constraints =
-        new GateBalancer.RequestConstraints(ROUTE, TARGET_MILLIS, 0);
+    LatencyAwareBalancer.RequestConstraints constraints =
+        new LatencyAwareBalancer.RequestConstraints(ROUTE, TARGET_MILLIS, 0);
     BackendEntry picked =
         node.pick((long) nowMillis, entries, constraints, Set.of(), Set.of())
             .orElseThrow()
@@ -177,7 +177,7 @@
   private void serve(Server server) {
     while (server.running < SLOTS && !server.waiting.isEmpty()) {
       double arrived = server.waiting.remove();
-      GateBalancer node = server.senders.remove();
+      LatencyAwareBalancer node = server.senders.remove();
       double work = WORK_MILLIS * server.speed * (0.5 + random.nextDouble());
       if (nowMillis + WORK_MILLIS * server.speed > arrived + TARGET_MILLIS) {
         node.finished((long) nowMillis, server.entry.id(), new Verdict.Completed());
@@ -188,12 +188,12 @@
     }
   }
 
-  private void complete(Server server, GateBalancer node, double arrived) {
+  private void complete(Server server, LatencyAwareBalancer node, double arrived) {
     server.running--;
     inTime += nowMillis - arrived <= TARGET_MILLIS ? 1 : 0;
     node.finished((long) nowMillis, server.entry.id(), new Verdict.Completed());
-    node.stated((long) nowMillis, server.entry.id(), server.load());
-    node.answered(server.entry.id(), ROUTE, server.load().routeMicros());
+    node.updateLoad((long) nowMillis, server.entry.id(), server.load());
+    node.updateRouteTime(server.entry.id(), ROUTE, server.load().routeMicros());
     serve(server);
   }
 
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/GateBalancerTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/LatencyAwareBalancerTest.java
@@ -14,7 +14,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-final class GateBalancerTest {
+final class LatencyAwareBalancerTest {
   private static final long NOW = 1_000_000;
   private static final String ROUTE = "read";
   private static final BackendEntry LOCAL = entry("near", "a");
@@ -22,10 +22,10 @@
   private static final BackendEntry REMOTE = entry("far", "b");
 
   /** In time within 200 ms; a response from another zone loses a fifth of its value. */
-  private static final GateBalancer.RequestConstraints CONSTRAINTS =
-      new GateBalancer.RequestConstraints(ROUTE, 200, 0.2);
+  private static final LatencyAwareBalancer.RequestConstraints CONSTRAINTS =
+      new LatencyAwareBalancer.RequestConstraints(ROUTE, 200, 0.2);
 
-  private final GateBalancer balancer = new GateBalancer("a", () -> 0);
+  private final LatencyAwareBalancer balancer = new LatencyAwareBalancer("a", () -> 0);
 
   private static BackendEntry entry(String id, String zone) {
     return new BackendEntry(
@@ -39,9 +39,9 @@
   }
 
   private void reportLoad(BackendEntry backend, int running, int queued, int serviceMillis) {
-    balancer.stated(
-        NOW, backend.id(), new GateLoad(running, queued, 6, serviceMillis * 1_000L, 100, 0));
-    balancer.answered(backend.id(), ROUTE, serviceMillis * 1_000L);
+    balancer.updateLoad(
+        NOW, backend.id(), new BackendLoad(running, queued, 6, serviceMillis * 1_000L, 100, 0));
+    balancer.updateRouteTime(backend.id(), ROUTE, serviceMillis * 1_000L);
   }
 
   private static BackendEntry localStartedAt(long bornMillis) {
@@ -64,12 +64,12 @@
   @Test
   void aLoadReportOfAnotherStartIsIgnored() {
     pick(List.of(localStartedAt(2_000), REMOTE), Set.of());
-    GateLoad full = new GateLoad(6, 60, 6, 400_000, 100, 0, 1_000);
-    balancer.stated(NOW, "near", full);
+    BackendLoad full = new BackendLoad(6, 60, 6, 400_000, 100, 0, 1_000);
+    balancer.updateLoad(NOW, "near", full);
     reportLoad(REMOTE, 0, 0, 60);
     assertThat(pick(List.of(localStartedAt(2_000), REMOTE), Set.of())).contains("near");
 
-    balancer.stated(NOW, "near", new GateLoad(6, 60, 6, 400_000, 100, 0, 2_000));
+    balancer.updateLoad(NOW, "near", new BackendLoad(6, 60, 6, 400_000, 100, 0, 2_000));
 
     assertThat(pick(List.of(localStartedAt(2_000), REMOTE), Set.of())).contains("far");
   }
@@ -78,7 +78,7 @@
   @Test
   void anUnknownStartTimeMatchesAnyStart() {
     pick(List.of(localStartedAt(0), REMOTE), Set.of());
-    balancer.stated(NOW, "near", new GateLoad(6, 60, 6, 400_000, 100, 0, 1_000));
+    balancer.updateLoad(NOW, "near", new BackendLoad(6, 60, 6, 400_000, 100, 0, 1_000));
     reportLoad(REMOTE, 0, 0, 60);
 
     assertThat(pick(List.of(localStartedAt(0), REMOTE), Set.of())).contains("far");
@@ -88,7 +88,7 @@
   void anOldSlowdownReportDecays() {
     reportLoad(LOCAL, 0, 0, 100);
     reportLoad(REMOTE, 0, 0, 100);
-    balancer.stated(NOW, "near", new GateLoad(0, 0, 6, 100_000, 400, 0));
+    balancer.updateLoad(NOW, "near", new BackendLoad(0, 0, 6, 100_000, 400, 0));
     assertThat(pick(List.of(LOCAL, REMOTE), Set.of())).contains("far");
 
     assertThat(balancer.pick(NOW + 1_500, List.of(LOCAL, REMOTE), CONSTRAINTS, Set.of(), Set.of()))
@@ -124,7 +124,8 @@
     reportLoad(LOCAL, 6, 3, 60);
     reportLoad(REMOTE, 0, 0, 60);
 
-    GateBalancer.RequestConstraints cheap = new GateBalancer.RequestConstraints(ROUTE, 200, 0.01);
+    LatencyAwareBalancer.RequestConstraints cheap =
+        new LatencyAwareBalancer.RequestConstraints(ROUTE, 200, 0.01);
 
     assertThat(balancer.pick(NOW, List.of(LOCAL, REMOTE), cheap, Set.of(), Set.of()))
         .hasValueSatisfying(choice -> assertThat(choice.backend().id()).isEqualTo("far"));
@@ -135,8 +136,8 @@
     reportLoad(LOCAL, 6, 12, 60);
     reportLoad(REMOTE, 0, 0, 60);
 
-    GateBalancer.RequestConstraints expensive =
-        new GateBalancer.RequestConstraints(ROUTE, 200, 0.8);
+    LatencyAwareBalancer.RequestConstraints expensive =
+        new LatencyAwareBalancer.RequestConstraints(ROUTE, 200, 0.8);
 
     assertThat(balancer.pick(NOW, List.of(LOCAL, REMOTE), expensive, Set.of(), Set.of()))
         .hasValueSatisfying(choice -> assertThat(choice.backend().id()).isEqualTo("near"));
@@ -153,10 +154,10 @@
   /** A backend that happens to serve long requests is not slow for short ones, and vice versa. */
   @Test
   void comparesTheTimeOfTheRouteNotTheMeanOverAllRoutes() {
-    balancer.stated(NOW, "near", new GateLoad(1, 0, 6, 800_000, 100, 0));
-    balancer.stated(NOW, "far", new GateLoad(1, 0, 6, 40_000, 100, 0));
-    balancer.answered("near", ROUTE, 60_000);
-    balancer.answered("far", ROUTE, 40_000);
+    balancer.updateLoad(NOW, "near", new BackendLoad(1, 0, 6, 800_000, 100, 0));
+    balancer.updateLoad(NOW, "far", new BackendLoad(1, 0, 6, 40_000, 100, 0));
+    balancer.updateRouteTime("near", ROUTE, 60_000);
+    balancer.updateRouteTime("far", ROUTE, 40_000);
 
     assertThat(pick(List.of(LOCAL, REMOTE), Set.of())).contains("near");
   }
@@ -186,7 +187,7 @@
   void avoidsABackendThatSlowsDown() {
     reportLoad(LOCAL, 3, 0, 60);
     reportLoad(REMOTE, 3, 0, 60);
-    balancer.stated(NOW, "near", new GateLoad(3, 0, 6, 60_000, 600, 0));
+    balancer.updateLoad(NOW, "near", new BackendLoad(3, 0, 6, 60_000, 600, 0));
 
     assertThat(pick(List.of(LOCAL, REMOTE), Set.of())).contains("far");
   }
@@ -196,11 +197,12 @@
     reportLoad(LOCAL, 0, 0, 30);
     reportLoad(SECOND_LOCAL, 0, 0, 90);
     for (int response = 0; response < 20; response++) {
-      balancer.answered("near", ROUTE, 30_000);
-      balancer.answered("near-too", ROUTE, 90_000);
+      balancer.updateRouteTime("near", ROUTE, 30_000);
+      balancer.updateRouteTime("near-too", ROUTE, 90_000);
     }
 
-    GateBalancer.RequestConstraints other = new GateBalancer.RequestConstraints("other", 200, 0.2);
+    LatencyAwareBalancer.RequestConstraints other =
+        new LatencyAwareBalancer.RequestConstraints("other", 200, 0.2);
 
     assertThat(balancer.pick(NOW, List.of(SECOND_LOCAL, LOCAL), other, Set.of(), Set.of()))
         .hasValueSatisfying(choice -> assertThat(choice.backend().id()).isEqualTo("near"));
@@ -234,13 +236,13 @@
   void avoidsABackendThatShedsMoreThanOthersThatAreInTime() {
     reportLoad(LOCAL, 0, 0, 60);
     reportLoad(REMOTE, 0, 0, 60);
-    GateLoad free = new GateLoad(0, 0, 6, 60_000, 100, 0);
-    balancer.stated(NOW, "near", free.withFailures(100));
+    BackendLoad free = new BackendLoad(0, 0, 6, 60_000, 100, 0);
+    balancer.updateLoad(NOW, "near", free.withFailures(100));
     balancer.finished(NOW, "near", new Verdict.NotRun(Verdict.Reason.REJECTED));
     assertThat(pick(List.of(LOCAL, REMOTE), Set.of())).contains("far");
 
-    balancer.stated(NOW, "far", new GateLoad(6, 60, 6, 60_000, 100, 0));
-    balancer.stated(NOW, "near", free.withFailures(60));
+    balancer.updateLoad(NOW, "far", new BackendLoad(6, 60, 6, 60_000, 100, 0));
+    balancer.updateLoad(NOW, "near", free.withFailures(60));
     assertThat(pick(List.of(LOCAL, REMOTE), Set.of())).contains("near");
   }
 
@@ -248,9 +250,9 @@
   void equalSheddingDoesNotChangeTheChoice() {
     reportLoad(LOCAL, 0, 0, 60);
     reportLoad(REMOTE, 0, 0, 60);
-    GateLoad shedding = new GateLoad(0, 0, 6, 60_000, 100, 0).withFailures(55);
-    balancer.stated(NOW, "near", shedding);
-    balancer.stated(NOW, "far", shedding);
+    BackendLoad shedding = new BackendLoad(0, 0, 6, 60_000, 100, 0).withFailures(55);
+    balancer.updateLoad(NOW, "near", shedding);
+    balancer.updateLoad(NOW, "far", shedding);
     balancer.finished(NOW, "near", new Verdict.NotRun(Verdict.Reason.REJECTED));
 
     assertThat(pick(List.of(LOCAL, REMOTE), Set.of())).contains("near");
@@ -267,7 +269,7 @@
     reportLoad(LOCAL, 0, 0, 60);
     reportLoad(REMOTE, 0, 0, 60);
 
-    GateBalancer.Choice choice =
+    LatencyAwareBalancer.Choice choice =
         balancer.pick(NOW, List.of(LOCAL, REMOTE), CONSTRAINTS, Set.of(), Set.of()).orElseThrow();
 
     assertThat(choice.toleratedWaitMillis()).isEqualTo(83);
@@ -275,10 +277,10 @@
 
   @Test
   void toleratesAnyWaitForTheOnlyBackend() {
-    GateBalancer.Choice choice =
+    LatencyAwareBalancer.Choice choice =
         balancer.pick(NOW, List.of(LOCAL), CONSTRAINTS, Set.of(), Set.of()).orElseThrow();
 
-    assertThat(choice.toleratedWaitMillis()).isEqualTo(GateBalancer.ANY_WAIT_MILLIS);
+    assertThat(choice.toleratedWaitMillis()).isEqualTo(LatencyAwareBalancer.ANY_WAIT_MILLIS);
   }
 
   /**
@@ -288,14 +290,14 @@
   @Test
   void staysInTheZoneOfALargeServiceWhileOneLocalBackendIsIdle() {
     Random random = new Random(3);
-    GateBalancer large = new GateBalancer("zone-0", random::nextDouble);
+    LatencyAwareBalancer large = new LatencyAwareBalancer("zone-0", random::nextDouble);
     List<BackendEntry> candidates = new ArrayList<>();
     for (int index = 0; index < 55; index++) {
       BackendEntry backend = entry("i-" + index, "zone-" + index % 7);
       candidates.add(backend);
       boolean free = index % 7 != 0 || index == 28;
-      large.stated(NOW, backend.id(), new GateLoad(free ? 0 : 30, 0, 6, 60_000, 100, 0));
-      large.answered(backend.id(), ROUTE, 60_000);
+      large.updateLoad(NOW, backend.id(), new BackendLoad(free ? 0 : 30, 0, 6, 60_000, 100, 0));
+      large.updateRouteTime(backend.id(), ROUTE, 60_000);
     }
 
     for (int request = 0; request < 200; request++) {
@@ -308,13 +310,13 @@
   @Test
   void requestsThatLeaveTheZoneAreSpreadOverAllOtherBackends() {
     Random random = new Random(3);
-    GateBalancer large = new GateBalancer("elsewhere", random::nextDouble);
+    LatencyAwareBalancer large = new LatencyAwareBalancer("elsewhere", random::nextDouble);
     List<BackendEntry> candidates = new ArrayList<>();
     Map<String, Integer> picked = new HashMap<>();
     for (int index = 0; index < 100; index++) {
       BackendEntry backend = entry("i-" + index, "zone-" + index % 7);
       candidates.add(backend);
-      large.stated(NOW, backend.id(), new GateLoad(0, 0, 6, 60_000, 100, 0));
+      large.updateLoad(NOW, backend.id(), new BackendLoad(0, 0, 6, 60_000, 100, 0));
     }
 
     for (int request = 0; request < 10_000; request++) {
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/NestedRoutesTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/NestedRouteDetectorTest.java
@@ -4,12 +4,12 @@
 
 import org.junit.jupiter.api.Test;
 
-final class NestedRoutesTest {
-  private final NestedRoutes routes = new NestedRoutes();
+final class NestedRouteDetectorTest {
+  private final NestedRouteDetector routes = new NestedRouteDetector();
 
   private void recordRequests(String route, int count, String... services) {
     for (int index = 0; index < count; index++) {
-      routes.arrived(route, services[index % services.length]);
+      routes.recordRequest(route, services[index % services.length]);
     }
   }
 
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/CallerPatienceTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/RequestAgeEstimatorTest.java
@@ -5,8 +5,8 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-final class CallerPatienceTest {
-  private final CallerPatience patience = new CallerPatience();
+final class RequestAgeEstimatorTest {
+  private final RequestAgeEstimator patience = new RequestAgeEstimator();
 
   @Test
   void aShorterTimeoutThanUsualMeansARetry() {
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/RetryWindowTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/RetryBudgetWindowTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-final class RetryWindowTest {
+final class RetryBudgetWindowTest {
   private static final long WINDOW_MILLIS = 10_000;
-  private final RetryWindow window = new RetryWindow(WINDOW_MILLIS, 0.2, 12);
+  private final RetryBudgetWindow window = new RetryBudgetWindow(WINDOW_MILLIS, 0.2, 12);
 
   private int countGranted(long now, int requested, int nodes) {
     int granted = 0;
@@ -29,7 +29,7 @@
   @Test
   void requestsAddToTheBudget() {
     for (int index = 0; index < 100; index++) {
-      window.requestStarted(1_000, "service");
+      window.recordRequest(1_000, "service");
     }
 
     assertThat(countGranted(1_500, 100, 12)).isEqualTo(21);
@@ -38,7 +38,7 @@
   @Test
   void theWindowSlides() {
     for (int index = 0; index < 100; index++) {
-      window.requestStarted(1_000, "service");
+      window.recordRequest(1_000, "service");
     }
     countGranted(1_500, 100, 12);
 
@@ -51,9 +51,9 @@
     int nodes = 40;
     int total = 0;
     for (int node = 0; node < nodes; node++) {
-      RetryWindow each = new RetryWindow(WINDOW_MILLIS, 0.2, 64);
+      RetryBudgetWindow each = new RetryBudgetWindow(WINDOW_MILLIS, 0.2, 64);
       for (int index = 0; index < 10; index++) {
-        each.requestStarted(0, "service");
+        each.recordRequest(0, "service");
       }
       for (int index = 0; index < 20; index++) {
         total += each.tryRetry(0, "service", nodes) ? 1 : 0;
@@ -67,10 +67,10 @@
   @Test
   void nestedCallsOfRetriedRequestsConsumeTheBudget() {
     for (int index = 0; index < 100; index++) {
-      window.requestStarted(1_000, "service");
+      window.recordRequest(1_000, "service");
     }
     for (int index = 0; index < 20; index++) {
-      window.repeated(1_000, "service", 0.5);
+      window.recordRetries(1_000, "service", 0.5);
     }
 
     assertThat(countGranted(1_500, 100, 12)).isEqualTo(11);
@@ -86,9 +86,9 @@
   @ValueSource(ints = {20, 100})
   void everySlidingWindowOfTheFleetStaysWithinTheBudget(int nodes) {
     Random random = new Random(nodes);
-    List<RetryWindow> fleet = new ArrayList<>();
+    List<RetryBudgetWindow> fleet = new ArrayList<>();
     for (int node = 0; node < nodes; node++) {
-      fleet.add(new RetryWindow(WINDOW_MILLIS, 0.2, 178));
+      fleet.add(new RetryBudgetWindow(WINDOW_MILLIS, 0.2, 178));
     }
     int steps = 600;
     int stepMillis = 50;
@@ -97,9 +97,9 @@
     for (int step = 0; step < steps; step++) {
       // Bursts slightly less than a window apart, as when backends refuse requests repeatedly.
       boolean isBurst = step % 181 == 19;
-      for (RetryWindow each : fleet) {
+      for (RetryBudgetWindow each : fleet) {
         if (random.nextInt(4) == 0) {
-          each.requestStarted(step * stepMillis, "service");
+          each.recordRequest(step * stepMillis, "service");
           requests[step]++;
         }
         for (int attempt = 0; isBurst && attempt < 20; attempt++) {
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/RouteMeansTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/RouteAveragesTest.java
@@ -4,15 +4,15 @@
 
 import org.junit.jupiter.api.Test;
 
-final class RouteMeansTest {
-  private final RouteMeans times = new RouteMeans(5);
+final class RouteAveragesTest {
+  private final RouteAverages times = new RouteAverages(5);
 
   @Test
   void tooFewSamplesGiveNoEstimate() {
     times.add("read", 240_000);
 
-    assertThat(times.expected("read")).isZero();
-    assertThat(times.expected("never seen")).isZero();
+    assertThat(times.average("read")).isZero();
+    assertThat(times.average("never seen")).isZero();
   }
 
   @Test
@@ -22,8 +22,8 @@
       times.add("verify", 15_000);
     }
 
-    assertThat(times.expected("read")).isEqualTo(240_000);
-    assertThat(times.expected("verify")).isEqualTo(15_000);
+    assertThat(times.average("read")).isEqualTo(240_000);
+    assertThat(times.average("verify")).isEqualTo(15_000);
   }
 
   @Test
@@ -35,6 +35,6 @@
       times.add("read", 1_000_000);
     }
 
-    assertThat(times.expected("read")).isGreaterThan(800_000);
+    assertThat(times.average("read")).isGreaterThan(800_000);
   }
 }
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/WeightedSplitTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/WeightedRoundRobinTest.java
@@ -10,14 +10,14 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-final class WeightedSplitTest {
+final class WeightedRoundRobinTest {
   private static RoutingRule rule(WeightedService... targets) {
     return new RoutingRule(
         "route", "host", "/", RequestKind.SAFE, List.of(targets), 1_000, 2, 200, 1);
   }
 
   private static Map<String, Integer> distribute(
-      WeightedSplit split, RoutingRule rule, int requests) {
+      WeightedRoundRobin split, RoutingRule rule, int requests) {
     Map<String, Integer> counts = new HashMap<>();
     for (int index = 0; index < requests; index++) {
       counts.merge(split.next(rule), 1, Integer::sum);
@@ -29,7 +29,7 @@
   void distributesByWeight() {
     RoutingRule rule = rule(new WeightedService("a", 90), new WeightedService("b", 10));
 
-    assertThat(distribute(new WeightedSplit(), rule, 300))
+    assertThat(distribute(new WeightedRoundRobin(), rule, 300))
         .containsEntry("a", 270)
         .containsEntry("b", 30);
   }
@@ -38,12 +38,12 @@
   void aTargetWithZeroWeightGetsNoRequests() {
     RoutingRule rule = rule(new WeightedService("a", 1), new WeightedService("b", 0));
 
-    assertThat(distribute(new WeightedSplit(), rule, 50)).containsOnlyKeys("a");
+    assertThat(distribute(new WeightedRoundRobin(), rule, 50)).containsOnlyKeys("a");
   }
 
   @Test
   void changedWeightsApplyFromTheNextRequest() {
-    WeightedSplit split = new WeightedSplit();
+    WeightedRoundRobin split = new WeightedRoundRobin();
     distribute(split, rule(new WeightedService("a", 90), new WeightedService("b", 10)), 55);
 
     RoutingRule changed = rule(new WeightedService("a", 10), new WeightedService("b", 90));
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/simulation/SimulatedBackend.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/simulation/SimulatedBackend.java
@@ -42,7 +42,7 @@
   void handle(AdmissionRequest request, Consumer<Decision.Refused> done) {
     if (hasAdmissionControl) {
       pending.put(request.id(), done);
-      apply(controller.ask(loop.nowMillis(), request));
+      apply(controller.submit(loop.nowMillis(), request));
     } else if (running < Scenario.SLOTS) {
       serveWithoutAdmission(new Waiting(request.id(), done));
     } else {
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/simulation/TrafficSimulation.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/simulation/TrafficSimulation.java
@@ -129,7 +129,7 @@
     }
     loop.schedule(
         scenario.reportLagMillis() * 1_000,
-        () -> edges.forEach(edge -> edge.balancer.observed(loop.nowMillis(), reports)));
+        () -> edges.forEach(edge -> edge.balancer.updateReports(loop.nowMillis(), reports)));
     loop.schedule(Scenario.REPORT_INTERVAL_MILLIS * 1_000, this::broadcastReports);
   }
 
@@ -189,7 +189,7 @@
         hopMicros,
         () -> {
           completeAttempt(edge, request, "b" + index, refused, sentMicros);
-          load.ifPresent(known -> edge.balancer.observed(loop.nowMillis(), List.of(known)));
+          load.ifPresent(known -> edge.balancer.updateReports(loop.nowMillis(), List.of(known)));
         });
   }
 
@@ -206,7 +206,7 @@
       return;
     }
     if (refused.retryAfterMillis() > 0) {
-      edge.balancer.shed(now, id, request.tier, refused.retryAfterMillis());
+      edge.balancer.backOff(now, id, request.tier, refused.retryAfterMillis());
     }
     RetryPolicy.FailedAttempt failed =
         new RetryPolicy.FailedAttempt(
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/trace/TraceReplay.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/trace/TraceReplay.java
@@ -13,7 +13,7 @@
 import io.umberpath.traffic.AdmissionControllers;
 import io.umberpath.traffic.AdmissionSettings;
 import io.umberpath.traffic.BalancerSettings;
-import io.umberpath.traffic.ChainBudget;
+import io.umberpath.traffic.ChainRetryBudget;
 import io.umberpath.traffic.LoadBalancer;
 import io.umberpath.traffic.LoadBalancers;
 import io.umberpath.traffic.RetryPolicies;
@@ -40,7 +40,7 @@
     return switch (line.call()) {
       case "ask" ->
           formatAll(
-              admission.ask(
+              admission.submit(
                   line.at(),
                   new AdmissionRequest(line.id(), line.tenant(), line.tier(), line.deadline())));
       case "release" -> formatAll(admission.release(line.at(), line.id(), line.micros()));
@@ -49,7 +49,7 @@
       case "drain" -> formatAll(admission.drain(line.at()));
       case "resize" -> formatAll(admission.resize(line.at(), line.number().intValue()));
       case "request" -> {
-        retries.requestStarted(line.at(), new ChainBudget(line.number().intValue()));
+        retries.requestStarted(line.at(), new ChainRetryBudget(line.number().intValue()));
         yield List.of();
       }
       case "failed" -> List.of(mayRetry(line) ? "retry" : "give up");
@@ -65,7 +65,7 @@
             line.id().intValue(),
             !line.names().contains("body-gone"),
             line.deadline());
-    return retries.mayRetry(line.at(), failed, new ChainBudget(line.number().intValue()));
+    return retries.mayRetry(line.at(), failed, new ChainRetryBudget(line.number().intValue()));
   }
 
   private List<String> executeBalancerCall(TraceLine line) {
@@ -77,8 +77,8 @@
       case "started" -> balancer.started(line.at(), line.backend());
       case "finished" ->
           balancer.finished(line.at(), line.backend(), verdict(line.verdict()), line.micros());
-      case "shed" -> balancer.shed(line.at(), line.backend(), line.tier(), line.deadline());
-      case "observed" -> balancer.observed(line.at(), List.of(createReport(line)));
+      case "shed" -> balancer.backOff(line.at(), line.backend(), line.tier(), line.deadline());
+      case "observed" -> balancer.updateReports(line.at(), List.of(createReport(line)));
       default -> throw new IllegalArgumentException("call '" + line.call() + "' is not known");
     }
     return List.of();
