--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/AttestedBackends.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/AttestedBackends.java
@@ -62,7 +62,7 @@
           nowMillis < attestation.expiresAtMillis()
               && !current.confirmsRemoval(attestation.startedAtMillis(), nowMillis);
       boolean isUnlisted =
-          listed.at(entry.address()).isEmpty() && !listed.isEvacuated(entry.zone());
+          listed.atAddress(entry.address()).isEmpty() && !listed.isEvacuated(entry.zone());
       if (isValid && isUnlisted && entry.service().equals(service)) {
         backends.add(entry);
       }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/BackendDirectory.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/BackendDirectory.java
@@ -70,7 +70,7 @@
   }
 
   /** The entries at an address; several until a restarted backend has replaced its old entry. */
-  List<BackendEntry> at(PeerAddress address) {
+  List<BackendEntry> atAddress(PeerAddress address) {
     List<BackendEntry> atHost = atHost(address.host());
     for (BackendEntry entry : atHost) {
       if (!entry.address().equals(address)) {
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/ConfigurationReader.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/ConfigurationReader.java
@@ -7,19 +7,19 @@
 
 /** Parses configurations and caches the last result with its routing table. Thread-safe. */
 final class ConfigurationReader {
-  private final StoreDocuments documents;
+  private final StoreItemParser documents;
   private StoreItem lastItem;
   private Either<String, RoutingConfiguration> lastResult;
   private RoutingTable lastRoutingTable;
 
-  ConfigurationReader(StoreDocuments documents) {
+  ConfigurationReader(StoreItemParser documents) {
     this.documents = documents;
   }
 
   /** The configuration of an item, or the error in it. */
   synchronized Either<String, RoutingConfiguration> read(StoreItem item) {
     if (!item.equals(lastItem)) {
-      lastResult = documents.configuration(item);
+      lastResult = documents.parseConfiguration(item);
       lastRoutingTable = lastResult.map(RoutingTable::of).getOrNull();
       lastItem = item;
     }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/LivenessAttester.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/LivenessAttester.java
@@ -66,7 +66,7 @@
   /** Checks the entry, and probes the backend while lost contact may explain its absence. */
   synchronized void tick() {
     long now = clockMillis.getAsLong();
-    List<BackendEntry> listed = view.get().backends().at(settings.backend());
+    List<BackendEntry> listed = view.get().backends().atAddress(settings.backend());
     if (!listed.isEmpty()) {
       lastListed = listed.get(0).state() == BackendEntry.State.READY ? listed.get(0) : null;
       healthyUntilMillis = Long.MIN_VALUE;
@@ -78,7 +78,7 @@
 
   /** Whether the store does not list the local backend although it was last seen ready. */
   synchronized boolean isEntryMissing() {
-    return lastListed != null && view.get().backends().at(settings.backend()).isEmpty();
+    return lastListed != null && view.get().backends().atAddress(settings.backend()).isEmpty();
   }
 
   private void logChange(Optional<BackendEntry> attested) {
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/LocalBackend.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/LocalBackend.java
@@ -89,7 +89,7 @@
 
   /** Reads the backend's entries; returns whether the number of slots has changed. */
   boolean refresh() {
-    List<BackendEntry> entries = view.get().backends().at(settings.backend());
+    List<BackendEntry> entries = view.get().backends().atAddress(settings.backend());
     for (BackendEntry entry : entries) {
       lastKnownStarts.put(entry.id(), entry.start());
       bornMillis = entry.startTimeMillis();
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshEvents.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshEvents.java
@@ -377,11 +377,11 @@
         .with(LogFields.ADDRESS, peer)
         .with(CONFIGURATION, version)
         .with(POSITION, changes.position().toString())
-        .with(BEHIND, times.behind())
-        .with(CONNECT, times.connect())
-        .with(RESPONSE, times.answer())
-        .with(READ, times.read())
-        .with(APPLY, times.take())
+        .with(BEHIND, times.behindMillis())
+        .with(CONNECT, times.connectMillis())
+        .with(RESPONSE, times.responseMillis())
+        .with(READ, times.readMillis())
+        .with(APPLY, times.adoptMillis())
         .log(
             "%s: %d items, %d patches; facts: %d configurations, %d departures",
             changes.isWhole() ? "whole state" : "changes",
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshNode.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshNode.java
@@ -47,7 +47,7 @@
   static final long ANNOUNCE_DELAY_MILLIS = 50;
 
   /** Backend crashes during a request that quarantine it: the fewest that identify it alone. */
-  static final int MARKS_TO_HOLD = 3;
+  static final int CRASHES_TO_QUARANTINE = 3;
 
   private static final long SECOND_MILLIS = 1_000;
   private static final int TICKS_PER_SECOND = (int) (SECOND_MILLIS / TICK_MILLIS);
@@ -102,7 +102,7 @@
   public MeshNode(
       MeshSettings settings,
       StoreClient client,
-      StoreDocuments documents,
+      StoreItemParser documents,
       String readyPath,
       MeshEvents events,
       LongSupplier clockMillis) {
@@ -123,11 +123,14 @@
         new LatencyAwareBalancer(settings.zone(), () -> ThreadLocalRandom.current().nextDouble());
     this.quarantine =
         new RequestQuarantine(
-            new SuspectRegistry(MARKS_TO_HOLD), this::isElectedToRetry, events, clockMillis);
+            new SuspectRegistry(CRASHES_TO_QUARANTINE),
+            this::isElectedToRetry,
+            events,
+            clockMillis);
     this.peers =
         new PeerExchange(
             settings, state::view, this::storeContact, balancer, quarantine, events, clockMillis);
-    LocalBackendSpeed speed = new LocalBackendSpeed(documents::statement, events, clockMillis);
+    LocalBackendSpeed speed = new LocalBackendSpeed(documents::parseStatement, events, clockMillis);
     this.backend = new LocalBackend(settings, state::view, this::isAttested, speed, clockMillis);
     this.proxy =
         new MeshProxy(
@@ -337,7 +340,7 @@
         Map.entry("configuration.shown.version", () -> state.storeVersion()),
         Map.entry("store.era", () -> state.view().position().era()),
         Map.entry("store.heard.age.seconds", this::storeAgeSeconds),
-        Map.entry("peers.known", peers::nodes),
+        Map.entry("peers.known", peers::nodeCount),
         Map.entry("peers.silent", peers::silentNodeCount),
         Map.entry("gate.running", () -> proxy.gate().load().running()),
         Map.entry("gate.queued", () -> proxy.gate().load().queued()),
@@ -401,7 +404,7 @@
   }
 
   /** Number of the listed backends of a service that take new requests. */
-  public int readyBackends(String service) {
+  public int readyBackendCount(String service) {
     return state.view().backends().readyBackends(service).size();
   }
 
@@ -416,7 +419,7 @@
   }
 
   /** Requests queued at this node for a slot of the local backend. */
-  public int waitingRequests() {
+  public int queuedRequests() {
     return proxy.gate().load().queued();
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshOutboundHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshOutboundHandler.java
@@ -83,7 +83,8 @@
     this.quarantine = peers.quarantine();
     this.events = events.requests();
     this.clockMillis = clockMillis;
-    this.retryPolicy = new OutboundRetryPolicy(settings.retry(), peers::nodes, retriedWorkShare);
+    this.retryPolicy =
+        new OutboundRetryPolicy(settings.retry(), peers::nodeCount, retriedWorkShare);
     replacedHeaders.add(settings.headers().deadline());
     replacedHeaders.add(settings.headers().callerService());
     replacedHeaders.add(settings.headers().expectedInstance());
@@ -131,7 +132,7 @@
       return Either.left(Refusal.notRun(Verdict.Reason.BAD_REQUEST));
     }
     Optional<RoutingRule> rule =
-        current.table().match(head.field(Header.Host.toString()).orElse(""), head.path());
+        current.routingTable().match(head.field(Header.Host.toString()).orElse(""), head.path());
     if (rule.isEmpty()) {
       return Either.left(Refusal.notRun(Verdict.Reason.NO_ROUTE));
     }
@@ -208,7 +209,7 @@
       return;
     }
     List<BackendEntry> candidates = peers.readyBackends(plan.service());
-    Set<String> silent = peers.silentBackends(candidates);
+    Set<String> silent = peers.unavailableBackends(candidates);
     boolean mayBeRefusedForLoad = mayBeRefusedForLoad(exchange, plan);
     Set<String> excluded = plan.retryState().excludedBackends(mayBeRefusedForLoad);
     LatencyAwareBalancer.RequestConstraints constraints = costs.constraints(exchange, plan, now);
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshState.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshState.java
@@ -31,7 +31,7 @@
  * {@link #view} never blocks.
  */
 final class MeshState {
-  private final StoreDocuments documents;
+  private final StoreItemParser documents;
   private final ConfigurationReader configurations;
   private final StoreWatcher watcher;
   private final MeshEvents events;
@@ -62,7 +62,10 @@
    * @param clockMillis monotonic clock, milliseconds
    */
   MeshState(
-      StoreDocuments documents, StoreWatcher watcher, MeshEvents events, LongSupplier clockMillis) {
+      StoreItemParser documents,
+      StoreWatcher watcher,
+      MeshEvents events,
+      LongSupplier clockMillis) {
     this.documents = documents;
     this.configurations = new ConfigurationReader(documents);
     this.watcher = watcher;
@@ -211,19 +214,19 @@
 
   private synchronized Optional<StoreItem> configurationItem() {
     return watcher.items().stream()
-        .filter(item -> documents.isConfiguration(item.key()))
+        .filter(item -> documents.isConfigurationKey(item.key()))
         .findFirst();
   }
 
   private synchronized void applyItems(String source) {
     List<StoreItem> items = watcher.items();
-    RoutingTable table = view.table();
+    RoutingTable table = view.routingTable();
     List<StoredEntry> entries = new ArrayList<>();
     Set<String> evacuated = new HashSet<>();
     for (StoreItem item : items) {
-      if (documents.isConfiguration(item.key())) {
+      if (documents.isConfigurationKey(item.key())) {
         handleStoreConfiguration(item, source);
-      } else if (documents.isBackend(item.key())) {
+      } else if (documents.isBackendKey(item.key())) {
         backendEntry(item).ifPresent(entry -> entries.add(new StoredEntry(entry, item.revision())));
       } else {
         documents.evacuatedZone(item.key()).ifPresent(evacuated::add);
@@ -299,7 +302,7 @@
   }
 
   private Optional<BackendEntry> parseBackend(StoreItem item) {
-    Either<String, BackendEntry> parsed = documents.backend(item);
+    Either<String, BackendEntry> parsed = documents.parseBackend(item);
     if (parsed.isLeft()) {
       events.backendRefused(item.key(), item.revision(), parsed.getLeft());
     }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshView.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshView.java
@@ -8,14 +8,14 @@
  * A snapshot of what a node knows. Immutable.
  *
  * @param configuration the configuration in force, or null before the first
- * @param table its routing table, or null before the first
+ * @param routingTable its routing table, or null before the first
  * @param backends the backends
  * @param position the store's position of {@code backends}
  * @param heldPosition the newest position whose items this node holds; they may not be in force yet
  */
 record MeshView(
     RoutingConfiguration configuration,
-    RoutingTable table,
+    RoutingTable routingTable,
     BackendDirectory backends,
     StorePosition position,
     StorePosition heldPosition) {
@@ -30,12 +30,12 @@
 
   /** Returns this view at a newer position, with everything applied. */
   MeshView withPosition(StorePosition newPosition) {
-    return new MeshView(configuration, table, backends, newPosition, newPosition);
+    return new MeshView(configuration, routingTable, backends, newPosition, newPosition);
   }
 
   /** Returns this view with newer held items that are not applied yet. */
   MeshView withHeldPosition(StorePosition newHeldPosition) {
-    return new MeshView(configuration, table, backends, position, newHeldPosition);
+    return new MeshView(configuration, routingTable, backends, position, newHeldPosition);
   }
 
   /** Whether all held items are in force. */
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerExchange.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerExchange.java
@@ -237,7 +237,7 @@
   }
 
   /** Ids of the candidates whose node is silent or draining. */
-  Set<String> silentBackends(List<BackendEntry> candidates) {
+  Set<String> unavailableBackends(List<BackendEntry> candidates) {
     Set<String> silentHosts = failureDetector.peers().silent();
     if (silentHosts.isEmpty() && drainingHosts.isEmpty()) {
       return Set.of();
@@ -268,7 +268,7 @@
   }
 
   /** Number of known nodes, this one included. */
-  int nodes() {
+  int nodeCount() {
     return failureDetector.peers().others().size() + 1;
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/StoreDocuments.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/StoreItemParser.java
@@ -8,28 +8,28 @@
 import java.util.Optional;
 
 /** Parses the store's items and the statements of backends. Thread-safe. */
-public interface StoreDocuments {
+public interface StoreItemParser {
   /** Prefix of the keys to follow. */
   String prefix();
 
   /** Whether this is the key of the configuration. */
-  boolean isConfiguration(String key);
+  boolean isConfigurationKey(String key);
 
   /** Whether this is the key of a backend's entry. */
-  boolean isBackend(String key);
+  boolean isBackendKey(String key);
 
   /** The zone of an evacuation key; empty for other keys. */
   Optional<String> evacuatedZone(String key);
 
   /** Parses the configuration; the left side names the invalid field and its value. */
-  Either<String, RoutingConfiguration> configuration(StoreItem item);
+  Either<String, RoutingConfiguration> parseConfiguration(StoreItem item);
 
   /** Parses an example configuration with a number of rules, as if it came from the store. */
-  RoutingConfiguration readExample(int rules);
+  RoutingConfiguration parseExample(int rules);
 
   /** Parses a backend's entry; the left side names the invalid field and its value. */
-  Either<String, BackendEntry> backend(StoreItem item);
+  Either<String, BackendEntry> parseBackend(StoreItem item);
 
   /** Parses the statement that a backend adds to a response; the left side is the error. */
-  Either<String, BackendStatement> statement(String text);
+  Either<String, BackendStatement> parseStatement(String text);
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/StoreReadPolicy.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/StoreReadPolicy.java
@@ -61,7 +61,7 @@
       return new ReadDecision(!shouldWaitForPeers(), false, () -> "holds no state yet");
     }
     boolean mayHavePeers = !settings.otherSeeds().isEmpty();
-    if (mayHavePeers && peers.nodes() == 1 && uptimeMillis() < PEER_DISCOVERY_MILLIS) {
+    if (mayHavePeers && peers.nodeCount() == 1 && uptimeMillis() < PEER_DISCOVERY_MILLIS) {
       return new ReadDecision(false, false, () -> "knows no other node yet");
     }
     ReaderElection.Decision election = peers.electReader(!follower.contact().reachable());
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/TransferTimes.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/TransferTimes.java
@@ -5,13 +5,14 @@
 /**
  * Durations of the phases of a state transfer, milliseconds.
  *
- * @param behind from when this node learned that it is behind until the transfer started
- * @param connect until the connection was open
- * @param answer until the first byte of the response
- * @param read until the response was read completely
- * @param take until it was in force
+ * @param behindMillis from when this node learned that it is behind until the transfer started
+ * @param connectMillis until the connection was open
+ * @param responseMillis until the first byte of the response
+ * @param readMillis until the response was read completely
+ * @param adoptMillis until it was in force
  */
-record TransferTimes(long behind, long connect, long answer, long read, long take) {
+record TransferTimes(
+    long behindMillis, long connectMillis, long responseMillis, long readMillis, long adoptMillis) {
 
   /** Measures the phases of a transfer. */
   static final class Stopwatch {
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/ConfigurationWarmUpTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/ConfigurationWarmUpTest.java
@@ -20,10 +20,10 @@
 final class ConfigurationWarmUpTest {
   private final AtomicInteger parsedRules = new AtomicInteger();
 
-  private final StoreDocuments documents =
-      new FakeStoreDocuments() {
+  private final StoreItemParser documents =
+      new FakeStoreItemParser() {
         @Override
-        public RoutingConfiguration readExample(int rules) {
+        public RoutingConfiguration parseExample(int rules) {
           parsedRules.addAndGet(rules);
           return largeConfiguration(rules);
         }
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/FakeStoreDocuments.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/FakeStoreItemParser.java
@@ -19,7 +19,7 @@
  * evacuate/} and the zone. A configuration has the name of its only service as value, optionally
  * followed by {@code @} and the version.
  */
-class FakeStoreDocuments implements StoreDocuments {
+class FakeStoreItemParser implements StoreItemParser {
   private static final String CONFIGURATION = "configuration";
   private static final String EVACUATION = "evacuate/";
 
@@ -29,13 +29,13 @@
   }
 
   @Override
-  public boolean isConfiguration(String key) {
+  public boolean isConfigurationKey(String key) {
     return key.equals(CONFIGURATION);
   }
 
   @Override
-  public boolean isBackend(String key) {
-    return evacuatedZone(key).isEmpty() && !isConfiguration(key);
+  public boolean isBackendKey(String key) {
+    return evacuatedZone(key).isEmpty() && !isConfigurationKey(key);
   }
 
   @Override
@@ -46,7 +46,7 @@
   }
 
   @Override
-  public Either<String, RoutingConfiguration> configuration(StoreItem item) {
+  public Either<String, RoutingConfiguration> parseConfiguration(StoreItem item) {
     String[] parts = item.value().split("@");
     ServiceDefinition service = new ServiceDefinition(parts[0], "/healthz", 130, 0, 0);
     return Either.right(
@@ -58,17 +58,17 @@
   }
 
   @Override
-  public RoutingConfiguration readExample(int rules) {
+  public RoutingConfiguration parseExample(int rules) {
     return new RoutingConfiguration(1, new RequestLimits(1, 1, 1, 1), List.of(), Map.of());
   }
 
   @Override
-  public Either<String, BackendStatement> statement(String text) {
+  public Either<String, BackendStatement> parseStatement(String text) {
     return Either.left("none");
   }
 
   @Override
-  public Either<String, BackendEntry> backend(StoreItem item) {
+  public Either<String, BackendEntry> parseBackend(StoreItem item) {
     if (item.value().isEmpty()) {
       return Either.left("no entry");
     }
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/FleetModel.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/FleetModel.java
@@ -43,7 +43,7 @@
   private final class Node {
     private final MeshState state =
         new MeshState(
-            new FakeStoreDocuments(),
+            new FakeStoreItemParser(),
             new StoreWatcher("", TIMINGS, () -> 1),
             EVENTS,
             () -> nowMillis);
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/MeshStateLockTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/MeshStateLockTest.java
@@ -43,11 +43,11 @@
     parseMayEnd.countDown();
   }
 
-  private final class BlockingDocuments extends FakeStoreDocuments {
+  private final class BlockingDocuments extends FakeStoreItemParser {
     @Override
-    public Either<String, RoutingConfiguration> configuration(StoreItem item) {
+    public Either<String, RoutingConfiguration> parseConfiguration(StoreItem item) {
       if (!item.equals(CONFIGURATION)) {
-        return super.configuration(item);
+        return super.parseConfiguration(item);
       }
       parseStarted.countDown();
       try {
@@ -55,7 +55,7 @@
       } catch (InterruptedException ended) {
         throw new IllegalStateException(ended);
       }
-      return super.configuration(item);
+      return super.parseConfiguration(item);
     }
   }
 
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/MeshStateTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/MeshStateTest.java
@@ -16,7 +16,7 @@
   private final AtomicLong now = new AtomicLong();
   private final MeshState state =
       new MeshState(
-          new FakeStoreDocuments(),
+          new FakeStoreItemParser(),
           new StoreWatcher("", StoreWatchTimings.PROMPT, () -> 0.5),
           new MeshEvents(() -> 0),
           now::get);
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/QuarantineFleetTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/QuarantineFleetTest.java
@@ -15,7 +15,7 @@
  */
 final class QuarantineFleetTest {
   private static final HoldPolicy PRODUCTION_POLICY =
-      new HoldPolicy("three", MeshNode.MARKS_TO_HOLD, false);
+      new HoldPolicy("three", MeshNode.CRASHES_TO_QUARANTINE, false);
   private static final HoldPolicy NO_QUARANTINE =
       new HoldPolicy("nothing", Integer.MAX_VALUE, false);
 
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/SimulatedFleet.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/SimulatedFleet.java
@@ -58,7 +58,7 @@
       this.host = "10." + zone + "." + index / 250 + "." + (1 + index % 250);
       this.state =
           new MeshState(
-              new FakeStoreDocuments(),
+              new FakeStoreItemParser(),
               new StoreWatcher("", StoreWatchTimings.PROMPT, random::nextDouble),
               EVENTS,
               () -> now);
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/StatePullerTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/StatePullerTest.java
@@ -74,7 +74,7 @@
     MeshEvents events = new MeshEvents(CLOCK);
     MeshState state =
         new MeshState(
-            new FakeStoreDocuments(),
+            new FakeStoreItemParser(),
             new StoreWatcher("", StoreWatchTimings.PROMPT, () -> 0.5),
             events,
             CLOCK);
@@ -126,7 +126,7 @@
     MeshEvents events = new MeshEvents(CLOCK);
     MeshState state =
         new MeshState(
-            new FakeStoreDocuments(),
+            new FakeStoreItemParser(),
             new StoreWatcher("", StoreWatchTimings.PROMPT, () -> 0.5),
             events,
             CLOCK);
@@ -184,7 +184,7 @@
     MeshEvents events = new MeshEvents(CLOCK);
     MeshState state =
         new MeshState(
-            new FakeStoreDocuments(),
+            new FakeStoreItemParser(),
             new StoreWatcher("", StoreWatchTimings.PROMPT, () -> 0.5),
             events,
             CLOCK);
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/StoreFollowerTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/StoreFollowerTest.java
@@ -45,7 +45,7 @@
   void onlyAReaderCallsTheStore() throws Exception {
     MeshEvents events = new MeshEvents(CLOCK);
     StoreWatcher watcher = new StoreWatcher("", StoreWatchTimings.PROMPT, () -> 0.5);
-    MeshState state = new MeshState(new FakeStoreDocuments(), watcher, events, CLOCK);
+    MeshState state = new MeshState(new FakeStoreItemParser(), watcher, events, CLOCK);
     CountingClient client = new CountingClient();
     AtomicBoolean shouldRead = new AtomicBoolean();
     CountDownLatch policyChecks = new CountDownLatch(POLICY_CHECKS);
@@ -84,7 +84,7 @@
   void persistentlyThrottledReaderReportsLostContact() throws Exception {
     MeshEvents events = new MeshEvents(CLOCK);
     StoreWatcher watcher = new StoreWatcher("", StoreWatchTimings.PROMPT, () -> 0.5);
-    MeshState state = new MeshState(new FakeStoreDocuments(), watcher, events, CLOCK);
+    MeshState state = new MeshState(new FakeStoreItemParser(), watcher, events, CLOCK);
     CountDownLatch calls = new CountDownLatch(8);
     StoreClient client =
         new StoreClient() {
@@ -130,7 +130,7 @@
     AtomicLong now = new AtomicLong();
     MeshEvents events = new MeshEvents(CLOCK);
     StoreWatcher watcher = new StoreWatcher("", StoreWatchTimings.PROMPT, () -> 0.5);
-    MeshState state = new MeshState(new FakeStoreDocuments(), watcher, events, CLOCK);
+    MeshState state = new MeshState(new FakeStoreItemParser(), watcher, events, CLOCK);
     SynchronousQueue<StoreResponse> answers = new SynchronousQueue<>();
     try (StoreFollower follower =
         new StoreFollower(state, blockingClient(answers), events, now::get)) {
@@ -163,7 +163,7 @@
     AtomicLong now = new AtomicLong();
     MeshEvents events = new MeshEvents(CLOCK);
     StoreWatcher watcher = new StoreWatcher("", StoreWatchTimings.PROMPT, () -> 1);
-    MeshState held = new MeshState(new FakeStoreDocuments(), watcher, events, CLOCK);
+    MeshState held = new MeshState(new FakeStoreItemParser(), watcher, events, CLOCK);
     SynchronousQueue<StoreResponse> answers = new SynchronousQueue<>();
     try (StoreFollower follower =
         new StoreFollower(held, blockingClient(answers), events, now::get)) {
