--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/PlannedStop.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/GracefulShutdown.java
@@ -15,7 +15,7 @@
  *       io.umberpath.node.proxy.inbound.ConnectionDrain}.
  * </ol>
  */
-final class PlannedStop {
+final class GracefulShutdown {
   /**
    * Time for clients to notice that this node is draining: two readiness probes, one second apart.
    */
@@ -71,7 +71,7 @@
    *
    * @param notifyPeers notifies the other nodes that the local backend accepts no new work
    */
-  PlannedStop(
+  GracefulShutdown(
       MeshProxy proxy,
       LocalBackend backend,
       Runnable notifyPeers,
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshEvents.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshEvents.java
@@ -81,7 +81,7 @@
   }
 
   /** Logs how many lines of each kind were dropped since the last call. */
-  void reportDropped() {
+  void logDroppedLines() {
     rateLimiters.forEach(
         (event, rateLimiter) -> {
           long dropped = rateLimiter.drainDropped();
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshInboundHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshInboundHandler.java
@@ -121,7 +121,7 @@
     return backend.acceptsNewWork(((MeshInboundPlan) plan).instance());
   }
 
-  SlotGate gate() {
+  SlotGate admissionQueue() {
     return admissionQueue;
   }
 
@@ -137,7 +137,7 @@
    *
    * @return id of the crashed start
    */
-  Optional<String> lookForCrash() {
+  Optional<String> detectCrash() {
     Optional<BackendCrashDetector.Crash> crash = crashDetector.pollCrash(this::isAnySentBefore);
     crash.filter(each -> backend.isServing(each.backend())).ifPresent(this::recordCrash);
     return crash.map(BackendCrashDetector.Crash::backend);
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshMetrics.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshMetrics.java
@@ -41,7 +41,7 @@
    *
    * @param gauges value suppliers by gauge name without the prefix
    */
-  void begin(Map<String, Supplier<Number>> gauges) {
+  void start(Map<String, Supplier<Number>> gauges) {
     PrometheusMeterRegistry created = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
     created.config().meterFilter(new Histograms());
     gauges.forEach((name, value) -> created.gauge(PREFIX + name, value, each -> toDouble(each)));
@@ -57,9 +57,9 @@
   /**
    * Returns the metrics page; empty until the registry is created.
    *
-   * @param starter called once, on the first call, to have {@link #begin} called on another thread
+   * @param starter called once, on the first call, to have {@link #start} called on another thread
    */
-  String page(Runnable starter) {
+  String scrape(Runnable starter) {
     PrometheusMeterRegistry current = registry;
     if (current == null && requested.compareAndSet(false, true)) {
       starter.run();
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshNode.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshNode.java
@@ -220,12 +220,12 @@
     isTickLate = gapMillis >= LATE_TICK_MILLIS;
     if (gapMillis >= PROCESS_PAUSE_MILLIS) {
       events.paused(gapMillis);
-      proxy.closeIdleOrigins();
+      proxy.closeIdleUpstreamConnections();
     }
   }
 
   private void enforceDeadlines() {
-    proxy.keepDeadlines(isTickLate);
+    proxy.enforceDeadlines(isTickLate);
   }
 
   private void runEveryTicks(int tickCount, Runnable task) {
@@ -245,25 +245,25 @@
 
   private void sweep() {
     state.applyIfDue();
-    proxy.sweep(isTickLate);
+    proxy.runMaintenance(isTickLate);
     if (backend.refresh()) {
-      proxy.gate().gate().resize(backend.slots());
+      proxy.inboundHandler().admissionQueue().resize(backend.slots());
     }
     if (backend.isEvacuated()) {
-      proxy.gate().gate().refuseQueued();
+      proxy.inboundHandler().admissionQueue().refuseQueued();
     }
   }
 
   /** Sends the other nodes the requests during which the local backend crashed. */
   private void shareSuspects() {
-    proxy.gate().lookForCrash().ifPresent(attester::onBackendEnded);
+    proxy.inboundHandler().detectCrash().ifPresent(attester::onBackendEnded);
     peers.sendSuspects();
   }
 
   private void runEverySecond() {
-    events.reportDropped();
-    quarantine.forget();
-    proxy.closeIdle();
+    events.logDroppedLines();
+    quarantine.removeExpired();
+    proxy.closeIdleConnections();
     synchronized (balancer) {
       balancer.removeExpired(clockMillis.getAsLong());
     }
@@ -297,7 +297,7 @@
   private PeerReport report() {
     MeshView view = state.view();
     return new PeerReport(
-        proxy.gate().load(),
+        proxy.inboundHandler().load(),
         isBackendDraining,
         view.version(),
         view.heldPosition(),
@@ -315,26 +315,26 @@
     return transferCache.encode(state.transferFor(request));
   }
 
-  private StatusFilter.Answer metricsPage(String path) {
+  private StatusFilter.StatusResponse metricsPage(String path) {
     return switch (path) {
       case METRICS_PATH ->
-          new StatusFilter.Answer(
-              OK, metrics.page(() -> timer.execute(() -> runGuarded(this::startMetrics))));
-      case QUARANTINE_PATH -> new StatusFilter.Answer(OK, quarantine.page());
-      default -> new StatusFilter.Answer(NOT_FOUND, "");
+          new StatusFilter.StatusResponse(
+              OK, metrics.scrape(() -> timer.execute(() -> runGuarded(this::startMetrics))));
+      case QUARANTINE_PATH -> new StatusFilter.StatusResponse(OK, quarantine.statusPage());
+      default -> new StatusFilter.StatusResponse(NOT_FOUND, "");
     };
   }
 
   private void startMetrics() {
     Map<String, Supplier<Number>> allGauges = new HashMap<>(gauges());
     allGauges.putAll(MemoryGauges.all());
-    metrics.begin(allGauges);
+    metrics.start(allGauges);
   }
 
   private Map<String, Supplier<Number>> gauges() {
     return Map.ofEntries(
-        Map.entry("quarantine.suspects", quarantine::suspects),
-        Map.entry("quarantine.held", quarantine::held),
+        Map.entry("quarantine.suspects", quarantine::suspectCount),
+        Map.entry("quarantine.held", quarantine::heldTargetCount),
         Map.entry("configuration.version", () -> state.view().version()),
         Map.entry("store.revision", () -> state.view().position().revision()),
         Map.entry("configuration.shown.version", () -> state.storeVersion()),
@@ -342,12 +342,13 @@
         Map.entry("store.heard.age.seconds", this::storeAgeSeconds),
         Map.entry("peers.known", peers::nodeCount),
         Map.entry("peers.silent", peers::silentNodeCount),
-        Map.entry("gate.running", () -> proxy.gate().load().running()),
-        Map.entry("gate.queued", () -> proxy.gate().load().queued()),
-        Map.entry("gate.slots", () -> proxy.gate().load().slots()),
-        Map.entry("gate.slowness.percent", () -> proxy.gate().load().slownessPercent()),
+        Map.entry("gate.running", () -> proxy.inboundHandler().load().running()),
+        Map.entry("gate.queued", () -> proxy.inboundHandler().load().queued()),
+        Map.entry("gate.slots", () -> proxy.inboundHandler().load().slots()),
+        Map.entry("gate.slowness.percent", () -> proxy.inboundHandler().load().slownessPercent()),
         Map.entry(
-            "gate.service.seconds", () -> proxy.gate().load().serviceMicros() / MICROS_PER_SECOND));
+            "gate.service.seconds",
+            () -> proxy.inboundHandler().load().serviceMicros() / MICROS_PER_SECOND));
   }
 
   private double storeAgeSeconds() {
@@ -358,12 +359,13 @@
     return heardAt < 0 ? -1 : (clockMillis.getAsLong() - heardAt) / (double) SECOND_MILLIS;
   }
 
-  private StatusFilter.Answer readinessPage(String path) {
+  private StatusFilter.StatusResponse readinessPage(String path) {
     if (!path.equals(readyPath)) {
-      return new StatusFilter.Answer(NOT_FOUND, "");
+      return new StatusFilter.StatusResponse(NOT_FOUND, "");
     }
     boolean isReady = state.view().isComplete() && !isStopping;
-    return new StatusFilter.Answer(isReady ? OK : UNAVAILABLE, isReady ? "ready" : "not ready");
+    return new StatusFilter.StatusResponse(
+        isReady ? OK : UNAVAILABLE, isReady ? "ready" : "not ready");
   }
 
   /**
@@ -372,9 +374,9 @@
    */
   public void stop() throws InterruptedException {
     // First, so that a client that sees this node as not ready gets no persistent connection.
-    proxy.leave();
+    proxy.startDraining();
     isStopping = true;
-    new PlannedStop(proxy, backend, this::reportBackendDraining, events, clockMillis)
+    new GracefulShutdown(proxy, backend, this::reportBackendDraining, events, clockMillis)
         .run(settings.graceMillis());
   }
 
@@ -415,11 +417,11 @@
 
   /** Open connections to nodes, this node's own listener included. */
   public int openConnectionsToNodes() {
-    return proxy.openConnectionsToNodes();
+    return proxy.openPeerConnections();
   }
 
   /** Requests queued at this node for a slot of the local backend. */
   public int queuedRequests() {
-    return proxy.gate().load().queued();
+    return proxy.inboundHandler().load().queued();
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshProxy.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshProxy.java
@@ -147,7 +147,7 @@
     return backendPool;
   }
 
-  MeshInboundHandler gate() {
+  MeshInboundHandler inboundHandler() {
     return inbound;
   }
 
@@ -158,11 +158,11 @@
 
   /** Returns whether the local backend is running a request. */
   boolean isBackendBusy() {
-    return inbound.gate().running() > 0;
+    return inbound.admissionQueue().running() > 0;
   }
 
   /** From now on clients are asked to send their next request elsewhere. */
-  void leave() {
+  void startDraining() {
     outbound.startDraining();
   }
 
@@ -213,7 +213,7 @@
    *
    * @param isTimerLate whether the calling timer thread was not scheduled for a while
    */
-  void keepDeadlines(boolean isTimerLate) {
+  void enforceDeadlines(boolean isTimerLate) {
     if (active.size() > 0 && !transport.checkTimeouts(expireOverdueTask, isTimerLate)) {
       active.expireUnsent(clockMillis.getAsLong());
     }
@@ -230,7 +230,7 @@
    *
    * @param isTimerLate whether the calling timer thread was not scheduled for a while
    */
-  void sweep(boolean isTimerLate) {
+  void runMaintenance(boolean isTimerLate) {
     transport.checkTimeouts(sweepTask, isTimerLate);
   }
 
@@ -241,13 +241,13 @@
   }
 
   /** Closes idle connections to other nodes and to the backend. */
-  void closeIdleOrigins() {
+  void closeIdleUpstreamConnections() {
     origins.expire(0);
     backendPool.expire(0);
   }
 
   /** Closes connections of clients and other nodes that exceeded their idle timeout. */
-  void closeIdle() {
+  void closeIdleConnections() {
     MeshView current = view.get();
     RequestLimits limits = current.isComplete() ? current.configuration().limits() : null;
     long idleMillis = limits == null ? DEFAULT_IDLE_MILLIS : limits.idleTimeoutMillis();
@@ -267,7 +267,7 @@
   }
 
   /** Returns the number of open connections to other nodes. */
-  int openConnectionsToNodes() {
+  int openPeerConnections() {
     return origins.openCount();
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerDatagram.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerDatagram.java
@@ -25,7 +25,7 @@
       require(in.nextToken() == JsonToken.VALUE_NUMBER_INT, "has no kind");
       int kind = in.getIntValue();
       return kind == SuspectMessage.KIND
-          ? SuspectMessage.readEntries(in)
+          ? SuspectMessage.decodeEntries(in)
           : PeerMessage.readEntries(kind, in);
     }
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerExchange.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerExchange.java
@@ -102,7 +102,7 @@
 
   /** Sends the other nodes the requests during which backends crashed. */
   void sendSuspects() {
-    suspects.tick();
+    suspects.sendUnsent();
   }
 
   /** Runs a round: detects silent nodes and sends reports. */
@@ -166,7 +166,7 @@
 
   private void handle(PeerDatagram message) throws IOException {
     if (message instanceof SuspectMessage suspectMessage) {
-      quarantine.take(suspectMessage);
+      quarantine.merge(suspectMessage);
     } else if (message instanceof PeerMessage peerMessage) {
       handle(peerMessage);
     }
@@ -196,7 +196,7 @@
       drainingHosts.remove(host);
     }
     attested.recordAttestation(madeAtMillis, host, report.attested());
-    suspects.heard(host, report.suspectsDigest());
+    suspects.digestReceived(host, report.suspectsDigest());
     MeshView current = view.get();
     synchronized (balancer) {
       if (report.attested().isPresent()) {
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/RequestQuarantine.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/RequestQuarantine.java
@@ -110,9 +110,9 @@
    * Merges the suspicions of another node. Where this node knows more, its own suspicions are
    * queued for all nodes.
    */
-  synchronized void take(SuspectMessage message) {
+  synchronized void merge(SuspectMessage message) {
     long now = clockMillis.getAsLong();
-    List<SuspectReport> received = message.asOf(now);
+    List<SuspectReport> received = message.toLocalTimes(now);
     List<RequestFingerprint> affected = received.stream().map(SuspectReport::request).toList();
     Set<RequestFingerprint> heldBefore = heldAmong(affected);
     for (SuspectReport each : received) {
@@ -144,7 +144,7 @@
   }
 
   /** Removes expired suspicions. */
-  synchronized void forget() {
+  synchronized void removeExpired() {
     if (suspectCount > 0) {
       ledger.removeExpired(clockMillis.getAsLong());
       heldTargets = ledger.quarantinedTargets();
@@ -170,7 +170,7 @@
   }
 
   /** Returns the held requests for operators, one per line. */
-  synchronized String page() {
+  synchronized String statusPage() {
     long now = clockMillis.getAsLong();
     StringBuilder lines = new StringBuilder();
     for (SuspectReport each : ledger.snapshot()) {
@@ -197,12 +197,12 @@
   }
 
   /** Returns the number of requests suspected of a crash, whether or not they are held. */
-  int suspects() {
+  int suspectCount() {
     return suspectCount;
   }
 
   /** Returns the number of distinct targets of held requests. */
-  int held() {
+  int heldTargetCount() {
     return heldTargets.size();
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/StatusFilter.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/StatusFilter.java
@@ -18,14 +18,14 @@
    * A response.
    *
    * @param status HTTP status
-   * @param text body
+   * @param body body
    */
-  record Answer(int status, String text) {}
+  record StatusResponse(int status, String body) {}
 
-  private final Function<String, Answer> responses;
+  private final Function<String, StatusResponse> responses;
 
   /** Creates a filter that computes the response for a path. */
-  StatusFilter(Function<String, Answer> responses) {
+  StatusFilter(Function<String, StatusResponse> responses) {
     this.responses = responses;
   }
 
@@ -36,8 +36,8 @@
       return context.getStopAction();
     }
     HttpRequestPacket request = (HttpRequestPacket) content.getHttpHeader();
-    Answer statusResponse = responses.apply(request.getRequestURI());
-    byte[] body = statusResponse.text().getBytes(StandardCharsets.UTF_8);
+    StatusResponse statusResponse = responses.apply(request.getRequestURI());
+    byte[] body = statusResponse.body().getBytes(StandardCharsets.UTF_8);
     HttpResponsePacket response = request.getResponse();
     response.setStatus(statusResponse.status());
     response.setContentType("text/plain; charset=utf-8");
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/SuspectExchange.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/SuspectExchange.java
@@ -44,7 +44,7 @@
   }
 
   /** Sends new suspicions to all other nodes. */
-  void tick() {
+  void sendUnsent() {
     List<SuspectReport> unsent = quarantine.drainUnsent();
     if (!unsent.isEmpty()) {
       sender.send(SuspectMessage.encode(clockMillis.getAsLong(), unsent), peers.get());
@@ -52,7 +52,7 @@
   }
 
   /** Handles the digest that another node reported for its suspicions. */
-  void heard(String host, long digest) {
+  void digestReceived(String host, long digest) {
     if (digest == quarantine.digest()) {
       return;
     }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/SuspectMessage.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/SuspectMessage.java
@@ -59,7 +59,7 @@
   }
 
   /** Reads the suspicions of a datagram whose kind has been read; their times are ages. */
-  static SuspectMessage readEntries(JsonParser in) throws IOException {
+  static SuspectMessage decodeEntries(JsonParser in) throws IOException {
     List<SuspectReport> suspicions = new ArrayList<>();
     for (JsonToken token = in.nextToken(); token != JsonToken.END_ARRAY; token = in.nextToken()) {
       PeerDatagram.require(
@@ -93,13 +93,13 @@
   }
 
   /** Returns the suspicions with times on this node's clock. */
-  List<SuspectReport> asOf(long nowMillis) {
+  List<SuspectReport> toLocalTimes(long nowMillis) {
     return suspicions.stream()
-        .map(each -> new SuspectReport(each.request(), asOf(nowMillis, each.marks())))
+        .map(each -> new SuspectReport(each.request(), toLocalTimes(nowMillis, each.marks())))
         .toList();
   }
 
-  private static List<CrashMark> asOf(long nowMillis, List<CrashMark> marks) {
+  private static List<CrashMark> toLocalTimes(long nowMillis, List<CrashMark> marks) {
     return marks.stream()
         .map(mark -> new CrashMark(mark.crashId(), nowMillis - mark.atMillis(), mark.cleared()))
         .toList();
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/PeerMessagesTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/PeerMessagesTest.java
@@ -97,7 +97,7 @@
     // The receiver's clock differs from the sender's.
     CrashMark moved = new CrashMark(-7, 490_000, false);
     CrashMark clearedMoved = new CrashMark(1_234_567_890, 499_750, true);
-    assertThat(read.asOf(500_000))
+    assertThat(read.toLocalTimes(500_000))
         .containsExactly(
             new SuspectReport(first.request(), List.of(moved)),
             new SuspectReport(second.request(), List.of(moved, clearedMoved)));
@@ -116,7 +116,8 @@
     List<SuspectReport> read = new ArrayList<>();
     for (byte[] bytes : SuspectMessage.encode(3_600_000, many)) {
       assertThat(bytes.length).isLessThanOrEqualTo(PeerDatagram.MAX_BYTES);
-      read.addAll(((SuspectMessage) PeerDatagram.decode(bytes, bytes.length)).asOf(3_600_000));
+      read.addAll(
+          ((SuspectMessage) PeerDatagram.decode(bytes, bytes.length)).toLocalTimes(3_600_000));
     }
 
     assertThat(read).isEqualTo(many);
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/QuarantineSimulation.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/QuarantineSimulation.java
@@ -146,7 +146,7 @@
 
     private void receive(byte[] bytes, Node to) {
       try {
-        to.quarantine.take((SuspectMessage) PeerDatagram.decode(bytes, bytes.length));
+        to.quarantine.merge((SuspectMessage) PeerDatagram.decode(bytes, bytes.length));
       } catch (IOException malformed) {
         throw new UncheckedIOException(malformed);
       }
@@ -445,7 +445,7 @@
   }
 
   private void tick() {
-    nodes.forEach(node -> node.exchange.tick());
+    nodes.forEach(node -> node.exchange.sendUnsent());
     if (now % REPORT_INTERVAL_MILLIS == 0) {
       nodes.forEach(this::report);
     }
@@ -456,7 +456,7 @@
     for (int contact = 0; contact < 2; contact++) {
       Node to = anyNode();
       if (canReach(node, to) && random.nextDouble() >= scenario.loss()) {
-        to.exchange.heard(Integer.toString(node.index), node.quarantine.digest());
+        to.exchange.digestReceived(Integer.toString(node.index), node.quarantine.digest());
       }
     }
   }
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/SuspectExchangeTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/SuspectExchangeTest.java
@@ -60,7 +60,7 @@
       return;
     }
     try {
-      to.quarantine.take((SuspectMessage) PeerDatagram.decode(bytes, bytes.length));
+      to.quarantine.merge((SuspectMessage) PeerDatagram.decode(bytes, bytes.length));
     } catch (IOException malformed) {
       throw new UncheckedIOException(malformed);
     }
@@ -72,7 +72,7 @@
 
   private void runFor(long millis) {
     for (long end = now + millis; now < end; now += TICK_MILLIS) {
-      nodes.forEach(node -> node.exchange.tick());
+      nodes.forEach(node -> node.exchange.sendUnsent());
       if (now % ROUND_MILLIS == 0) {
         IntStream.range(0, nodes.size()).forEach(this::report);
       }
@@ -83,7 +83,7 @@
     for (int contact = 0; contact < 2; contact++) {
       Node to = nodes.get(random.nextInt(nodes.size()));
       if (random.nextDouble() >= loss) {
-        to.exchange.heard(Integer.toString(index), nodes.get(index).quarantine.digest());
+        to.exchange.digestReceived(Integer.toString(index), nodes.get(index).quarantine.digest());
       }
     }
   }
