--- a/umberpath-transport/src/main/java/io/umberpath/transport/Backoff.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/Backoff.java
@@ -15,10 +15,10 @@
   }
 
   /** The wait after one more failure. */
-  long nextWaitMillis() {
-    long wait = nextMillis;
+  long nextDelayMillis() {
+    long delayMillis = nextMillis;
     nextMillis = Math.min(maxMillis, 2 * nextMillis);
-    return wait / 2 + ThreadLocalRandom.current().nextLong(wait / 2 + 1);
+    return delayMillis / 2 + ThreadLocalRandom.current().nextLong(delayMillis / 2 + 1);
   }
 
   void reset() {
--- a/umberpath-transport/src/main/java/io/umberpath/transport/PeerConnections.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/ConnectionManager.java
@@ -13,14 +13,14 @@
  * dialled and end the other with goodbyes, so that no message is lost by it. Thread-safe; calls
  * listeners without holding its lock.
  */
-final class PeerConnections {
-  private static final int PINGS_PER_SILENCE = 3;
+final class ConnectionManager {
+  private static final int PINGS_PER_SILENCE_TIMEOUT = 3;
 
   private final TransportSettings settings;
   private final Dialer dialer;
-  private final Receiver receiver;
+  private final PayloadReceiver receiver;
   private final TransportCounters counters;
-  private final FaultReporter faults;
+  private final FaultReporter faultReporter;
   private final LongSupplier clockMillis;
   private final Handshake handshake;
   private final PeerTable table;
@@ -35,25 +35,25 @@
   }
 
   /** Takes what arrives. */
-  interface Receiver {
+  interface PayloadReceiver {
     /** Returns the error that ends the connection, if the payload is refused. */
     Optional<TransportError> onPayload(PeerAddress from, byte[] payload);
 
     void onUnreachable(PeerAddress peer);
   }
 
-  PeerConnections(
+  ConnectionManager(
       TransportSettings settings,
       PeerAddress self,
       Dialer dialer,
-      Receiver receiver,
+      PayloadReceiver receiver,
       TransportCounters counters,
       LongSupplier clockMillis) {
     this.settings = settings;
     this.dialer = dialer;
     this.receiver = receiver;
     this.counters = counters;
-    this.faults = new FaultReporter(counters);
+    this.faultReporter = new FaultReporter(counters);
     this.clockMillis = clockMillis;
     this.handshake = new Handshake(self, settings.incarnation());
     this.table = new PeerTable(settings, self);
@@ -62,33 +62,33 @@
 
   /** Queues a frame for a peer; false if its queue is full. */
   boolean send(PeerAddress to, byte[] frame) {
-    Effects effects = new Effects();
+    DeferredActions deferred = new DeferredActions();
     synchronized (table.lock) {
       if (table.closed) {
         return true;
       }
-      Peer peer = table.peer(to);
+      Peer peer = table.getOrCreatePeer(to);
       if (!peer.queue.offer(frame)) {
         return false;
       }
       peer.disconnectWhenEmpty = false;
-      pursue(peer, effects);
+      flushOrConnect(peer, deferred);
     }
-    effects.run();
+    deferred.run();
     return true;
   }
 
   /** Ends the connection with a peer once its queue is empty. */
   void disconnect(PeerAddress address) {
-    Effects effects = new Effects();
+    DeferredActions deferred = new DeferredActions();
     synchronized (table.lock) {
       Peer peer = table.peers.get(address);
       if (peer != null) {
         peer.disconnectWhenEmpty = true;
-        pursue(peer, effects);
+        flushOrConnect(peer, deferred);
       }
     }
-    effects.run();
+    deferred.run();
   }
 
   /** Takes an accepted connection, or refuses it when there are too many. */
@@ -104,7 +104,7 @@
         return Optional.of(connection);
       }
     }
-    faults.report(
+    faultReporter.report(
         new TransportError(TransportFault.TOO_MANY_CONNECTIONS, "limit " + limit + " is reached"),
         "unnamed");
     socket.abort();
@@ -117,13 +117,13 @@
     synchronized (table.lock) {
       abandoned = connection.closed || table.closed;
       connection.socket = socket;
-      connection.controlFrames.add(handshake.frame());
+      connection.controlFrames.add(handshake.helloFrame());
     }
     if (abandoned) {
       socket.abort();
       return;
     }
-    writer.drain(connection);
+    writer.flush(connection);
   }
 
   /** A dialled connection could not be made. */
@@ -133,9 +133,9 @@
 
   /** Bytes arrived; called by one thread at a time for one connection. */
   void onBytes(PeerConnection connection, ByteBuffer input) {
-    counters.received(input.remaining());
+    counters.addReceived(input.remaining());
     synchronized (table.lock) {
-      connection.receivedAt = clockMillis.getAsLong();
+      connection.lastReceivedMillis = clockMillis.getAsLong();
     }
     while (input.hasRemaining() && !isClosed(connection)) {
       Either<TransportError, Optional<Frame>> decoded = connection.decoder.next(input);
@@ -161,11 +161,11 @@
       return onHello(connection, frame.payload());
     }
     if (!connection.isEstablished()) {
-      return error(TransportFault.BAD_HELLO, "first frame is " + frame.kind());
+      return errorOf(TransportFault.BAD_HELLO, "first frame is " + frame.kind());
     }
     if (frame.kind() == FrameKind.MESSAGE) {
-      counters.receivedMessage();
-      return receiver.onPayload(connection.remote.listening(), frame.payload());
+      counters.countReceivedMessage();
+      return receiver.onPayload(connection.remoteHello.listenAddress(), frame.payload());
     }
     if (frame.kind() == FrameKind.GOODBYE) {
       onGoodbye(connection);
@@ -174,57 +174,57 @@
   }
 
   private Optional<TransportError> onHello(PeerConnection connection, byte[] payload) {
-    Either<TransportError, Hello> read = handshake.read(connection, payload);
-    if (read.isLeft()) {
-      return Optional.of(read.getLeft());
+    Either<TransportError, Hello> decoded = handshake.readHello(connection, payload);
+    if (decoded.isLeft()) {
+      return Optional.of(decoded.getLeft());
     }
-    Hello hello = read.get();
-    Effects effects = new Effects();
+    Hello hello = decoded.get();
+    DeferredActions deferred = new DeferredActions();
     synchronized (table.lock) {
       Peer peer = table.establish(connection, hello);
       if (!connection.isOutbound()) {
-        connection.controlFrames.add(handshake.frame());
+        connection.controlFrames.add(handshake.helloFrame());
       }
-      for (PeerConnection former : table.removeFormerIncarnations(peer, hello.incarnation())) {
-        effects.add(former.socket::abort);
-        effects.add(() -> receiver.onUnreachable(peer.address));
+      for (PeerConnection stale : table.removeStaleIncarnations(peer, hello.incarnation())) {
+        deferred.add(stale.socket::abort);
+        deferred.add(() -> receiver.onUnreachable(peer.address));
       }
-      effects.add(() -> writer.drain(connection));
-      choose(peer, effects);
+      deferred.add(() -> writer.flush(connection));
+      selectActive(peer, deferred);
     }
-    effects.run();
+    deferred.run();
     return Optional.empty();
   }
 
   private void onGoodbye(PeerConnection connection) {
-    Effects effects = new Effects();
+    DeferredActions deferred = new DeferredActions();
     synchronized (table.lock) {
       connection.goodbyeReceived = true;
-      choose(table.peer(connection.remote.listening()), effects);
+      selectActive(table.getOrCreatePeer(connection.remoteHello.listenAddress()), deferred);
       if (connection.goodbyeWritten) {
-        effects.add(connection.socket::close);
+        deferred.add(connection.socket::close);
       }
     }
-    effects.run();
+    deferred.run();
   }
 
-  private void choose(Peer peer, Effects effects) {
-    for (PeerConnection retired : table.choose(peer)) {
-      effects.add(() -> writer.drain(retired));
+  private void selectActive(Peer peer, DeferredActions deferred) {
+    for (PeerConnection retired : table.selectActive(peer)) {
+      deferred.add(() -> writer.flush(retired));
     }
-    pursue(peer, effects);
+    flushOrConnect(peer, deferred);
   }
 
   /** Writes what waits, or dials if it must; call with the lock held. */
-  private void pursue(Peer peer, Effects effects) {
+  private void flushOrConnect(Peer peer, DeferredActions deferred) {
     PeerConnection active = peer.active;
     if (active != null) {
-      effects.add(() -> writer.drain(active));
+      deferred.add(() -> writer.flush(active));
       return;
     }
     table
-        .beginAttempt(peer, clockMillis.getAsLong())
-        .ifPresent(attempt -> effects.add(() -> dialer.dial(peer.address, attempt)));
+        .beginConnectAttempt(peer, clockMillis.getAsLong())
+        .ifPresent(attempt -> deferred.add(() -> dialer.dial(peer.address, attempt)));
   }
 
   /** Ends a connection because of a fault; nothing happens if it has ended. */
@@ -232,7 +232,7 @@
     if (isClosed(connection)) {
       return;
     }
-    faults.report(error, connection.describe());
+    faultReporter.report(error, connection.describe());
     onClosed(connection);
   }
 
@@ -247,13 +247,14 @@
           connection.decoder.isInsideFrame()
               ? TransportFault.TRUNCATED_FRAME
               : TransportFault.CONNECTION_LOST;
-      faults.report(new TransportError(fault, "closed by the other side"), connection.describe());
+      faultReporter.report(
+          new TransportError(fault, "closed by the other side"), connection.describe());
     }
     onClosed(connection);
   }
 
   private void onClosed(PeerConnection connection) {
-    Effects effects = new Effects();
+    DeferredActions deferred = new DeferredActions();
     synchronized (table.lock) {
       if (connection.closed) {
         return;
@@ -261,59 +262,60 @@
       connection.closed = true;
       table.connections.remove(connection);
       if (connection.socket != null) {
-        effects.add(connection.socket::abort);
+        deferred.add(connection.socket::abort);
       }
       if (connection.isEstablished()) {
-        Peer peer = table.peer(connection.remote.listening());
-        loseIf(table.removeEstablished(connection), peer, effects);
-        choose(peer, effects);
+        Peer peer = table.getOrCreatePeer(connection.remoteHello.listenAddress());
+        dropIfUnreachable(table.removeEstablished(connection), peer, deferred);
+        selectActive(peer, deferred);
       } else if (connection.isOutbound()) {
-        Peer peer = table.peer(connection.dialled.get());
-        loseIf(table.removeAttempt(connection, clockMillis.getAsLong()), peer, effects);
+        Peer peer = table.getOrCreatePeer(connection.dialledAddress.get());
+        dropIfUnreachable(
+            table.removeConnectAttempt(connection, clockMillis.getAsLong()), peer, deferred);
       }
     }
-    effects.run();
+    deferred.run();
   }
 
-  private void loseIf(boolean lost, Peer peer, Effects effects) {
-    if (lost) {
-      table.drop(peer);
-      effects.add(() -> receiver.onUnreachable(peer.address));
+  private void dropIfUnreachable(boolean unreachable, Peer peer, DeferredActions deferred) {
+    if (unreachable) {
+      table.discardPending(peer);
+      deferred.add(() -> receiver.onUnreachable(peer.address));
     }
   }
 
   /** Ends what is overdue, pings what is quiet and dials what may be dialled again. */
   void sweep() {
-    long now = clockMillis.getAsLong();
+    long nowMillis = clockMillis.getAsLong();
     List<PeerConnection> open;
-    Effects effects = new Effects();
+    DeferredActions deferred = new DeferredActions();
     synchronized (table.lock) {
       open = List.copyOf(table.connections);
-      table.forgetIdlePeers(now);
-      table.peers.values().forEach(peer -> pursue(peer, effects));
+      table.removeIdlePeers(nowMillis);
+      table.peers.values().forEach(peer -> flushOrConnect(peer, deferred));
     }
-    effects.run();
-    open.forEach(connection -> sweep(connection, now));
+    deferred.run();
+    open.forEach(connection -> sweep(connection, nowMillis));
   }
 
-  private void sweep(PeerConnection connection, long now) {
-    Optional<TransportError> overdue;
+  private void sweep(PeerConnection connection, long nowMillis) {
+    Optional<TransportError> timeout;
     synchronized (table.lock) {
-      overdue = connection.overdue(now, settings.timeouts());
-      long pingMillis = settings.timeouts().silenceMillis() / PINGS_PER_SILENCE;
-      if (overdue.isEmpty() && connection.isQuiet(now, pingMillis)) {
+      timeout = connection.findExpiredTimeout(nowMillis, settings.timeouts());
+      long pingIntervalMillis = settings.timeouts().silenceMillis() / PINGS_PER_SILENCE_TIMEOUT;
+      if (timeout.isEmpty() && connection.needsPing(nowMillis, pingIntervalMillis)) {
         connection.controlFrames.add(Frame.encode(FrameKind.PING));
       }
     }
-    if (overdue.isPresent()) {
-      fail(connection, overdue.get());
+    if (timeout.isPresent()) {
+      fail(connection, timeout.get());
     } else {
-      writer.drain(connection);
+      writer.flush(connection);
     }
   }
 
   /** Open connections and attempts. */
-  int count() {
+  int connectionCount() {
     synchronized (table.lock) {
       return table.connections.size();
     }
@@ -332,7 +334,7 @@
     open.stream().filter(c -> c.socket != null).forEach(c -> c.socket.abort());
   }
 
-  private static Optional<TransportError> error(TransportFault fault, String detail) {
+  private static Optional<TransportError> errorOf(TransportFault fault, String detail) {
     return Optional.of(new TransportError(fault, detail));
   }
 }
--- a/umberpath-transport/src/main/java/io/umberpath/transport/Effects.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/DeferredActions.java
@@ -4,14 +4,14 @@
 import java.util.List;
 
 /** Work that is decided with a lock held and done after its release, in order. */
-final class Effects {
-  private final List<Runnable> steps = new ArrayList<>();
+final class DeferredActions {
+  private final List<Runnable> actions = new ArrayList<>();
 
-  void add(Runnable step) {
-    steps.add(step);
+  void add(Runnable action) {
+    actions.add(action);
   }
 
   void run() {
-    steps.forEach(Runnable::run);
+    actions.forEach(Runnable::run);
   }
 }
--- a/umberpath-transport/src/main/java/io/umberpath/transport/FaultReporter.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/FaultReporter.java
@@ -20,7 +20,7 @@
 
   /** Reports a fault on a connection or queue of a peer; at most one log line a second. */
   void report(TransportError error, String peer) {
-    counters.fault(error.fault());
+    counters.countFault(error.fault());
     logger
         .atWarning()
         .atMostEvery(1, TimeUnit.SECONDS)
--- a/umberpath-transport/src/main/java/io/umberpath/transport/Frame.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/Frame.java
@@ -16,10 +16,10 @@
   static final int LENGTH_BYTES = Integer.BYTES;
 
   /** Bytes of the version and kind fields, which the length includes. */
-  static final int TYPE_BYTES = 2;
+  static final int VERSION_AND_KIND_BYTES = 2;
 
   /** Bytes before the payload. */
-  static final int HEADER_BYTES = LENGTH_BYTES + TYPE_BYTES;
+  static final int HEADER_BYTES = LENGTH_BYTES + VERSION_AND_KIND_BYTES;
 
   private static final byte[] NO_PAYLOAD = {};
 
@@ -31,7 +31,7 @@
   /** Encodes a frame. */
   static byte[] encode(FrameKind kind, byte[] payload) {
     return ByteBuffer.allocate(HEADER_BYTES + payload.length)
-        .putInt(TYPE_BYTES + payload.length)
+        .putInt(VERSION_AND_KIND_BYTES + payload.length)
         .put(PROTOCOL_VERSION)
         .put(kind.code())
         .put(payload)
--- a/umberpath-transport/src/main/java/io/umberpath/transport/FrameDecoder.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/FrameDecoder.java
@@ -18,7 +18,7 @@
   private FrameKind kind;
   private byte[] payload = NO_PAYLOAD;
   private int payloadLength;
-  private int filled;
+  private int payloadFilled;
 
   /**
    * Creates a decoder.
@@ -30,8 +30,8 @@
   }
 
   /** Changes the limit for the frames that follow. */
-  void limitFrames(int bytes) {
-    maxFrameBytes = bytes;
+  void setMaxFrameBytes(int newMaxFrameBytes) {
+    maxFrameBytes = newMaxFrameBytes;
   }
 
   /** Whether some bytes of an unfinished frame have arrived. */
@@ -56,7 +56,8 @@
       }
     }
     fillPayload(input);
-    return Either.right(filled < payloadLength ? Optional.empty() : Optional.of(finishFrame()));
+    return Either.right(
+        payloadFilled < payloadLength ? Optional.empty() : Optional.of(finishFrame()));
   }
 
   private void fillHeader(ByteBuffer input) {
@@ -67,7 +68,7 @@
 
   private Optional<TransportError> readHeader() {
     int length = header.getInt(0);
-    if (length < Frame.TYPE_BYTES) {
+    if (length < Frame.VERSION_AND_KIND_BYTES) {
       return error(TransportFault.MALFORMED_FRAME, "frame length " + length + " is too small");
     }
     if (length > maxFrameBytes - Frame.LENGTH_BYTES) {
@@ -82,24 +83,24 @@
           "protocol version " + version + ", expected " + Frame.PROTOCOL_VERSION);
     }
     byte code = header.get(Frame.LENGTH_BYTES + 1);
-    Optional<FrameKind> known = FrameKind.ofCode(code);
+    Optional<FrameKind> known = FrameKind.fromCode(code);
     if (known.isEmpty()) {
       return error(TransportFault.MALFORMED_FRAME, "frame kind " + code + " is unknown");
     }
     kind = known.get();
-    payloadLength = length - Frame.TYPE_BYTES;
+    payloadLength = length - Frame.VERSION_AND_KIND_BYTES;
     payload = new byte[Math.min(payloadLength, INITIAL_PAYLOAD_BYTES)];
     return Optional.empty();
   }
 
   private void fillPayload(ByteBuffer input) {
-    while (filled < payloadLength && input.hasRemaining()) {
-      if (filled == payload.length) {
+    while (payloadFilled < payloadLength && input.hasRemaining()) {
+      if (payloadFilled == payload.length) {
         payload = Arrays.copyOf(payload, (int) Math.min(payloadLength, 2L * payload.length));
       }
-      int count = Math.min(payload.length - filled, input.remaining());
-      input.get(payload, filled, count);
-      filled += count;
+      int count = Math.min(payload.length - payloadFilled, input.remaining());
+      input.get(payload, payloadFilled, count);
+      payloadFilled += count;
     }
   }
 
@@ -108,7 +109,7 @@
     header.clear();
     payload = NO_PAYLOAD;
     payloadLength = 0;
-    filled = 0;
+    payloadFilled = 0;
     return frame;
   }
 
--- a/umberpath-transport/src/main/java/io/umberpath/transport/FrameKind.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/FrameKind.java
@@ -25,7 +25,7 @@
     return code;
   }
 
-  static Optional<FrameKind> ofCode(byte code) {
+  static Optional<FrameKind> fromCode(byte code) {
     for (FrameKind kind : KINDS) {
       if (kind.code == code) {
         return Optional.of(kind);
--- a/umberpath-transport/src/main/java/io/umberpath/transport/FrameWriter.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/FrameWriter.java
@@ -9,7 +9,7 @@
  * Thread-safe; uses the lock of the {@link PeerTable}.
  */
 final class FrameWriter {
-  private static final int BATCH_BYTES = 64 << 10;
+  private static final int MAX_BATCH_BYTES = 64 << 10;
 
   private final PeerTable table;
   private final TransportCounters counters;
@@ -22,8 +22,8 @@
   }
 
   /** Writes what waits unless a write is under way; call without the lock. */
-  void drain(PeerConnection connection) {
-    if (connection.drains.getAndIncrement() != 0) {
+  void flush(PeerConnection connection) {
+    if (connection.flushRequests.getAndIncrement() != 0) {
       return;
     }
     do {
@@ -31,18 +31,18 @@
       if (!batch.isEmpty()) {
         connection.socket.write(batch, () -> onWritten(connection, batch));
       }
-    } while (connection.drains.decrementAndGet() != 0);
+    } while (connection.flushRequests.decrementAndGet() != 0);
   }
 
   private List<byte[]> takeBatch(PeerConnection connection) {
     synchronized (table.lock) {
-      if (connection.closed || connection.socket == null || connection.writing) {
+      if (connection.closed || connection.socket == null || connection.writeInProgress) {
         return List.of();
       }
       List<byte[]> batch = nextFrames(connection);
       if (!batch.isEmpty()) {
-        connection.writing = true;
-        connection.writtenAt = clockMillis.getAsLong();
+        connection.writeInProgress = true;
+        connection.lastWriteMillis = clockMillis.getAsLong();
       }
       return batch;
     }
@@ -54,11 +54,11 @@
     if (!batch.isEmpty() || !connection.isUsable()) {
       return batch;
     }
-    Peer peer = table.peer(connection.remote.listening());
+    Peer peer = table.getOrCreatePeer(connection.remoteHello.listenAddress());
     if (peer.active != connection) {
       return batch;
     }
-    batch.addAll(peer.queue.poll(BATCH_BYTES));
+    batch.addAll(peer.queue.poll(MAX_BATCH_BYTES));
     if (batch.isEmpty() && peer.disconnectWhenEmpty) {
       peer.disconnectWhenEmpty = false;
       peer.active = null;
@@ -71,18 +71,18 @@
   private void onWritten(PeerConnection connection, List<byte[]> batch) {
     long bytes = batch.stream().mapToLong(frame -> frame.length).sum();
     long messages = batch.stream().filter(Frame::isMessage).count();
-    counters.sent(bytes, messages);
-    boolean finished;
+    counters.addSent(bytes, messages);
+    boolean goodbyesExchanged;
     synchronized (table.lock) {
-      connection.writing = false;
-      connection.writtenAt = clockMillis.getAsLong();
+      connection.writeInProgress = false;
+      connection.lastWriteMillis = clockMillis.getAsLong();
       connection.goodbyeWritten = connection.goodbyeQueued && connection.controlFrames.isEmpty();
-      finished = connection.goodbyeWritten && connection.goodbyeReceived;
+      goodbyesExchanged = connection.goodbyeWritten && connection.goodbyeReceived;
     }
-    if (finished) {
+    if (goodbyesExchanged) {
       connection.socket.close();
       return;
     }
-    drain(connection);
+    flush(connection);
   }
 }
--- a/umberpath-transport/src/main/java/io/umberpath/transport/GrizzlyEndpoint.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/GrizzlyEndpoint.java
@@ -2,7 +2,7 @@
 
 import com.google.common.flogger.FluentLogger;
 import io.umberpath.model.PeerAddress;
-import io.umberpath.transport.tls.ReloadingTls;
+import io.umberpath.transport.tls.ReloadingTlsContext;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -40,20 +40,20 @@
 /**
  * The Grizzly side: one selector thread that accepts, connects and reads. It must not be blocked.
  */
-final class GrizzlyEndpoint implements PeerConnections.Dialer {
+final class GrizzlyEndpoint implements ConnectionManager.Dialer {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
   private static final int READ_BUFFER_BYTES = 16 << 10;
-  private static final long CLOSE_SECONDS = 5;
+  private static final long CLOSE_TIMEOUT_SECONDS = 5;
   private static final int ACCEPT_BACKLOG = 256;
   private static final Attribute<PeerConnection> PEER_CONNECTION =
       Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("umberpath.peer-connection");
 
   private final TCPNIOTransport transport;
-  private PeerConnections connections;
+  private ConnectionManager connectionManager;
   private TCPNIOServerConnection server;
 
   /** Creates an endpoint in plain text or, if a context is given, with mutual TLS. */
-  GrizzlyEndpoint(Optional<ReloadingTls> tls) {
+  GrizzlyEndpoint(Optional<ReloadingTlsContext> tls) {
     FilterChainBuilder chain = FilterChainBuilder.stateless().add(new TransportFilter());
     tls.ifPresent(context -> chain.add(context.filter()));
     chain.add(new FrameFilter());
@@ -62,7 +62,7 @@
             .setName("umberpath-transport")
             .setIOStrategy(SameThreadIOStrategy.getInstance())
             .setSelectorRunnersCount(1)
-            .setSelectorThreadPoolConfig(selectorThreads())
+            .setSelectorThreadPoolConfig(selectorThreadPool())
             .setWorkerThreadPoolConfig(null)
             .setMemoryManager(new HeapMemoryManager())
             .setReadBufferSize(READ_BUFFER_BYTES)
@@ -73,7 +73,7 @@
             .build();
   }
 
-  private static ThreadPoolConfig selectorThreads() {
+  private static ThreadPoolConfig selectorThreadPool() {
     return ThreadPoolConfig.defaultConfig()
         .setPoolName("umberpath-transport")
         .setCorePoolSize(1)
@@ -88,8 +88,8 @@
     return new PeerAddress(listen.host(), port);
   }
 
-  void start(PeerConnections owner) throws IOException {
-    connections = owner;
+  void start(ConnectionManager manager) throws IOException {
+    connectionManager = manager;
     transport.start();
   }
 
@@ -100,11 +100,11 @@
   void close() {
     try {
       if (server != null) {
-        server.close().get(CLOSE_SECONDS, TimeUnit.SECONDS);
+        server.close().get(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
       }
-      ExecutorService selectorThread = transport.getKernelThreadPool();
+      ExecutorService selectorExecutor = transport.getKernelThreadPool();
       transport.shutdownNow();
-      awaitEnd(selectorThread);
+      awaitTermination(selectorExecutor);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } catch (IOException | ExecutionException | TimeoutException e) {
@@ -112,9 +112,10 @@
     }
   }
 
-  private static void awaitEnd(ExecutorService selectorThread) throws InterruptedException {
-    if (selectorThread != null
-        && !selectorThread.awaitTermination(CLOSE_SECONDS, TimeUnit.SECONDS)) {
+  private static void awaitTermination(ExecutorService selectorExecutor)
+      throws InterruptedException {
+    if (selectorExecutor != null
+        && !selectorExecutor.awaitTermination(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
       logger.atWarning().log("The transport's selector thread did not end; its port may be taken");
     }
   }
@@ -122,62 +123,63 @@
   @Override
   public void dial(PeerAddress peer, PeerConnection connection) {
     SocketConnectorHandler connector = TCPNIOConnectorHandler.builder(transport).build();
-    connector.connect(new InetSocketAddress(peer.host(), peer.port()), new DialResult(connection));
+    connector.connect(
+        new InetSocketAddress(peer.host(), peer.port()), new ConnectHandler(connection));
   }
 
   private void attach(Connection<?> socket, PeerConnection connection) {
     PEER_CONNECTION.set(socket, connection);
-    socket.closeFuture().addCompletionHandler(new CloseOutcome(connection));
+    socket.closeFuture().addCompletionHandler(new CloseHandler(connection));
   }
 
   /** Reports the result of one attempt; Grizzly's connector declares the raw type. */
   @SuppressWarnings("rawtypes")
-  private final class DialResult extends EmptyCompletionHandler<Connection> {
+  private final class ConnectHandler extends EmptyCompletionHandler<Connection> {
     private final PeerConnection connection;
 
-    DialResult(PeerConnection connection) {
+    ConnectHandler(PeerConnection connection) {
       this.connection = connection;
     }
 
     @Override
     public void completed(Connection socket) {
       attach(socket, connection);
-      connections.onConnected(connection, new GrizzlySocket(socket));
+      connectionManager.onConnected(connection, new GrizzlySocket(socket));
     }
 
     @Override
     public void failed(Throwable cause) {
-      connections.onConnectFailed(connection, String.valueOf(cause.getMessage()));
+      connectionManager.onConnectFailed(connection, String.valueOf(cause.getMessage()));
     }
 
     @Override
     public void cancelled() {
-      connections.onConnectFailed(connection, "cancelled");
+      connectionManager.onConnectFailed(connection, "cancelled");
     }
   }
 
   /** Reports that a connection was closed by either side. */
-  private final class CloseOutcome extends EmptyCompletionHandler<CloseReason> {
+  private final class CloseHandler extends EmptyCompletionHandler<CloseReason> {
     private final PeerConnection connection;
 
-    CloseOutcome(PeerConnection connection) {
+    CloseHandler(PeerConnection connection) {
       this.connection = connection;
     }
 
     @Override
     public void completed(CloseReason reason) {
       if (reason.getCause() instanceof SSLException failure) {
-        connections.fail(
+        connectionManager.fail(
             connection,
             new TransportError(
                 TransportFault.TLS_HANDSHAKE_FAILED, String.valueOf(failure.getMessage())));
       }
-      connections.onSocketClosed(connection);
+      connectionManager.onSocketClosed(connection);
     }
 
     @Override
     public void failed(Throwable cause) {
-      connections.onSocketClosed(connection);
+      connectionManager.onSocketClosed(connection);
     }
   }
 
@@ -186,7 +188,7 @@
     @Override
     public NextAction handleAccept(FilterChainContext context) {
       Connection<?> socket = context.getConnection();
-      Optional<PeerConnection> accepted = connections.onAccepted(new GrizzlySocket(socket));
+      Optional<PeerConnection> accepted = connectionManager.onAccepted(new GrizzlySocket(socket));
       accepted.ifPresent(connection -> attach(socket, connection));
       return context.getInvokeAction();
     }
@@ -196,14 +198,14 @@
       Buffer buffer = context.getMessage();
       PeerConnection connection = PEER_CONNECTION.get(context.getConnection());
       if (connection != null) {
-        connections.onBytes(connection, buffer.toByteBuffer());
+        connectionManager.onBytes(connection, buffer.toByteBuffer());
       }
       buffer.tryDispose();
       return context.getStopAction();
     }
   }
 
-  /** A Grizzly connection as {@link PeerConnections} sees it. */
+  /** A Grizzly connection as {@link ConnectionManager} sees it. */
   private final class GrizzlySocket implements PeerConnection.Socket {
     private final Connection<?> socket;
 
@@ -213,14 +215,14 @@
 
     @Override
     public void write(List<byte[]> frames, Runnable onWritten) {
-      write(socket, gather(frames), onWritten);
+      write(socket, toBuffer(frames), onWritten);
     }
 
     private <L> void write(Connection<L> target, Buffer buffer, Runnable onWritten) {
-      target.write(buffer, new WriteOutcome<>(target, onWritten));
+      target.write(buffer, new WriteHandler<>(target, onWritten));
     }
 
-    private Buffer gather(List<byte[]> frames) {
+    private Buffer toBuffer(List<byte[]> frames) {
       MemoryManager<?> memory = socket.getMemoryManager();
       List<Buffer> buffers = new ArrayList<>();
       frames.forEach(frame -> buffers.add(Buffers.wrap(memory, frame)));
@@ -241,11 +243,11 @@
   }
 
   /** Reports that a write has been taken, or ends its connection. */
-  private final class WriteOutcome<L> extends EmptyCompletionHandler<WriteResult<Buffer, L>> {
+  private final class WriteHandler<L> extends EmptyCompletionHandler<WriteResult<Buffer, L>> {
     private final Connection<L> socket;
     private final Runnable onWritten;
 
-    WriteOutcome(Connection<L> socket, Runnable onWritten) {
+    WriteHandler(Connection<L> socket, Runnable onWritten) {
       this.socket = socket;
       this.onWritten = onWritten;
     }
--- a/umberpath-transport/src/main/java/io/umberpath/transport/GrizzlyTransport.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/GrizzlyTransport.java
@@ -4,7 +4,7 @@
 import com.google.common.net.InetAddresses;
 import io.umberpath.control.ControlMessage;
 import io.umberpath.model.PeerAddress;
-import io.umberpath.transport.tls.ReloadingTls;
+import io.umberpath.transport.tls.ReloadingTlsContext;
 import io.vavr.control.Either;
 import java.io.IOException;
 import java.util.Map;
@@ -17,24 +17,24 @@
  * Control messages over TCP with Grizzly. Two threads: Grizzly's selector, which delivers messages,
  * and a timer. A sender encodes and, where the socket takes it at once, writes on its own thread;
  * it never waits. A message that is not delivered is followed by {@link Listener#onUnreachable} or
- * counted in {@link #faults}.
+ * counted in {@link #faultReporter}.
  */
 public final class GrizzlyTransport implements Transport {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-  private static final long SWEEP_MILLIS = 200;
-  private static final int MAX_KEPT_BYTES = 256 << 10;
-  private static final long RELOAD_MILLIS = 1_000;
+  private static final long SWEEP_INTERVAL_MILLIS = 200;
+  private static final int MAX_CACHED_FRAME_BYTES = 256 << 10;
+  private static final long TLS_RELOAD_INTERVAL_MILLIS = 1_000;
 
   private final TransportSettings settings;
   private final MessageCodec<ControlMessage> codec;
   private final TransportCounters counters = new TransportCounters();
-  private final FaultReporter faults = new FaultReporter(counters);
+  private final FaultReporter faultReporter = new FaultReporter(counters);
   private GrizzlyEndpoint endpoint;
-  private Optional<ReloadingTls> tls = Optional.empty();
+  private Optional<ReloadingTlsContext> tls = Optional.empty();
   private ScheduledExecutorService timer;
   private PeerAddress address;
-  private volatile PeerConnections connections;
-  private volatile Encoded lastEncoded;
+  private volatile ConnectionManager connectionManager;
+  private volatile EncodedMessage lastEncoded;
 
   /** Creates a transport that listens on nothing yet. */
   public GrizzlyTransport(TransportSettings settings, MessageCodec<ControlMessage> codec) {
@@ -51,9 +51,9 @@
    */
   public synchronized PeerAddress bind() throws IOException {
     if (address == null) {
-      requireAllowed(settings.listen());
+      requireAllowedAddress(settings.listen());
       if (settings.security() instanceof TransportSecurity.MutualTls mutualTls) {
-        tls = Optional.of(ReloadingTls.load(mutualTls));
+        tls = Optional.of(ReloadingTlsContext.load(mutualTls));
       }
       endpoint = new GrizzlyEndpoint(tls);
       address = endpoint.bind(settings.listen());
@@ -64,16 +64,16 @@
   @Override
   public synchronized void start(Listener listener) throws IOException {
     PeerAddress self = bind();
-    PeerConnections owner =
-        new PeerConnections(
+    ConnectionManager manager =
+        new ConnectionManager(
             settings,
             self,
             endpoint,
-            new Delivery(listener),
+            new DecodingReceiver(listener),
             counters,
             () -> TimeUnit.NANOSECONDS.toMillis(System.nanoTime()));
-    connections = owner;
-    endpoint.start(owner);
+    connectionManager = manager;
+    endpoint.start(manager);
     timer =
         Executors.newSingleThreadScheduledExecutor(
             task -> {
@@ -81,11 +81,12 @@
               thread.setDaemon(true);
               return thread;
             });
-    repeat(owner::sweep, SWEEP_MILLIS);
-    tls.ifPresent(context -> repeat(() -> reload(context), RELOAD_MILLIS));
+    scheduleRepeatedly(manager::sweep, SWEEP_INTERVAL_MILLIS);
+    tls.ifPresent(
+        context -> scheduleRepeatedly(() -> reloadTls(context), TLS_RELOAD_INTERVAL_MILLIS));
   }
 
-  private void repeat(Runnable task, long intervalMillis) {
+  private void scheduleRepeatedly(Runnable task, long intervalMillis) {
     Runnable guarded =
         () -> {
           try {
@@ -97,10 +98,10 @@
     timer.scheduleWithFixedDelay(guarded, intervalMillis, intervalMillis, TimeUnit.MILLISECONDS);
   }
 
-  private void reload(ReloadingTls context) {
+  private void reloadTls(ReloadingTlsContext context) {
     Either<String, Boolean> reloaded = context.reload();
     if (reloaded.isLeft()) {
-      faults.report(
+      faultReporter.report(
           new TransportError(TransportFault.TLS_RELOAD_FAILED, reloaded.getLeft()), "self");
     } else if (reloaded.get()) {
       logger.atInfo().log("Changed certificate files are in use for new connections");
@@ -109,52 +110,52 @@
 
   @Override
   public void send(PeerAddress to, ControlMessage message) {
-    PeerConnections owner = connections;
-    if (owner == null) {
+    ConnectionManager manager = connectionManager;
+    if (manager == null) {
       throw new IllegalStateException("the transport is not started");
     }
     byte[] frame = encode(message);
-    Optional<TransportError> refused = refusal(to, frame.length);
+    Optional<TransportError> refused = checkSendable(to, frame.length);
     if (refused.isPresent()) {
-      faults.report(refused.get(), to.toString());
-    } else if (!owner.send(to, frame)) {
-      faults.report(
+      faultReporter.report(refused.get(), to.toString());
+    } else if (!manager.send(to, frame)) {
+      faultReporter.report(
           new TransportError(TransportFault.SEND_QUEUE_FULL, "message dropped"), to.toString());
     }
   }
 
   /** Encodes a message once that is sent to several peers in a row. */
   private byte[] encode(ControlMessage message) {
-    Encoded last = lastEncoded;
+    EncodedMessage last = lastEncoded;
     if (last == null || last.message() != message) {
-      last = new Encoded(message, Frame.encode(FrameKind.MESSAGE, codec.encode(message)));
-      lastEncoded = last.frame().length <= MAX_KEPT_BYTES ? last : null;
+      last = new EncodedMessage(message, Frame.encode(FrameKind.MESSAGE, codec.encode(message)));
+      lastEncoded = last.frame().length <= MAX_CACHED_FRAME_BYTES ? last : null;
     }
     return last.frame();
   }
 
-  private record Encoded(ControlMessage message, byte[] frame) {}
+  private record EncodedMessage(ControlMessage message, byte[] frame) {}
 
-  private Optional<TransportError> refusal(PeerAddress to, int frameBytes) {
+  private Optional<TransportError> checkSendable(PeerAddress to, int frameBytes) {
     if (frameBytes > settings.limits().maxFrameBytes()) {
-      return refused("frame of " + frameBytes + " bytes is over the limit");
+      return refusedMessage("frame of " + frameBytes + " bytes is over the limit");
     }
     if (to.equals(address)) {
-      return refused("the address is this node's own");
+      return refusedMessage("the address is this node's own");
     }
     try {
-      requireAllowed(to);
+      requireAllowedAddress(to);
       return Optional.empty();
     } catch (IOException e) {
-      return refused(e.getMessage());
+      return refusedMessage(e.getMessage());
     }
   }
 
-  private static Optional<TransportError> refused(String detail) {
+  private static Optional<TransportError> refusedMessage(String detail) {
     return Optional.of(new TransportError(TransportFault.REFUSED_MESSAGE, detail));
   }
 
-  private void requireAllowed(PeerAddress peer) throws IOException {
+  private void requireAllowedAddress(PeerAddress peer) throws IOException {
     if (!InetAddresses.isInetAddress(peer.host())) {
       throw new IOException("host '" + peer.host() + "' is not an IP address");
     }
@@ -166,7 +167,7 @@
 
   @Override
   public void disconnect(PeerAddress peer) {
-    connections.disconnect(peer);
+    connectionManager.disconnect(peer);
   }
 
   @Override
@@ -181,8 +182,8 @@
 
   /** Open connections and attempts, in both directions. */
   public int connections() {
-    PeerConnections owner = connections;
-    return owner == null ? 0 : owner.count();
+    ConnectionManager manager = connectionManager;
+    return manager == null ? 0 : manager.connectionCount();
   }
 
   @Override
@@ -190,8 +191,8 @@
     if (timer != null) {
       timer.shutdownNow();
     }
-    if (connections != null) {
-      connections.close();
+    if (connectionManager != null) {
+      connectionManager.close();
     }
     if (endpoint != null) {
       endpoint.close();
@@ -199,10 +200,10 @@
   }
 
   /** Decodes payloads for the listener. */
-  private final class Delivery implements PeerConnections.Receiver {
+  private final class DecodingReceiver implements ConnectionManager.PayloadReceiver {
     private final Listener listener;
 
-    Delivery(Listener listener) {
+    DecodingReceiver(Listener listener) {
       this.listener = listener;
     }
 
--- a/umberpath-transport/src/main/java/io/umberpath/transport/Handshake.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/Handshake.java
@@ -11,51 +11,52 @@
 
   private final MessageCodec<Hello> codec = new MessageCodec<>(Hello.class);
   private final PeerAddress self;
-  private final byte[] frame;
+  private final byte[] helloFrame;
 
   Handshake(PeerAddress self, long incarnation) {
     this.self = self;
     Hello hello = new Hello(Frame.PROTOCOL_VERSION, self, incarnation);
-    this.frame = Frame.encode(FrameKind.HELLO, codec.encode(hello));
+    this.helloFrame = Frame.encode(FrameKind.HELLO, codec.encode(hello));
   }
 
   /** The encoded hello of this node. */
-  byte[] frame() {
-    return frame;
+  byte[] helloFrame() {
+    return helloFrame;
   }
 
   /** The other side's hello, or why it ends the connection. */
-  Either<TransportError, Hello> read(PeerConnection connection, byte[] payload) {
+  Either<TransportError, Hello> readHello(PeerConnection connection, byte[] payload) {
     if (connection.isEstablished()) {
-      return refused("second hello");
+      return badHello("second hello");
     }
     return codec
         .decode(payload)
         .mapLeft(error -> new TransportError(TransportFault.BAD_HELLO, error.detail()))
-        .flatMap(hello -> check(connection, hello));
+        .flatMap(hello -> validate(connection, hello));
   }
 
-  private Either<TransportError, Hello> check(PeerConnection connection, Hello hello) {
-    PeerAddress named = hello.listening();
+  private Either<TransportError, Hello> validate(PeerConnection connection, Hello hello) {
+    PeerAddress listenAddress = hello.listenAddress();
     if (hello.protocolVersion() != Frame.PROTOCOL_VERSION) {
-      return refused("protocolVersion " + hello.protocolVersion());
+      return badHello("protocolVersion " + hello.protocolVersion());
     }
-    if (named.port() < 1
-        || named.port() > PeerAddress.MAX_PORT
-        || named.host() == null
-        || !InetAddresses.isInetAddress(named.host())) {
-      return refused("listening address is not an IP address and port");
+    if (listenAddress.port() < 1
+        || listenAddress.port() > PeerAddress.MAX_PORT
+        || listenAddress.host() == null
+        || !InetAddresses.isInetAddress(listenAddress.host())) {
+      return badHello("listening address is not an IP address and port");
     }
-    if (named.equals(self)) {
-      return refused("listening address " + named + " is this node's own");
+    if (listenAddress.equals(self)) {
+      return badHello("listening address " + listenAddress + " is this node's own");
     }
-    if (connection.isOutbound() && !named.equals(connection.dialled.get())) {
-      return refused("dialled " + connection.dialled.get() + ", answered as " + named);
+    if (connection.isOutbound() && !listenAddress.equals(connection.dialledAddress.get())) {
+      return badHello(
+          "dialled " + connection.dialledAddress.get() + ", answered as " + listenAddress);
     }
     return Either.right(hello);
   }
 
-  private static Either<TransportError, Hello> refused(String detail) {
+  private static Either<TransportError, Hello> badHello(String detail) {
     return Either.left(new TransportError(TransportFault.BAD_HELLO, detail));
   }
 }
--- a/umberpath-transport/src/main/java/io/umberpath/transport/Hello.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/Hello.java
@@ -6,7 +6,7 @@
  * The first frame in each direction.
  *
  * @param protocolVersion protocol version of the sender
- * @param listening where the sender listens; its identity
+ * @param listenAddress where the sender listens; its identity
  * @param incarnation tells successive processes at one address apart
  */
-record Hello(int protocolVersion, PeerAddress listening, long incarnation) {}
+record Hello(int protocolVersion, PeerAddress listenAddress, long incarnation) {}
--- a/umberpath-transport/src/main/java/io/umberpath/transport/MessageCodec.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/MessageCodec.java
@@ -87,8 +87,8 @@
   public Either<TransportError, T> decode(byte[] payload) {
     try {
       T value = reader.readValue(payload);
-      return NullCheck.firstNull(value)
-          .<Either<TransportError, T>>map(place -> malformed(place + " is null or missing"))
+      return NullCheck.findFirstNull(value)
+          .<Either<TransportError, T>>map(path -> malformed(path + " is null or missing"))
           .orElseGet(() -> Either.right(value));
     } catch (InvalidTypeIdException e) {
       return e.getTypeId() == null ? malformed("no message type") : unknownType(e.getTypeId());
@@ -100,9 +100,9 @@
   }
 
   private static <T> Either<TransportError, T> unknownType(String typeId) {
-    String shown = typeId.substring(0, Math.min(typeId.length(), MAX_NAME_LENGTH));
+    String truncatedId = typeId.substring(0, Math.min(typeId.length(), MAX_NAME_LENGTH));
     return Either.left(
-        new TransportError(TransportFault.UNKNOWN_MESSAGE_TYPE, "type '" + shown + "'"));
+        new TransportError(TransportFault.UNKNOWN_MESSAGE_TYPE, "type '" + truncatedId + "'"));
   }
 
   private static <T> Either<TransportError, T> malformed(String detail) {
--- a/umberpath-transport/src/main/java/io/umberpath/transport/NullCheck.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/NullCheck.java
@@ -16,47 +16,47 @@
         protected List<Method> computeValue(Class<?> type) {
           return Stream.of(type.getRecordComponents())
               .filter(component -> !component.getType().isPrimitive())
-              .map(NullCheck::accessible)
+              .map(NullCheck::accessibleAccessor)
               .toList();
         }
       };
 
   private NullCheck() {}
 
-  private static Method accessible(RecordComponent component) {
+  private static Method accessibleAccessor(RecordComponent component) {
     Method accessor = component.getAccessor();
     accessor.setAccessible(true);
     return accessor;
   }
 
   /** The place of the first null below and including a value, if there is one. */
-  static Optional<String> firstNull(Object value) {
-    return firstNull(value, "the value");
+  static Optional<String> findFirstNull(Object value) {
+    return findFirstNull(value, "the value");
   }
 
-  private static Optional<String> firstNull(Object value, String place) {
+  private static Optional<String> findFirstNull(Object value, String path) {
     if (value == null) {
-      return Optional.of(place);
+      return Optional.of(path);
     }
     if (value instanceof Record part) {
-      return inRecord(part);
+      return findInRecord(part);
     }
     if (value instanceof Iterable<?> elements) {
-      return inElements(elements, place);
+      return findInElements(elements, path);
     }
     if (value instanceof Map<?, ?> map) {
-      return inElements(map.values(), place);
+      return findInElements(map.values(), path);
     }
     if (value instanceof Optional<?> optional) {
-      return optional.flatMap(content -> firstNull(content, place));
+      return optional.flatMap(content -> findFirstNull(content, path));
     }
     return Optional.empty();
   }
 
-  private static Optional<String> inRecord(Record value) {
+  private static Optional<String> findInRecord(Record value) {
     for (Method accessor : ACCESSORS.get(value.getClass())) {
-      String place = value.getClass().getSimpleName() + "." + accessor.getName();
-      Optional<String> found = firstNull(read(accessor, value), place);
+      String path = value.getClass().getSimpleName() + "." + accessor.getName();
+      Optional<String> found = findFirstNull(invokeAccessor(accessor, value), path);
       if (found.isPresent()) {
         return found;
       }
@@ -64,9 +64,9 @@
     return Optional.empty();
   }
 
-  private static Optional<String> inElements(Iterable<?> elements, String place) {
+  private static Optional<String> findInElements(Iterable<?> elements, String path) {
     for (Object element : elements) {
-      Optional<String> found = firstNull(element, place + " element");
+      Optional<String> found = findFirstNull(element, path + " element");
       if (found.isPresent()) {
         return found;
       }
@@ -74,7 +74,7 @@
     return Optional.empty();
   }
 
-  private static Object read(Method accessor, Record value) {
+  private static Object invokeAccessor(Method accessor, Record value) {
     try {
       return accessor.invoke(value);
     } catch (IllegalAccessException | InvocationTargetException e) {
--- a/umberpath-transport/src/main/java/io/umberpath/transport/Peer.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/Peer.java
@@ -16,10 +16,10 @@
   PeerConnection active;
 
   /** The attempt that is under way; null if there is none. */
-  PeerConnection attempt;
+  PeerConnection connectAttempt;
 
   /** No attempt before this time. */
-  long attemptNotBefore;
+  long nextAttemptMillis;
 
   boolean disconnectWhenEmpty;
 
@@ -29,14 +29,14 @@
     TransportSettings.Timeouts timeouts = settings.timeouts();
     this.queue = new SendQueue(limits.maxQueuedMessages(), limits.maxQueuedBytes());
     this.backoff = new Backoff(timeouts.minBackoffMillis(), timeouts.maxBackoffMillis());
-    this.attemptNotBefore = Long.MIN_VALUE;
+    this.nextAttemptMillis = Long.MIN_VALUE;
   }
 
   /**
    * The usable connection both sides prefer: of two directions, the one that the smaller address
    * dialled; of one direction, the newest.
    */
-  Optional<PeerConnection> preferred(PeerAddress self) {
+  Optional<PeerConnection> preferredConnection(PeerAddress self) {
     boolean preferOutbound = self.compareTo(address) < 0;
     PeerConnection best = null;
     for (PeerConnection candidate : established) {
@@ -53,7 +53,10 @@
   }
 
   /** Whether nothing would be lost by forgetting this peer. */
-  boolean isForgettable(long now) {
-    return established.isEmpty() && attempt == null && queue.isEmpty() && now >= attemptNotBefore;
+  boolean isIdle(long nowMillis) {
+    return established.isEmpty()
+        && connectAttempt == null
+        && queue.isEmpty()
+        && nowMillis >= nextAttemptMillis;
   }
 }
--- a/umberpath-transport/src/main/java/io/umberpath/transport/PeerConnection.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/PeerConnection.java
@@ -8,11 +8,11 @@
 
 /**
  * One TCP connection, from the attempt to its end. Fields are guarded by {@link PeerTable#lock},
- * except {@code decoder}, which belongs to the thread that reads, and {@code drains}.
+ * except {@code decoder}, which belongs to the thread that reads, and {@code flushRequests}.
  */
 final class PeerConnection {
   /** The address dialled; empty for an accepted connection. */
-  final Optional<PeerAddress> dialled;
+  final Optional<PeerAddress> dialledAddress;
 
   final FrameDecoder decoder;
 
@@ -20,42 +20,42 @@
   final ArrayDeque<byte[]> controlFrames = new ArrayDeque<>();
 
   /** Counts requests to write, so that one thread at a time does it, without recursion. */
-  final AtomicInteger drains = new AtomicInteger();
+  final AtomicInteger flushRequests = new AtomicInteger();
 
   /** The socket; null until the attempt has succeeded. */
   Socket socket;
 
   /** The peer's hello; null until it has arrived. */
-  Hello remote;
+  Hello remoteHello;
 
-  long openedAt;
-  long receivedAt;
-  long writtenAt;
-  boolean writing;
+  long openedMillis;
+  long lastReceivedMillis;
+  long lastWriteMillis;
+  boolean writeInProgress;
   boolean goodbyeQueued;
   boolean goodbyeWritten;
   boolean goodbyeReceived;
   boolean closed;
 
-  PeerConnection(Optional<PeerAddress> dialled, int maxHelloBytes, long now) {
-    this.dialled = dialled;
+  PeerConnection(Optional<PeerAddress> dialledAddress, int maxHelloBytes, long nowMillis) {
+    this.dialledAddress = dialledAddress;
     this.decoder = new FrameDecoder(maxHelloBytes);
-    this.openedAt = now;
-    this.receivedAt = now;
-    this.writtenAt = now;
+    this.openedMillis = nowMillis;
+    this.lastReceivedMillis = nowMillis;
+    this.lastWriteMillis = nowMillis;
   }
 
   boolean isOutbound() {
-    return dialled.isPresent();
+    return dialledAddress.isPresent();
   }
 
   boolean isEstablished() {
-    return remote != null;
+    return remoteHello != null;
   }
 
   /** Whether both sides may still send messages on it. */
   boolean isUsable() {
-    return remote != null && !closed && !goodbyeQueued && !goodbyeReceived;
+    return remoteHello != null && !closed && !goodbyeQueued && !goodbyeReceived;
   }
 
   /** Queues the last frame of this side. */
@@ -65,27 +65,33 @@
   }
 
   /** Whether a ping is due, so that the other side does not take this one for gone. */
-  boolean isQuiet(long now, long pingMillis) {
-    return isUsable() && !writing && controlFrames.isEmpty() && now - writtenAt >= pingMillis;
+  boolean needsPing(long nowMillis, long pingIntervalMillis) {
+    return isUsable()
+        && !writeInProgress
+        && controlFrames.isEmpty()
+        && nowMillis - lastWriteMillis >= pingIntervalMillis;
   }
 
   /** The timeout that has passed, if any. */
-  Optional<TransportError> overdue(long now, TransportSettings.Timeouts timeouts) {
+  Optional<TransportError> findExpiredTimeout(long nowMillis, TransportSettings.Timeouts timeouts) {
     if (closed) {
       return Optional.empty();
     }
     if (!isEstablished()) {
-      return overdue(TransportFault.CONNECT_TIMEOUT, now - openedAt, timeouts.connectMillis());
+      return findExpiredTimeout(
+          TransportFault.CONNECT_TIMEOUT, nowMillis - openedMillis, timeouts.connectMillis());
     }
-    if (writing && now - writtenAt >= timeouts.stallMillis()) {
-      return overdue(TransportFault.STALLED_PEER, now - writtenAt, timeouts.stallMillis());
+    if (writeInProgress && nowMillis - lastWriteMillis >= timeouts.stallMillis()) {
+      return findExpiredTimeout(
+          TransportFault.STALLED_PEER, nowMillis - lastWriteMillis, timeouts.stallMillis());
     }
-    return overdue(TransportFault.SILENT_PEER, now - receivedAt, timeouts.silenceMillis());
+    return findExpiredTimeout(
+        TransportFault.SILENT_PEER, nowMillis - lastReceivedMillis, timeouts.silenceMillis());
   }
 
-  private static Optional<TransportError> overdue(
-      TransportFault fault, long passedMillis, long limitMillis) {
-    if (passedMillis < limitMillis) {
+  private static Optional<TransportError> findExpiredTimeout(
+      TransportFault fault, long elapsedMillis, long limitMillis) {
+    if (elapsedMillis < limitMillis) {
       return Optional.empty();
     }
     return Optional.of(new TransportError(fault, "more than " + limitMillis + " ms"));
@@ -93,10 +99,10 @@
 
   /** For logs: the best name known for the other side. */
   String describe() {
-    if (remote != null) {
-      return remote.listening().toString();
+    if (remoteHello != null) {
+      return remoteHello.listenAddress().toString();
     }
-    return dialled.map(PeerAddress::toString).orElse("unnamed");
+    return dialledAddress.map(PeerAddress::toString).orElse("unnamed");
   }
 
   /** What the owner needs of a TCP connection. */
--- a/umberpath-transport/src/main/java/io/umberpath/transport/PeerTable.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/PeerTable.java
@@ -28,34 +28,34 @@
     this.self = self;
   }
 
-  Peer peer(PeerAddress address) {
+  Peer getOrCreatePeer(PeerAddress address) {
     return peers.computeIfAbsent(address, key -> new Peer(key, settings));
   }
 
   /** Adds a connection whose hello has been checked. */
   Peer establish(PeerConnection connection, Hello hello) {
-    Peer peer = peer(hello.listening());
-    connection.remote = hello;
-    connection.decoder.limitFrames(settings.limits().maxFrameBytes());
+    Peer peer = getOrCreatePeer(hello.listenAddress());
+    connection.remoteHello = hello;
+    connection.decoder.setMaxFrameBytes(settings.limits().maxFrameBytes());
     if (connection.isOutbound()) {
-      peer.attempt = null;
+      peer.connectAttempt = null;
     }
     peer.backoff.reset();
-    peer.attemptNotBefore = Long.MIN_VALUE;
+    peer.nextAttemptMillis = Long.MIN_VALUE;
     peer.established.add(connection);
     return peer;
   }
 
   /** Removes and returns the connections of other incarnations of the same peer. */
-  List<PeerConnection> removeFormerIncarnations(Peer peer, long incarnation) {
-    List<PeerConnection> former =
+  List<PeerConnection> removeStaleIncarnations(Peer peer, long incarnation) {
+    List<PeerConnection> stale =
         peer.established.stream()
-            .filter(connection -> connection.remote.incarnation() != incarnation)
+            .filter(connection -> connection.remoteHello.incarnation() != incarnation)
             .toList();
-    former.forEach(connection -> connection.closed = true);
-    peer.established.removeAll(former);
-    connections.removeAll(former);
-    return former;
+    stale.forEach(connection -> connection.closed = true);
+    peer.established.removeAll(stale);
+    connections.removeAll(stale);
+    return stale;
   }
 
   /**
@@ -63,8 +63,8 @@
    *
    * @return connections that have something to write
    */
-  List<PeerConnection> choose(Peer peer) {
-    peer.active = peer.preferred(self).orElse(null);
+  List<PeerConnection> selectActive(Peer peer) {
+    peer.active = peer.preferredConnection(self).orElse(null);
     List<PeerConnection> retired =
         peer.established.stream()
             .filter(other -> other != peer.active && !other.goodbyeQueued)
@@ -74,41 +74,41 @@
   }
 
   /** Begins an attempt if frames wait, none is under way and the backoff has passed. */
-  Optional<PeerConnection> beginAttempt(Peer peer, long now) {
-    boolean needed = peer.active == null && peer.attempt == null && !peer.queue.isEmpty();
-    if (closed || !needed || now < peer.attemptNotBefore) {
+  Optional<PeerConnection> beginConnectAttempt(Peer peer, long nowMillis) {
+    boolean needed = peer.active == null && peer.connectAttempt == null && !peer.queue.isEmpty();
+    if (closed || !needed || nowMillis < peer.nextAttemptMillis) {
       return Optional.empty();
     }
     PeerConnection attempt =
-        new PeerConnection(Optional.of(peer.address), Handshake.MAX_HELLO_BYTES, now);
-    peer.attempt = attempt;
+        new PeerConnection(Optional.of(peer.address), Handshake.MAX_HELLO_BYTES, nowMillis);
+    peer.connectAttempt = attempt;
     connections.add(attempt);
     return Optional.of(attempt);
   }
 
   /** Removes an established connection; true if the peer lost the connection it was sent on. */
   boolean removeEstablished(PeerConnection connection) {
-    Peer peer = peer(connection.remote.listening());
+    Peer peer = getOrCreatePeer(connection.remoteHello.listenAddress());
     peer.established.remove(connection);
     return peer.active == connection;
   }
 
   /** Removes a failed attempt; true if the peer has no other connection. */
-  boolean removeAttempt(PeerConnection connection, long now) {
-    Peer peer = peer(connection.dialled.get());
-    peer.attempt = null;
-    peer.attemptNotBefore = now + peer.backoff.nextWaitMillis();
+  boolean removeConnectAttempt(PeerConnection connection, long nowMillis) {
+    Peer peer = getOrCreatePeer(connection.dialledAddress.get());
+    peer.connectAttempt = null;
+    peer.nextAttemptMillis = nowMillis + peer.backoff.nextDelayMillis();
     return peer.active == null;
   }
 
   /** Drops what waits for a peer that is out of reach. */
-  void drop(Peer peer) {
+  void discardPending(Peer peer) {
     peer.active = null;
     peer.queue.clear();
     peer.disconnectWhenEmpty = false;
   }
 
-  void forgetIdlePeers(long now) {
-    peers.values().removeIf(peer -> peer.isForgettable(now));
+  void removeIdlePeers(long nowMillis) {
+    peers.values().removeIf(peer -> peer.isIdle(nowMillis));
   }
 }
--- a/umberpath-transport/src/main/java/io/umberpath/transport/RecordDeserializer.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/RecordDeserializer.java
@@ -28,7 +28,7 @@
 
   private final transient RecordComponent[] components;
   private final transient Constructor<?> constructor;
-  private final transient List<JsonDeserializer<Object>> parts = new ArrayList<>();
+  private final transient List<JsonDeserializer<Object>> componentDeserializers = new ArrayList<>();
 
   private RecordDeserializer(Class<?> type) throws NoSuchMethodException {
     super(type);
@@ -41,13 +41,13 @@
 
   /** Makes every record decode this way. */
   static SimpleModule module() {
-    return new SimpleModule().setDeserializerModifier(new Modifier());
+    return new SimpleModule().setDeserializerModifier(new RecordDeserializerModifier());
   }
 
   @Override
   public void resolve(DeserializationContext context) throws JsonMappingException {
     for (RecordComponent component : components) {
-      parts.add(
+      componentDeserializers.add(
           context.findRootValueDeserializer(context.constructType(component.getGenericType())));
     }
   }
@@ -59,7 +59,7 @@
     }
     Object[] values = new Object[components.length];
     for (int index = 0; index < values.length; index++) {
-      values[index] = component(index, parser, context);
+      values[index] = readComponent(index, parser, context);
     }
     if (parser.nextToken() != JsonToken.END_ARRAY) {
       return context.reportInputMismatch(this, "more than %d components", values.length);
@@ -67,7 +67,7 @@
     return construct(values, context);
   }
 
-  private Object component(int index, JsonParser parser, DeserializationContext context)
+  private Object readComponent(int index, JsonParser parser, DeserializationContext context)
       throws IOException {
     JsonToken token = parser.nextToken();
     if (token == JsonToken.END_ARRAY) {
@@ -75,8 +75,8 @@
     }
     try {
       return token == JsonToken.VALUE_NULL
-          ? parts.get(index).getNullValue(context)
-          : parts.get(index).deserialize(parser, context);
+          ? componentDeserializers.get(index).getNullValue(context)
+          : componentDeserializers.get(index).deserialize(parser, context);
     } catch (JsonMappingException e) {
       e.prependPath(handledType(), components[index].getName());
       throw e;
@@ -94,14 +94,14 @@
   }
 
   /** Replaces the decoders of records. */
-  private static final class Modifier extends BeanDeserializerModifier {
+  private static final class RecordDeserializerModifier extends BeanDeserializerModifier {
     private static final long serialVersionUID = 1L;
 
     @Override
     public JsonDeserializer<?> modifyDeserializer(
-        DeserializationConfig config, BeanDescription type, JsonDeserializer<?> former) {
+        DeserializationConfig config, BeanDescription type, JsonDeserializer<?> original) {
       if (!type.getBeanClass().isRecord()) {
-        return former;
+        return original;
       }
       try {
         return new RecordDeserializer(type.getBeanClass());
--- a/umberpath-transport/src/main/java/io/umberpath/transport/SendQueue.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/SendQueue.java
@@ -9,7 +9,7 @@
   private final int maxMessages;
   private final long maxBytes;
   private final ArrayDeque<byte[]> frames = new ArrayDeque<>();
-  private long bytes;
+  private long queuedBytes;
 
   SendQueue(int maxMessages, long maxBytes) {
     this.maxMessages = maxMessages;
@@ -18,24 +18,26 @@
 
   /** Adds a frame unless the queue is full; an empty queue takes any frame. */
   boolean offer(byte[] frame) {
-    if (!frames.isEmpty() && (frames.size() >= maxMessages || bytes + frame.length > maxBytes)) {
+    if (!frames.isEmpty()
+        && (frames.size() >= maxMessages || queuedBytes + frame.length > maxBytes)) {
       return false;
     }
     frames.add(frame);
-    bytes += frame.length;
+    queuedBytes += frame.length;
     return true;
   }
 
   /** Removes frames from the head up to a number of bytes, but at least one if there is one. */
-  List<byte[]> poll(int batchBytes) {
+  List<byte[]> poll(int maxBatchBytes) {
     List<byte[]> batch = new ArrayList<>();
-    long taken = 0;
-    while (!frames.isEmpty() && (batch.isEmpty() || taken + frames.peek().length <= batchBytes)) {
+    long polledBytes = 0;
+    while (!frames.isEmpty()
+        && (batch.isEmpty() || polledBytes + frames.peek().length <= maxBatchBytes)) {
       byte[] frame = frames.remove();
       batch.add(frame);
-      taken += frame.length;
+      polledBytes += frame.length;
     }
-    bytes -= taken;
+    queuedBytes -= polledBytes;
     return batch;
   }
 
@@ -45,6 +47,6 @@
 
   void clear() {
     frames.clear();
-    bytes = 0;
+    queuedBytes = 0;
   }
 }
--- a/umberpath-transport/src/main/java/io/umberpath/transport/TransportCounters.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/TransportCounters.java
@@ -10,29 +10,29 @@
   private final LongAdder receivedBytes = new LongAdder();
   private final LongAdder sentMessages = new LongAdder();
   private final LongAdder receivedMessages = new LongAdder();
-  private final Map<TransportFault, LongAdder> faults = new EnumMap<>(TransportFault.class);
+  private final Map<TransportFault, LongAdder> faultCounts = new EnumMap<>(TransportFault.class);
 
   TransportCounters() {
     for (TransportFault fault : TransportFault.values()) {
-      faults.put(fault, new LongAdder());
+      faultCounts.put(fault, new LongAdder());
     }
   }
 
-  void sent(long bytes, long messages) {
+  void addSent(long bytes, long messages) {
     sentBytes.add(bytes);
     sentMessages.add(messages);
   }
 
-  void received(long bytes) {
+  void addReceived(long bytes) {
     receivedBytes.add(bytes);
   }
 
-  void receivedMessage() {
+  void countReceivedMessage() {
     receivedMessages.increment();
   }
 
-  void fault(TransportFault fault) {
-    faults.get(fault).increment();
+  void countFault(TransportFault fault) {
+    faultCounts.get(fault).increment();
   }
 
   Transport.Traffic traffic() {
@@ -42,7 +42,7 @@
 
   Map<TransportFault, Long> faults() {
     Map<TransportFault, Long> counts = new EnumMap<>(TransportFault.class);
-    faults.forEach((fault, count) -> counts.put(fault, count.sum()));
+    faultCounts.forEach((fault, count) -> counts.put(fault, count.sum()));
     return counts;
   }
 }
--- a/umberpath-transport/src/main/java/io/umberpath/transport/tls/MutualTlsEngines.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/tls/MutualTlsEngineConfigurator.java
@@ -4,16 +4,16 @@
 import org.glassfish.grizzly.ssl.SSLEngineConfigurator;
 
 /** Makes engines from the newest context; both sides must show a certificate. */
-final class MutualTlsEngines extends SSLEngineConfigurator {
-  private static final String[] PROTOCOLS = {TlsContexts.PROTOCOL};
+final class MutualTlsEngineConfigurator extends SSLEngineConfigurator {
+  private static final String[] PROTOCOLS = {TlsContextLoader.PROTOCOL};
 
-  private final ReloadingTls tls;
-  private final boolean client;
+  private final ReloadingTlsContext tls;
+  private final boolean isClient;
 
-  MutualTlsEngines(ReloadingTls tls, boolean client) {
-    super(tls.context(), client, !client, !client);
+  MutualTlsEngineConfigurator(ReloadingTlsContext tls, boolean isClient) {
+    super(tls.context(), isClient, !isClient, !isClient);
     this.tls = tls;
-    this.client = client;
+    this.isClient = isClient;
   }
 
   @Override
@@ -28,9 +28,9 @@
 
   @Override
   public SSLEngine configure(SSLEngine engine) {
-    engine.setUseClientMode(client);
+    engine.setUseClientMode(isClient);
     engine.setEnabledProtocols(PROTOCOLS);
-    if (!client) {
+    if (!isClient) {
       engine.setNeedClientAuth(true);
     }
     return engine;
@@ -38,6 +38,6 @@
 
   @Override
   public SSLEngineConfigurator copy() {
-    return new MutualTlsEngines(tls, client);
+    return new MutualTlsEngineConfigurator(tls, isClient);
   }
 }
--- a/umberpath-transport/src/main/java/io/umberpath/transport/tls/PemFiles.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/tls/PemFiles.java
@@ -30,7 +30,8 @@
    *
    * @throws GeneralSecurityException if the file holds no certificate or a broken one
    */
-  static List<Certificate> certificates(Path file) throws IOException, GeneralSecurityException {
+  static List<Certificate> readCertificates(Path file)
+      throws IOException, GeneralSecurityException {
     byte[] content = Files.readAllBytes(file);
     List<Certificate> certificates =
         List.copyOf(
@@ -47,7 +48,7 @@
    *
    * @throws GeneralSecurityException if the file holds no such key
    */
-  static PrivateKey privateKey(Path file) throws IOException, GeneralSecurityException {
+  static PrivateKey readPrivateKey(Path file) throws IOException, GeneralSecurityException {
     Matcher matcher = PRIVATE_KEY.matcher(Files.readString(file, StandardCharsets.US_ASCII));
     if (!matcher.find()) {
       throw new GeneralSecurityException(file + " holds no PEM block PRIVATE KEY (PKCS #8)");
--- a/umberpath-transport/src/main/java/io/umberpath/transport/tls/ReloadingTls.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/tls/ReloadingTlsContext.java
@@ -16,14 +16,14 @@
  * The TLS context of the certificate files as they were when last loaded whole. Thread-safe; {@link
  * #reload} is called by one thread.
  */
-public final class ReloadingTls {
+public final class ReloadingTlsContext {
   private final MutualTls security;
-  private HashCode loadedContent;
+  private HashCode loadedContentHash;
   private volatile SSLContext context;
 
-  private ReloadingTls(MutualTls security, HashCode content, SSLContext context) {
+  private ReloadingTlsContext(MutualTls security, HashCode contentHash, SSLContext context) {
     this.security = security;
-    this.loadedContent = content;
+    this.loadedContentHash = contentHash;
     this.context = context;
   }
 
@@ -32,14 +32,14 @@
    *
    * @throws IOException if a file cannot be read or is not what it should be
    */
-  public static ReloadingTls load(MutualTls security) throws IOException {
-    HashCode content = contentOf(security);
-    Try<SSLContext> loaded = TlsContexts.load(security);
+  public static ReloadingTlsContext load(MutualTls security) throws IOException {
+    HashCode contentHash = hashContent(security);
+    Try<SSLContext> loaded = TlsContextLoader.load(security);
     if (loaded.isFailure()) {
       throw new IOException(
           "TLS files cannot be loaded: " + loaded.getCause().getMessage(), loaded.getCause());
     }
-    return new ReloadingTls(security, content, loaded.get());
+    return new ReloadingTlsContext(security, contentHash, loaded.get());
   }
 
   /** The context for new connections. */
@@ -49,7 +49,8 @@
 
   /** A filter that takes the newest context for each new connection, in either direction. */
   public SSLFilter filter() {
-    return new SSLFilter(new MutualTlsEngines(this, false), new MutualTlsEngines(this, true));
+    return new SSLFilter(
+        new MutualTlsEngineConfigurator(this, false), new MutualTlsEngineConfigurator(this, true));
   }
 
   /**
@@ -59,22 +60,22 @@
    *     reported once
    */
   public Either<String, Boolean> reload() {
-    Try<HashCode> content = Try.of(() -> contentOf(security));
-    if (content.isFailure()) {
-      return Either.left(String.valueOf(content.getCause()));
+    Try<HashCode> contentHash = Try.of(() -> hashContent(security));
+    if (contentHash.isFailure()) {
+      return Either.left(String.valueOf(contentHash.getCause()));
     }
-    if (content.get().equals(loadedContent)) {
+    if (contentHash.get().equals(loadedContentHash)) {
       return Either.right(false);
     }
-    loadedContent = content.get();
-    Try<SSLContext> loaded = TlsContexts.load(security);
+    loadedContentHash = contentHash.get();
+    Try<SSLContext> loaded = TlsContextLoader.load(security);
     loaded.forEach(next -> context = next);
     return loaded.toEither().mapLeft(String::valueOf).map(next -> true);
   }
 
-  private static HashCode contentOf(MutualTls security) throws IOException {
+  private static HashCode hashContent(MutualTls security) throws IOException {
     Hasher hasher = Hashing.sha256().newHasher();
-    for (Path file : TlsContexts.files(security)) {
+    for (Path file : TlsContextLoader.listFiles(security)) {
       byte[] content = Files.readAllBytes(file);
       hasher.putInt(content.length).putBytes(content);
     }
--- a/umberpath-transport/src/main/java/io/umberpath/transport/tls/TlsContexts.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/tls/TlsContextLoader.java
@@ -19,14 +19,14 @@
 import javax.net.ssl.TrustManagerFactory;
 
 /** Builds TLS contexts from files. */
-final class TlsContexts {
+final class TlsContextLoader {
   /** The one protocol that nodes speak. */
   static final String PROTOCOL = "TLSv1.3";
 
   private static final String KEY_STORE_TYPE = "PKCS12";
   private static final char[] IN_MEMORY_PASSWORD = {};
 
-  private TlsContexts() {}
+  private TlsContextLoader() {}
 
   /** Loads every file anew; the failure says which one is at fault. */
   static Try<SSLContext> load(MutualTls security) {
@@ -34,63 +34,64 @@
   }
 
   /** The files a context depends on. */
-  static List<Path> files(MutualTls security) {
+  static List<Path> listFiles(MutualTls security) {
     Identity identity = security.identity();
-    Stream<Path> own =
+    Stream<Path> identityFiles =
         identity instanceof PemIdentity pem
             ? Stream.of(pem.certificates(), pem.privateKey())
             : Stream.of(
                 ((Pkcs12Identity) identity).keyStore(), ((Pkcs12Identity) identity).passwordFile());
-    return Stream.concat(own, Stream.of(security.authorities())).toList();
+    return Stream.concat(identityFiles, Stream.of(security.authorities())).toList();
   }
 
   private static SSLContext create(MutualTls security)
       throws IOException, GeneralSecurityException {
     Identity identity = security.identity();
-    KeyManagerFactory keys =
-        identity instanceof PemIdentity pem ? fromPem(pem) : fromPkcs12((Pkcs12Identity) identity);
-    TrustManagerFactory trust =
+    KeyManagerFactory keyManagerFactory =
+        identity instanceof PemIdentity pem ? loadPem(pem) : loadPkcs12((Pkcs12Identity) identity);
+    TrustManagerFactory trustManagerFactory =
         TrustManagerFactory.getInstance(TrustManagerFactory.getDefaultAlgorithm());
-    trust.init(authorities(security.authorities()));
+    trustManagerFactory.init(loadAuthorities(security.authorities()));
     SSLContext context = SSLContext.getInstance(PROTOCOL);
-    context.init(keys.getKeyManagers(), trust.getTrustManagers(), null);
+    context.init(keyManagerFactory.getKeyManagers(), trustManagerFactory.getTrustManagers(), null);
     return context;
   }
 
-  private static KeyManagerFactory fromPem(PemIdentity pem)
+  private static KeyManagerFactory loadPem(PemIdentity pem)
       throws IOException, GeneralSecurityException {
-    Certificate[] chain = PemFiles.certificates(pem.certificates()).toArray(Certificate[]::new);
-    KeyStore store = emptyStore();
-    store.setKeyEntry("node", PemFiles.privateKey(pem.privateKey()), IN_MEMORY_PASSWORD, chain);
-    return keyManagers(store, IN_MEMORY_PASSWORD);
+    Certificate[] chain = PemFiles.readCertificates(pem.certificates()).toArray(Certificate[]::new);
+    KeyStore store = createEmptyKeyStore();
+    store.setKeyEntry("node", PemFiles.readPrivateKey(pem.privateKey()), IN_MEMORY_PASSWORD, chain);
+    return createKeyManagerFactory(store, IN_MEMORY_PASSWORD);
   }
 
-  private static KeyManagerFactory fromPkcs12(Pkcs12Identity identity)
+  private static KeyManagerFactory loadPkcs12(Pkcs12Identity identity)
       throws IOException, GeneralSecurityException {
     String password = Files.readString(identity.passwordFile()).lines().findFirst().orElse("");
     KeyStore store = KeyStore.getInstance(KEY_STORE_TYPE);
     try (InputStream input = Files.newInputStream(identity.keyStore())) {
       store.load(input, password.toCharArray());
     }
-    return keyManagers(store, password.toCharArray());
+    return createKeyManagerFactory(store, password.toCharArray());
   }
 
-  private static KeyManagerFactory keyManagers(KeyStore store, char[] password)
+  private static KeyManagerFactory createKeyManagerFactory(KeyStore store, char[] password)
       throws GeneralSecurityException {
-    KeyManagerFactory keys = KeyManagerFactory.getInstance(KeyManagerFactory.getDefaultAlgorithm());
-    keys.init(store, password);
-    return keys;
+    KeyManagerFactory keyManagerFactory =
+        KeyManagerFactory.getInstance(KeyManagerFactory.getDefaultAlgorithm());
+    keyManagerFactory.init(store, password);
+    return keyManagerFactory;
   }
 
-  private static KeyStore authorities(Path file) throws IOException, GeneralSecurityException {
-    KeyStore store = emptyStore();
-    for (Certificate certificate : PemFiles.certificates(file)) {
+  private static KeyStore loadAuthorities(Path file) throws IOException, GeneralSecurityException {
+    KeyStore store = createEmptyKeyStore();
+    for (Certificate certificate : PemFiles.readCertificates(file)) {
       store.setCertificateEntry("authority-" + store.size(), certificate);
     }
     return store;
   }
 
-  private static KeyStore emptyStore() throws IOException, GeneralSecurityException {
+  private static KeyStore createEmptyKeyStore() throws IOException, GeneralSecurityException {
     KeyStore store = KeyStore.getInstance(KEY_STORE_TYPE);
     store.load(null, IN_MEMORY_PASSWORD);
     return store;
--- a/umberpath-transport/src/test/java/io/umberpath/transport/ControlMessageCodecTest.java
+++ b/umberpath-transport/src/test/java/io/umberpath/transport/ControlMessageCodecTest.java
@@ -144,12 +144,12 @@
 
   @ParameterizedTest
   @MethodSource("messages")
-  void survivesTheWire(ControlMessage message) {
+  void everyMessageRoundTrips(ControlMessage message) {
     assertThat(codec.decode(codec.encode(message)).get()).isEqualTo(message);
   }
 
   @Test
-  void theTableCoversEveryMessage() {
+  void testDataCoversEveryMessageType() {
     Set<Class<?>> covered = messages().map(Object::getClass).collect(Collectors.toSet());
     Stream<Class<?>> known =
         Stream.of(ControlMessage.class.getAnnotation(JsonSubTypes.class).value())
@@ -163,8 +163,9 @@
   void missingComponentsAreRefused(ControlMessage message) throws Exception {
     Class<?> type = message.getClass();
     boolean mayBeEmpty = type.getRecordComponents().length == 0;
-    byte[] bare = new CBORMapper().writeValueAsBytes(List.of(typeName(type), List.of()));
-    assertThat(codec.decode(bare).isRight()).isEqualTo(mayBeEmpty);
+    byte[] withoutComponents =
+        new CBORMapper().writeValueAsBytes(List.of(typeName(type), List.of()));
+    assertThat(codec.decode(withoutComponents).isRight()).isEqualTo(mayBeEmpty);
   }
 
   private static String typeName(Class<?> type) {
--- a/umberpath-transport/src/test/java/io/umberpath/transport/GrizzlyTransportTest.java
+++ b/umberpath-transport/src/test/java/io/umberpath/transport/GrizzlyTransportTest.java
@@ -1,6 +1,6 @@
 package io.umberpath.transport;
 
-import static io.umberpath.transport.Endpoint.await;
+import static io.umberpath.transport.TestNode.await;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
@@ -14,8 +14,8 @@
 class GrizzlyTransportTest {
   @Test
   void deliversInOrderInBothDirections() throws IOException {
-    try (Endpoint a = Endpoint.open();
-        Endpoint b = Endpoint.open()) {
+    try (TestNode a = TestNode.open();
+        TestNode b = TestNode.open()) {
       IntStream.range(0, 50).forEach(number -> a.send(b, number));
       await("a to b", () -> b.recorder.numbersFrom(a.address).size() == 50);
       IntStream.range(0, 50).forEach(number -> b.send(a, number));
@@ -31,8 +31,8 @@
   @Test
   void crossingConnectionsLoseNothing() throws IOException {
     for (int round = 0; round < 20; round++) {
-      try (Endpoint a = Endpoint.open();
-          Endpoint b = Endpoint.open()) {
+      try (TestNode a = TestNode.open();
+          TestNode b = TestNode.open()) {
         Thread other = new Thread(() -> IntStream.range(0, 90).forEach(n -> b.send(a, n)));
         other.start();
         IntStream.range(0, 90).forEach(n -> a.send(b, n));
@@ -47,16 +47,16 @@
   }
 
   @Test
-  void unreachablePeerIsToldAndReachedOnceItListens() throws IOException {
+  void unreachablePeerIsReportedAndReachedOnceItListens() throws IOException {
     PeerAddress later;
-    try (Endpoint gone = Endpoint.open()) {
+    try (TestNode gone = TestNode.open()) {
       later = gone.address;
     }
-    try (Endpoint a = Endpoint.open()) {
+    try (TestNode a = TestNode.open()) {
       a.transport.send(later, TestMessages.message(1));
       await("told", () -> a.recorder.unreachable.contains(later));
       assertThat(a.faults(TransportFault.CONNECT_FAILED)).isPositive();
-      try (Endpoint b = Endpoint.open(later, 2, Endpoint.LIMITS, Endpoint.TIMEOUTS)) {
+      try (TestNode b = TestNode.open(later, 2, TestNode.LIMITS, TestNode.TIMEOUTS)) {
         a.send(b, 2);
         await("reached", () -> b.recorder.numbersFrom(a.address).contains(2));
       }
@@ -65,13 +65,13 @@
 
   @Test
   void restartedPeerIsReachedAgain() throws IOException {
-    try (Endpoint a = Endpoint.open()) {
-      Endpoint first = Endpoint.open();
+    try (TestNode a = TestNode.open()) {
+      TestNode first = TestNode.open();
       a.send(first, 1);
       await("first", () -> first.recorder.numbersFrom(a.address).contains(1));
       first.close();
       await("told", () -> a.recorder.unreachable.contains(first.address));
-      try (Endpoint second = Endpoint.open(first.address, 2, Endpoint.LIMITS, Endpoint.TIMEOUTS)) {
+      try (TestNode second = TestNode.open(first.address, 2, TestNode.LIMITS, TestNode.TIMEOUTS)) {
         second.send(a, 7);
         a.send(second, 2);
         await("second", () -> second.recorder.numbersFrom(a.address).contains(2));
@@ -81,9 +81,9 @@
   }
 
   @Test
-  void disconnectSendsWhatWaitsAndTellsNobody() throws IOException {
-    try (Endpoint a = Endpoint.open();
-        Endpoint b = Endpoint.open()) {
+  void disconnectFlushesQueueAndReportsNoPeerUnreachable() throws IOException {
+    try (TestNode a = TestNode.open();
+        TestNode b = TestNode.open()) {
       IntStream.range(0, 20).forEach(number -> a.send(b, number));
       a.transport.disconnect(b.address);
       await("delivered", () -> b.recorder.numbersFrom(a.address).size() == 20);
@@ -96,9 +96,9 @@
   }
 
   @Test
-  void oversizedAndForeignMessagesAreRefusedAtTheSender() throws IOException {
-    try (Endpoint a = Endpoint.open();
-        Endpoint b = Endpoint.open()) {
+  void unsendableMessagesAreRefusedAtTheSender() throws IOException {
+    try (TestNode a = TestNode.open();
+        TestNode b = TestNode.open()) {
       a.transport.send(b.address, TestMessages.message(1, "x".repeat(70_000)));
       a.transport.send(new PeerAddress("192.0.2.1", 4000), TestMessages.message(2));
       a.transport.send(a.address, TestMessages.message(3));
--- a/umberpath-transport/src/test/java/io/umberpath/transport/MessageCodecTest.java
+++ b/umberpath-transport/src/test/java/io/umberpath/transport/MessageCodecTest.java
@@ -51,32 +51,33 @@
     assertThat(codec.decode(PLAIN.writeValueAsBytes(VALID)).get()).isEqualTo(new Text(1, "x"));
   }
 
-  static Stream<Arguments> faults() throws Exception {
+  static Stream<Arguments> faultyPayloads() throws Exception {
     byte[] valid = PLAIN.writeValueAsBytes(VALID);
     return Stream.of(
-        fault("empty", new byte[0], TransportFault.MALFORMED_MESSAGE),
-        fault("garbage", new byte[] {-1, -2, 3, 4}, TransportFault.MALFORMED_MESSAGE),
-        fault(
+        payloadCase("empty", new byte[0], TransportFault.MALFORMED_MESSAGE),
+        payloadCase("garbage", new byte[] {-1, -2, 3, 4}, TransportFault.MALFORMED_MESSAGE),
+        payloadCase(
             "truncated", Arrays.copyOf(valid, valid.length - 1), TransportFault.MALFORMED_MESSAGE),
-        fault("trailing", Arrays.copyOf(valid, valid.length + 1), TransportFault.MALFORMED_MESSAGE),
-        value("null", null, TransportFault.MALFORMED_MESSAGE),
-        value("number", 3, TransportFault.MALFORMED_MESSAGE),
-        value("unknown type", List.of("zz", List.of()), TransportFault.UNKNOWN_MESSAGE_TYPE),
-        value("type alone", List.of("t"), TransportFault.MALFORMED_MESSAGE),
-        value("no type", List.of(List.of(1, "x")), TransportFault.MALFORMED_MESSAGE),
-        value(
+        payloadCase(
+            "trailing", Arrays.copyOf(valid, valid.length + 1), TransportFault.MALFORMED_MESSAGE),
+        valueCase("null", null, TransportFault.MALFORMED_MESSAGE),
+        valueCase("number", 3, TransportFault.MALFORMED_MESSAGE),
+        valueCase("unknown type", List.of("zz", List.of()), TransportFault.UNKNOWN_MESSAGE_TYPE),
+        valueCase("type alone", List.of("t"), TransportFault.MALFORMED_MESSAGE),
+        valueCase("no type", List.of(List.of(1, "x")), TransportFault.MALFORMED_MESSAGE),
+        valueCase(
             "object", Map.of("k", "t", "number", 1, "text", "x"), TransportFault.MALFORMED_MESSAGE),
-        text("surplus component", 1, "x", 9),
-        text("no component"),
-        text("missing text", 1),
-        text("null number", null, "x"),
-        text("null text", 1, null),
-        text("fraction for integer", 1.5, "x"),
-        text("text for integer", "one", "x"),
-        text("number out of range", 1L << 40, "x"),
-        text("list for text", 1, List.of("x", "y")),
-        value("deep nesting", List.of("n", nested(40)), TransportFault.MALFORMED_MESSAGE),
-        value(
+        textCase("surplus component", 1, "x", 9),
+        textCase("no component"),
+        textCase("missing text", 1),
+        textCase("null number", null, "x"),
+        textCase("null text", 1, null),
+        textCase("fraction for integer", 1.5, "x"),
+        textCase("text for integer", "one", "x"),
+        textCase("number out of range", 1L << 40, "x"),
+        textCase("list for text", 1, List.of("x", "y")),
+        valueCase("deep nesting", List.of("n", nested(40)), TransportFault.MALFORMED_MESSAGE),
+        valueCase(
             "null element",
             List.of("n", List.of(Arrays.asList((Object) null))),
             TransportFault.MALFORMED_MESSAGE));
@@ -86,20 +87,22 @@
     return depth == 0 ? List.of(List.of()) : List.of(List.of(nested(depth - 1)));
   }
 
-  private static Arguments text(String name, Object... components) throws Exception {
-    return value(name, List.of("t", Arrays.asList(components)), TransportFault.MALFORMED_MESSAGE);
+  private static Arguments textCase(String name, Object... components) throws Exception {
+    return valueCase(
+        name, List.of("t", Arrays.asList(components)), TransportFault.MALFORMED_MESSAGE);
   }
 
-  private static Arguments value(String name, Object value, TransportFault fault) throws Exception {
-    return fault(name, PLAIN.writeValueAsBytes(value), fault);
+  private static Arguments valueCase(String name, Object value, TransportFault fault)
+      throws Exception {
+    return payloadCase(name, PLAIN.writeValueAsBytes(value), fault);
   }
 
-  private static Arguments fault(String name, byte[] payload, TransportFault fault) {
+  private static Arguments payloadCase(String name, byte[] payload, TransportFault fault) {
     return Arguments.of(name, payload, fault);
   }
 
   @ParameterizedTest(name = "{0}")
-  @MethodSource("faults")
+  @MethodSource("faultyPayloads")
   void refusesFaultyPayloads(String name, byte[] payload, TransportFault fault) {
     TransportError error = codec.decode(payload).getLeft();
     assertThat(error.fault()).isEqualTo(fault);
--- a/umberpath-transport/src/test/java/io/umberpath/transport/MutualTlsTest.java
+++ b/umberpath-transport/src/test/java/io/umberpath/transport/MutualTlsTest.java
@@ -1,6 +1,6 @@
 package io.umberpath.transport;
 
-import static io.umberpath.transport.Endpoint.await;
+import static io.umberpath.transport.TestNode.await;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
@@ -35,14 +35,14 @@
     certificates.node("intruder", "foreign", 100);
   }
 
-  private static Endpoint open(TransportSecurity security) throws IOException {
-    return Endpoint.open(ANY, 1, security, Endpoint.LIMITS, Endpoint.TIMEOUTS);
+  private static TestNode open(TransportSecurity security) throws IOException {
+    return TestNode.open(ANY, 1, security, TestNode.LIMITS, TestNode.TIMEOUTS);
   }
 
   @Test
-  void nodesOfTheMeshTalkWithEitherKindOfFiles() throws Exception {
-    try (Endpoint a = open(certificates.pem("a", "mesh"));
-        Endpoint b = open(certificates.pkcs12("b", "mesh"))) {
+  void trustedNodesExchangeMessagesWithPemAndPkcs12() throws Exception {
+    try (TestNode a = open(certificates.pem("a", "mesh"));
+        TestNode b = open(certificates.pkcs12("b", "mesh"))) {
       a.transport.send(b.address, TestMessages.message(1, "x".repeat(60_000)));
       a.send(b, 2);
       await("a to b", () -> b.recorder.numbersFrom(a.address).size() == 2);
@@ -51,7 +51,7 @@
     }
   }
 
-  static Stream<Arguments> strangers() {
+  static Stream<Arguments> untrustedNodes() {
     return Stream.of(
         Arguments.of("foreign authority", certificates.pem("intruder", "mesh")),
         Arguments.of(
@@ -62,25 +62,25 @@
   }
 
   @ParameterizedTest(name = "{0}")
-  @MethodSource("strangers")
-  void strangersGetNothing(String name, TransportSecurity security) throws Exception {
-    try (Endpoint a = open(certificates.pem("a", "mesh"));
-        Endpoint b = open(certificates.pem("b", "mesh"));
-        Endpoint stranger = open(security)) {
-      stranger.send(a, 1);
+  @MethodSource("untrustedNodes")
+  void untrustedNodesExchangeNoMessages(String name, TransportSecurity security) throws Exception {
+    try (TestNode a = open(certificates.pem("a", "mesh"));
+        TestNode b = open(certificates.pem("b", "mesh"));
+        TestNode untrusted = open(security)) {
+      untrusted.send(a, 1);
       await(
           "inbound refused by either side",
           () ->
               a.faults(TransportFault.TLS_HANDSHAKE_FAILED) > 0
-                  || stranger.faults(TransportFault.TLS_HANDSHAKE_FAILED) > 0);
-      await("stranger told", () -> stranger.recorder.unreachable.contains(a.address));
-      a.send(stranger, 2);
-      await("outbound refused", () -> a.recorder.unreachable.contains(stranger.address));
+                  || untrusted.faults(TransportFault.TLS_HANDSHAKE_FAILED) > 0);
+      await("stranger told", () -> untrusted.recorder.unreachable.contains(a.address));
+      a.send(untrusted, 2);
+      await("outbound refused", () -> a.recorder.unreachable.contains(untrusted.address));
       b.send(a, 3);
       await("the mesh goes on", () -> a.recorder.numbersFrom(b.address).contains(3));
-      assertThat(a.recorder.numbersFrom(stranger.address)).isEmpty();
-      assertThat(stranger.recorder.numbersFrom(a.address)).isEmpty();
-      assertThat(stranger.transport.traffic().receivedMessages()).isZero();
+      assertThat(a.recorder.numbersFrom(untrusted.address)).isEmpty();
+      assertThat(untrusted.recorder.numbersFrom(a.address)).isEmpty();
+      assertThat(untrusted.transport.traffic().receivedMessages()).isZero();
     }
   }
 
@@ -88,8 +88,8 @@
   void renewedFilesAreUsedWithoutRestart() throws Exception {
     certificates.node("renewed", "mesh", 50);
     certificates.replace("renewed", "expired");
-    try (Endpoint a = open(certificates.pem("a", "mesh"));
-        Endpoint renewed = open(certificates.pem("renewed", "mesh"))) {
+    try (TestNode a = open(certificates.pem("a", "mesh"));
+        TestNode renewed = open(certificates.pem("renewed", "mesh"))) {
       renewed.send(a, 1);
       await("expired is refused", () -> renewed.recorder.unreachable.contains(a.address));
       certificates.write("renewed.key", "half a file");
@@ -104,7 +104,7 @@
     }
   }
 
-  static Stream<Arguments> brokenFiles() throws IOException {
+  static Stream<Arguments> invalidFiles() throws IOException {
     Files.writeString(directory.resolve("empty.pem"), "");
     Files.writeString(directory.resolve("empty.key"), "");
     Files.copy(directory.resolve("a.key"), directory.resolve("no-certificate.key"));
@@ -118,8 +118,8 @@
   }
 
   @ParameterizedTest(name = "{0}")
-  @MethodSource("brokenFiles")
-  void brokenFilesPreventTheStart(String name, TransportSecurity security, String file) {
+  @MethodSource("invalidFiles")
+  void invalidFilesPreventStart(String name, TransportSecurity security, String file) {
     assertThatThrownBy(() -> open(security))
         .isInstanceOf(IOException.class)
         .hasMessageContaining(file);
--- a/umberpath-transport/src/test/java/io/umberpath/transport/RawPeer.java
+++ b/umberpath-transport/src/test/java/io/umberpath/transport/RawPeer.java
@@ -11,7 +11,7 @@
 
 /** A peer that writes any bytes it likes. */
 final class RawPeer implements AutoCloseable {
-  static final PeerAddress NAME = new PeerAddress("127.0.0.1", 9);
+  static final PeerAddress ADDRESS = new PeerAddress("127.0.0.1", 9);
 
   private final Socket socket;
 
@@ -23,13 +23,14 @@
     return new RawPeer(new Socket(InetAddress.getByName(to.host()), to.port()));
   }
 
-  static byte[] hello(PeerAddress name, int protocolVersion) {
-    byte[] payload = new MessageCodec<>(Hello.class).encode(new Hello(protocolVersion, name, 1));
+  static byte[] hello(PeerAddress listenAddress, int protocolVersion) {
+    byte[] payload =
+        new MessageCodec<>(Hello.class).encode(new Hello(protocolVersion, listenAddress, 1));
     return Frame.encode(FrameKind.HELLO, payload);
   }
 
   static byte[] hello() {
-    return hello(NAME, Frame.PROTOCOL_VERSION);
+    return hello(ADDRESS, Frame.PROTOCOL_VERSION);
   }
 
   static byte[] message(int number) {
--- a/umberpath-transport/src/test/java/io/umberpath/transport/Recorder.java
+++ b/umberpath-transport/src/test/java/io/umberpath/transport/RecordingListener.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /** Keeps what a transport delivers. */
-final class Recorder implements Transport.Listener {
+final class RecordingListener implements Transport.Listener {
   private record Received(PeerAddress from, ControlMessage message) {}
 
   private final List<Received> received = new CopyOnWriteArrayList<>();
--- a/umberpath-transport/src/test/java/io/umberpath/transport/TestCertificates.java
+++ b/umberpath-transport/src/test/java/io/umberpath/transport/TestCertificates.java
@@ -35,7 +35,7 @@
   /** Makes a node certificate that an authority has signed; negative days have passed. */
   void node(String name, String authority, int validDays) throws Exception {
     int startDay = Math.min(validDays, 0) - 1;
-    List<String> signed =
+    List<String> arguments =
         List.of(
             "-signer",
             authority,
@@ -43,17 +43,17 @@
             startDay + "d",
             "-validity",
             Integer.toString(validDays < 0 ? 1 : validDays + 1));
-    keytool(name, authority, signed);
+    keytool(name, authority, arguments);
     export(name, authority);
   }
 
-  private void keytool(String alias, String store, List<String> more) throws Exception {
+  private void keytool(String alias, String store, List<String> extraArguments) throws Exception {
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "keytool").toString());
     command.addAll(List.of("-genkeypair", "-alias", alias, "-dname", "CN=" + alias));
     command.addAll(List.of("-keyalg", "EC", "-storetype", "PKCS12", "-storepass", PASSWORD));
     command.addAll(List.of("-keystore", storeOf(store).toString()));
-    command.addAll(more);
+    command.addAll(extraArguments);
     Process process = new ProcessBuilder(command).redirectErrorStream(true).start();
     String output = new String(process.getInputStream().readAllBytes());
     if (!process.waitFor(60, TimeUnit.SECONDS) || process.exitValue() != 0) {
@@ -105,10 +105,10 @@
   }
 
   /** Overwrites one node's files with another's, as a renewal does. */
-  void replace(String name, String by) throws IOException {
+  void replace(String name, String replacement) throws IOException {
     for (String suffix : List.of(".pem", ".key")) {
       try (OutputStream output = Files.newOutputStream(directory.resolve(name + suffix))) {
-        Files.copy(directory.resolve(by + suffix), output);
+        Files.copy(directory.resolve(replacement + suffix), output);
       }
     }
   }
--- a/umberpath-transport/src/test/java/io/umberpath/transport/Endpoint.java
+++ b/umberpath-transport/src/test/java/io/umberpath/transport/TestNode.java
@@ -7,34 +7,34 @@
 import java.util.function.BooleanSupplier;
 
 /** One transport under test on an ephemeral loopback port. */
-final class Endpoint implements AutoCloseable {
+final class TestNode implements AutoCloseable {
   static final TransportSettings.Limits LIMITS =
       new TransportSettings.Limits(64 << 10, 100, 1 << 20, 20);
   static final TransportSettings.Timeouts TIMEOUTS =
       new TransportSettings.Timeouts(2_000, 30_000, 30_000, 10, 100);
 
-  private static final long GENEROUS_SECONDS = 30;
+  private static final long AWAIT_TIMEOUT_SECONDS = 30;
 
-  final Recorder recorder = new Recorder();
+  final RecordingListener recorder = new RecordingListener();
   final GrizzlyTransport transport;
   final PeerAddress address;
 
-  private Endpoint(TransportSettings settings) throws IOException {
+  private TestNode(TransportSettings settings) throws IOException {
     transport = new GrizzlyTransport(settings, TestMessages.codec());
     address = transport.bind();
     transport.start(recorder);
   }
 
-  static Endpoint open() throws IOException {
+  static TestNode open() throws IOException {
     return open(LIMITS, TIMEOUTS);
   }
 
-  static Endpoint open(TransportSettings.Limits limits, TransportSettings.Timeouts timeouts)
+  static TestNode open(TransportSettings.Limits limits, TransportSettings.Timeouts timeouts)
       throws IOException {
     return open(new PeerAddress("127.0.0.1", 0), 1, limits, timeouts);
   }
 
-  static Endpoint open(
+  static TestNode open(
       PeerAddress listen,
       long incarnation,
       TransportSettings.Limits limits,
@@ -43,17 +43,17 @@
     return open(listen, incarnation, new TransportSecurity.PlainTextLoopback(), limits, timeouts);
   }
 
-  static Endpoint open(
+  static TestNode open(
       PeerAddress listen,
       long incarnation,
       TransportSecurity security,
       TransportSettings.Limits limits,
       TransportSettings.Timeouts timeouts)
       throws IOException {
-    return new Endpoint(new TransportSettings(listen, incarnation, security, limits, timeouts));
+    return new TestNode(new TransportSettings(listen, incarnation, security, limits, timeouts));
   }
 
-  void send(Endpoint to, int number) {
+  void send(TestNode to, int number) {
     transport.send(to.address, TestMessages.message(number));
   }
 
@@ -63,7 +63,7 @@
 
   /** Waits for a condition; fails loudly only after a bound that no healthy run comes near. */
   static void await(String what, BooleanSupplier condition) {
-    long deadline = System.nanoTime() + Duration.ofSeconds(GENEROUS_SECONDS).toNanos();
+    long deadline = System.nanoTime() + Duration.ofSeconds(AWAIT_TIMEOUT_SECONDS).toNanos();
     while (!condition.getAsBoolean()) {
       if (System.nanoTime() > deadline) {
         throw new AssertionError("not reached: " + what);
