--- a/umberpath-transport/src/main/java/io/umberpath/transport/Backoff.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/Backoff.java
@@ -2,7 +2,10 @@
 
 import java.util.concurrent.ThreadLocalRandom;
 
-/** Exponential backoff with jitter between half and the whole of each wait. Not thread-safe. */
+/**
+ * Exponential backoff with jitter: each delay is between half and all of the nominal delay. Not
+ * thread-safe.
+ */
 final class Backoff {
   private final long minMillis;
   private final long maxMillis;
@@ -14,7 +17,7 @@
     this.nextMillis = minMillis;
   }
 
-  /** The wait after one more failure. */
+  /** Returns the delay in milliseconds after a further failure. */
   long nextDelayMillis() {
     long delayMillis = nextMillis;
     nextMillis = Math.min(maxMillis, 2 * nextMillis);
--- a/umberpath-transport/src/main/java/io/umberpath/transport/ConnectionManager.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/ConnectionManager.java
@@ -8,10 +8,10 @@
 import java.util.function.LongSupplier;
 
 /**
- * Keeps one usable connection with each peer, whichever side dialled it, and a bounded queue of
- * frames for each. When two connections cross, both sides move to the one that the smaller address
- * dialled and end the other with goodbyes, so that no message is lost by it. Thread-safe; calls
- * listeners without holding its lock.
+ * Maintains one active connection per peer, regardless of which side dialled it, and a bounded send
+ * queue per peer. When both sides dial at the same time, both switch to the connection dialled by
+ * the smaller address and close the other after exchanging goodbye frames, so that no message is
+ * lost. Thread-safe; calls listeners without holding the lock.
  */
 final class ConnectionManager {
   private static final int PINGS_PER_SILENCE_TIMEOUT = 3;
@@ -26,17 +26,18 @@
   private final PeerTable table;
   private final FrameWriter writer;
 
-  /** Starts connection attempts. */
+  /** Starts outbound connection attempts. */
   interface Dialer {
     /**
-     * Answers with {@link #onConnected} or {@link #onConnectFailed}, possibly before it returns.
+     * Starts an attempt and reports its result to {@link #onConnected} or {@link #onConnectFailed},
+     * possibly before this method returns.
      */
     void dial(PeerAddress peer, PeerConnection connection);
   }
 
-  /** Takes what arrives. */
+  /** Receives message payloads and notifications about unreachable peers. */
   interface PayloadReceiver {
-    /** Returns the error that ends the connection, if the payload is refused. */
+    /** Returns the error for which the connection is closed if the payload is rejected. */
     Optional<TransportError> onPayload(PeerAddress from, byte[] payload);
 
     void onUnreachable(PeerAddress peer);
@@ -60,7 +61,7 @@
     this.writer = new FrameWriter(table, counters, clockMillis);
   }
 
-  /** Queues a frame for a peer; false if its queue is full. */
+  /** Queues a frame for a peer and connects if needed; returns false if the queue is full. */
   boolean send(PeerAddress to, byte[] frame) {
     DeferredActions deferred = new DeferredActions();
     synchronized (table.lock) {
@@ -78,7 +79,7 @@
     return true;
   }
 
-  /** Ends the connection with a peer once its queue is empty. */
+  /** Closes the connection to a peer once its send queue is empty. */
   void disconnect(PeerAddress address) {
     DeferredActions deferred = new DeferredActions();
     synchronized (table.lock) {
@@ -91,7 +92,7 @@
     deferred.run();
   }
 
-  /** Takes an accepted connection, or refuses it when there are too many. */
+  /** Registers an accepted connection, or aborts it if the connection limit is reached. */
   Optional<PeerConnection> onAccepted(PeerConnection.Socket socket) {
     int limit = settings.limits().maxConnections();
     synchronized (table.lock) {
@@ -105,13 +106,14 @@
       }
     }
     faultReporter.report(
-        new TransportError(TransportFault.TOO_MANY_CONNECTIONS, "limit " + limit + " is reached"),
+        new TransportError(
+            TransportFault.TOO_MANY_CONNECTIONS, "connection limit " + limit + " reached"),
         "unnamed");
     socket.abort();
     return Optional.empty();
   }
 
-  /** A dialled connection stands; the hello goes out. */
+  /** Sends the hello on a newly established outbound connection. */
   void onConnected(PeerConnection connection, PeerConnection.Socket socket) {
     boolean abandoned;
     synchronized (table.lock) {
@@ -126,12 +128,12 @@
     writer.flush(connection);
   }
 
-  /** A dialled connection could not be made. */
+  /** Handles a failed outbound connection attempt. */
   void onConnectFailed(PeerConnection connection, String cause) {
     fail(connection, new TransportError(TransportFault.CONNECT_FAILED, cause));
   }
 
-  /** Bytes arrived; called by one thread at a time for one connection. */
+  /** Processes received bytes; called by one thread at a time per connection. */
   void onBytes(PeerConnection connection, ByteBuffer input) {
     counters.addReceived(input.remaining());
     synchronized (table.lock) {
@@ -161,7 +163,8 @@
       return onHello(connection, frame.payload());
     }
     if (!connection.isEstablished()) {
-      return errorOf(TransportFault.BAD_HELLO, "first frame is " + frame.kind());
+      return errorOf(
+          TransportFault.BAD_HELLO, "expected HELLO as first frame, got " + frame.kind());
     }
     if (frame.kind() == FrameKind.MESSAGE) {
       counters.countReceivedMessage();
@@ -215,7 +218,9 @@
     flushOrConnect(peer, deferred);
   }
 
-  /** Writes what waits, or dials if it must; call with the lock held. */
+  /**
+   * Flushes the active connection, or dials the peer if frames are queued; call with the lock held.
+   */
   private void flushOrConnect(Peer peer, DeferredActions deferred) {
     PeerConnection active = peer.active;
     if (active != null) {
@@ -227,7 +232,7 @@
         .ifPresent(attempt -> deferred.add(() -> dialer.dial(peer.address, attempt)));
   }
 
-  /** Ends a connection because of a fault; nothing happens if it has ended. */
+  /** Reports a fault and closes the connection; does nothing if it is already closed. */
   void fail(PeerConnection connection, TransportError error) {
     if (isClosed(connection)) {
       return;
@@ -236,7 +241,7 @@
     onClosed(connection);
   }
 
-  /** A socket was closed by either side. */
+  /** Handles a socket that was closed by either side. */
   void onSocketClosed(PeerConnection connection) {
     boolean unexpected;
     synchronized (table.lock) {
@@ -248,7 +253,7 @@
               ? TransportFault.TRUNCATED_FRAME
               : TransportFault.CONNECTION_LOST;
       faultReporter.report(
-          new TransportError(fault, "closed by the other side"), connection.describe());
+          new TransportError(fault, "connection closed by peer"), connection.describe());
     }
     onClosed(connection);
   }
@@ -284,7 +289,10 @@
     }
   }
 
-  /** Ends what is overdue, pings what is quiet and dials what may be dialled again. */
+  /**
+   * Closes connections whose timeout has expired, pings idle connections, and dials peers with
+   * queued frames whose backoff has elapsed.
+   */
   void sweep() {
     long nowMillis = clockMillis.getAsLong();
     List<PeerConnection> open;
@@ -314,14 +322,14 @@
     }
   }
 
-  /** Open connections and attempts. */
+  /** Number of open connections and connection attempts. */
   int connectionCount() {
     synchronized (table.lock) {
       return table.connections.size();
     }
   }
 
-  /** Ends everything; nobody is told. */
+  /** Aborts all connections without notifying listeners. */
   void close() {
     List<PeerConnection> open;
     synchronized (table.lock) {
--- a/umberpath-transport/src/main/java/io/umberpath/transport/DeferredActions.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/DeferredActions.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Work that is decided with a lock held and done after its release, in order. */
+/** Collects actions while a lock is held and runs them in order after its release. */
 final class DeferredActions {
   private final List<Runnable> actions = new ArrayList<>();
 
--- a/umberpath-transport/src/main/java/io/umberpath/transport/FaultReporter.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/FaultReporter.java
@@ -4,7 +4,7 @@
 import com.google.common.flogger.MetadataKey;
 import java.util.concurrent.TimeUnit;
 
-/** Counts every fault and logs some of them. Thread-safe. */
+/** Counts all faults and logs them at a limited rate. Thread-safe. */
 final class FaultReporter {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
@@ -18,7 +18,7 @@
     this.counters = counters;
   }
 
-  /** Reports a fault on a connection or queue of a peer; at most one log line a second. */
+  /** Counts a fault of a peer's connection or queue and logs at most one line per second. */
   void report(TransportError error, String peer) {
     counters.countFault(error.fault());
     logger
--- a/umberpath-transport/src/main/java/io/umberpath/transport/Frame.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/Frame.java
@@ -5,20 +5,20 @@
 /**
  * One decoded frame.
  *
- * @param kind what the payload is
- * @param payload the payload; owned by the receiver
+ * @param kind the type of the frame
+ * @param payload the payload; the receiver owns the array
  */
 record Frame(FrameKind kind, byte[] payload) {
-  /** Version of the protocol between nodes that this build speaks. */
+  /** Version of the node-to-node protocol that this build implements. */
   static final byte PROTOCOL_VERSION = 1;
 
-  /** Bytes of the length field. */
+  /** Size of the length field. */
   static final int LENGTH_BYTES = Integer.BYTES;
 
-  /** Bytes of the version and kind fields, which the length includes. */
+  /** Size of the version and kind fields, which the length field counts. */
   static final int VERSION_AND_KIND_BYTES = 2;
 
-  /** Bytes before the payload. */
+  /** Size of the header that precedes the payload. */
   static final int HEADER_BYTES = LENGTH_BYTES + VERSION_AND_KIND_BYTES;
 
   private static final byte[] NO_PAYLOAD = {};
@@ -28,7 +28,7 @@
     return encode(kind, NO_PAYLOAD);
   }
 
-  /** Encodes a frame. */
+  /** Encodes a frame, header included. */
   static byte[] encode(FrameKind kind, byte[] payload) {
     return ByteBuffer.allocate(HEADER_BYTES + payload.length)
         .putInt(VERSION_AND_KIND_BYTES + payload.length)
--- a/umberpath-transport/src/main/java/io/umberpath/transport/FrameDecoder.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/FrameDecoder.java
@@ -6,8 +6,9 @@
 import java.util.Optional;
 
 /**
- * Cuts the bytes of one connection into frames. Memory grows with the bytes that arrived, not with
- * the length a peer announces. After an error the decoder must not be used again. Not thread-safe.
+ * Decodes the byte stream of one connection into frames. The buffer grows with the bytes received,
+ * not with the length that the peer announces. Must not be used again after an error. Not
+ * thread-safe.
  */
 final class FrameDecoder {
   private static final int INITIAL_PAYLOAD_BYTES = 4096;
@@ -23,26 +24,27 @@
   /**
    * Creates a decoder.
    *
-   * @param maxFrameBytes longest frame, header included
+   * @param maxFrameBytes maximum frame size, including the header
    */
   FrameDecoder(int maxFrameBytes) {
     this.maxFrameBytes = maxFrameBytes;
   }
 
-  /** Changes the limit for the frames that follow. */
+  /** Sets the maximum size of the frames that follow. */
   void setMaxFrameBytes(int newMaxFrameBytes) {
     maxFrameBytes = newMaxFrameBytes;
   }
 
-  /** Whether some bytes of an unfinished frame have arrived. */
+  /** Whether a frame has been received in part. */
   boolean isInsideFrame() {
     return header.position() > 0;
   }
 
   /**
-   * Consumes input up to the end of one frame.
+   * Consumes input up to the end of the current frame.
    *
-   * @return the frame, nothing if the input ended first, or the error that ends the connection
+   * @return the frame, empty if the input ended before the frame, or an error for which the
+   *     connection must be closed
    */
   Either<TransportError, Optional<Frame>> next(ByteBuffer input) {
     if (header.hasRemaining()) {
@@ -74,7 +76,7 @@
     if (length > maxFrameBytes - Frame.LENGTH_BYTES) {
       return error(
           TransportFault.OVERSIZED_FRAME,
-          "frame length " + length + " is over the limit of " + maxFrameBytes + " bytes");
+          "frame length " + length + " exceeds the limit of " + maxFrameBytes + " bytes");
     }
     byte version = header.get(Frame.LENGTH_BYTES);
     if (version != Frame.PROTOCOL_VERSION) {
--- a/umberpath-transport/src/main/java/io/umberpath/transport/FrameKind.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/FrameKind.java
@@ -2,15 +2,15 @@
 
 import java.util.Optional;
 
-/** What the payload of a frame is. */
+/** Type of a frame, which determines its payload. */
 enum FrameKind {
-  /** A {@link Hello}; the first frame in each direction, and only the first. */
+  /** A {@link Hello}; must be the first frame in each direction and must not be repeated. */
   HELLO(1),
   /** A control message. */
   MESSAGE(2),
-  /** The sender will send nothing more on this connection; no payload. */
+  /** Announces that the sender sends no further messages on this connection; no payload. */
   GOODBYE(3),
-  /** Shows that the sender lives; no payload. */
+  /** Keep-alive; no payload. */
   PING(4);
 
   private static final FrameKind[] KINDS = values();
--- a/umberpath-transport/src/main/java/io/umberpath/transport/FrameWriter.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/FrameWriter.java
@@ -5,7 +5,7 @@
 import java.util.function.LongSupplier;
 
 /**
- * Writes waiting frames to connections, one write at a time on each, several frames in one write.
+ * Writes queued frames to connections in batches, with at most one write in flight per connection.
  * Thread-safe; uses the lock of the {@link PeerTable}.
  */
 final class FrameWriter {
@@ -21,7 +21,7 @@
     this.clockMillis = clockMillis;
   }
 
-  /** Writes what waits unless a write is under way; call without the lock. */
+  /** Writes the queued frames unless a write is in flight; call without holding the lock. */
   void flush(PeerConnection connection) {
     if (connection.flushRequests.getAndIncrement() != 0) {
       return;
--- a/umberpath-transport/src/main/java/io/umberpath/transport/GrizzlyEndpoint.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/GrizzlyEndpoint.java
@@ -38,7 +38,8 @@
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
 /**
- * The Grizzly side: one selector thread that accepts, connects and reads. It must not be blocked.
+ * Runs the Grizzly NIO transport. A single selector thread accepts, connects and reads, so handlers
+ * must not block.
  */
 final class GrizzlyEndpoint implements ConnectionManager.Dialer {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -52,7 +53,7 @@
   private ConnectionManager connectionManager;
   private TCPNIOServerConnection server;
 
-  /** Creates an endpoint in plain text or, if a context is given, with mutual TLS. */
+  /** Creates an endpoint that uses mutual TLS if a context is given, and plain text otherwise. */
   GrizzlyEndpoint(Optional<ReloadingTlsContext> tls) {
     FilterChainBuilder chain = FilterChainBuilder.stateless().add(new TransportFilter());
     tls.ifPresent(context -> chain.add(context.filter()));
@@ -81,7 +82,7 @@
         .setDaemon(true);
   }
 
-  /** Binds; connections wait in the backlog until {@link #start}. */
+  /** Binds the listening socket; connections stay in the accept backlog until {@link #start}. */
   PeerAddress bind(PeerAddress listen) throws IOException {
     server = transport.bind(new InetSocketAddress(listen.host(), listen.port()));
     int port = ((InetSocketAddress) server.getLocalAddress()).getPort();
@@ -94,8 +95,8 @@
   }
 
   /**
-   * Closes the listening socket and waits for the selector thread to end, so that the port is free
-   * afterwards: the operating system's socket stays open until the selector has deregistered it.
+   * Closes the listening socket and waits for the selector thread to terminate, so that the port is
+   * free afterwards: the operating system keeps the socket open until the selector deregisters it.
    */
   void close() {
     try {
@@ -108,7 +109,7 @@
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } catch (IOException | ExecutionException | TimeoutException e) {
-      logger.atWarning().withCause(e).log("The transport did not close cleanly");
+      logger.atWarning().withCause(e).log("Failed to close the transport cleanly");
     }
   }
 
@@ -116,7 +117,8 @@
       throws InterruptedException {
     if (selectorExecutor != null
         && !selectorExecutor.awaitTermination(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
-      logger.atWarning().log("The transport's selector thread did not end; its port may be taken");
+      logger.atWarning().log(
+          "Transport selector thread did not terminate; its port may still be in use");
     }
   }
 
@@ -132,7 +134,10 @@
     socket.closeFuture().addCompletionHandler(new CloseHandler(connection));
   }
 
-  /** Reports the result of one attempt; Grizzly's connector declares the raw type. */
+  /**
+   * Reports the result of a connection attempt. The raw type is the one that Grizzly's connector
+   * declares.
+   */
   @SuppressWarnings("rawtypes")
   private final class ConnectHandler extends EmptyCompletionHandler<Connection> {
     private final PeerConnection connection;
@@ -158,7 +163,7 @@
     }
   }
 
-  /** Reports that a connection was closed by either side. */
+  /** Reports a connection that was closed by either side, with the TLS error if one caused it. */
   private final class CloseHandler extends EmptyCompletionHandler<CloseReason> {
     private final PeerConnection connection;
 
@@ -183,7 +188,7 @@
     }
   }
 
-  /** Hands bytes to the connection they belong to. */
+  /** Passes accepted connections and received bytes to the {@link ConnectionManager}. */
   private final class FrameFilter extends BaseFilter {
     @Override
     public NextAction handleAccept(FilterChainContext context) {
@@ -205,7 +210,7 @@
     }
   }
 
-  /** A Grizzly connection as {@link ConnectionManager} sees it. */
+  /** Adapts a Grizzly connection to {@link PeerConnection.Socket}. */
   private final class GrizzlySocket implements PeerConnection.Socket {
     private final Connection<?> socket;
 
@@ -242,7 +247,7 @@
     }
   }
 
-  /** Reports that a write has been taken, or ends its connection. */
+  /** Reports a completed write; terminates the connection if the write failed. */
   private final class WriteHandler<L> extends EmptyCompletionHandler<WriteResult<Buffer, L>> {
     private final Connection<L> socket;
     private final Runnable onWritten;
--- a/umberpath-transport/src/main/java/io/umberpath/transport/GrizzlyTransport.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/GrizzlyTransport.java
@@ -14,10 +14,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Control messages over TCP with Grizzly. Two threads: Grizzly's selector, which delivers messages,
- * and a timer. A sender encodes and, where the socket takes it at once, writes on its own thread;
- * it never waits. A message that is not delivered is followed by {@link Listener#onUnreachable} or
- * counted in {@link #faultReporter}.
+ * Exchanges control messages over TCP with Grizzly. Uses two threads: Grizzly's selector thread,
+ * which delivers messages, and a timer. {@link #send} encodes on the calling thread, also writes
+ * there if the socket accepts the bytes immediately, and never blocks. A message that is not
+ * delivered leads to {@link Listener#onUnreachable} or is counted in {@link #faults}.
  */
 public final class GrizzlyTransport implements Transport {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -36,18 +36,19 @@
   private volatile ConnectionManager connectionManager;
   private volatile EncodedMessage lastEncoded;
 
-  /** Creates a transport that listens on nothing yet. */
+  /** Creates a transport without binding it. */
   public GrizzlyTransport(TransportSettings settings, MessageCodec<ControlMessage> codec) {
     this.settings = settings;
     this.codec = codec;
   }
 
   /**
-   * Binds before {@link #start}, so that the port is known; peers wait until the start.
+   * Binds the listening socket before {@link #start} so that the port is known; connections of
+   * peers stay in the accept backlog until the start.
    *
-   * @return the address, with the port that was picked if the settings name port 0
-   * @throws IOException if the address cannot be bound, plain text is not on loopback, or a
-   *     certificate file cannot be loaded
+   * @return the bound address, with the ephemeral port if the settings specify port 0
+   * @throws IOException if the address cannot be bound, plain text is configured for an address
+   *     other than loopback, or a certificate file cannot be loaded
    */
   public synchronized PeerAddress bind() throws IOException {
     if (address == null) {
@@ -92,7 +93,7 @@
           try {
             task.run();
           } catch (RuntimeException e) {
-            logger.atSevere().withCause(e).log("A timer task of the transport failed");
+            logger.atSevere().withCause(e).log("Transport timer task failed");
           }
         };
     timer.scheduleWithFixedDelay(guarded, intervalMillis, intervalMillis, TimeUnit.MILLISECONDS);
@@ -104,7 +105,7 @@
       faultReporter.report(
           new TransportError(TransportFault.TLS_RELOAD_FAILED, reloaded.getLeft()), "self");
     } else if (reloaded.get()) {
-      logger.atInfo().log("Changed certificate files are in use for new connections");
+      logger.atInfo().log("Certificate files reloaded; new connections use them");
     }
   }
 
@@ -112,7 +113,7 @@
   public void send(PeerAddress to, ControlMessage message) {
     ConnectionManager manager = connectionManager;
     if (manager == null) {
-      throw new IllegalStateException("the transport is not started");
+      throw new IllegalStateException("transport is not started");
     }
     byte[] frame = encode(message);
     Optional<TransportError> refused = checkSendable(to, frame.length);
@@ -124,7 +125,9 @@
     }
   }
 
-  /** Encodes a message once that is sent to several peers in a row. */
+  /**
+   * Encodes a message; reuses the last frame if the same message is sent to several peers in a row.
+   */
   private byte[] encode(ControlMessage message) {
     EncodedMessage last = lastEncoded;
     if (last == null || last.message() != message) {
@@ -138,10 +141,10 @@
 
   private Optional<TransportError> checkSendable(PeerAddress to, int frameBytes) {
     if (frameBytes > settings.limits().maxFrameBytes()) {
-      return refusedMessage("frame of " + frameBytes + " bytes is over the limit");
+      return refusedMessage("frame of " + frameBytes + " bytes exceeds the limit");
     }
     if (to.equals(address)) {
-      return refusedMessage("the address is this node's own");
+      return refusedMessage("destination is this node's own address");
     }
     try {
       requireAllowedAddress(to);
@@ -161,7 +164,7 @@
     }
     boolean loopback = InetAddresses.forString(peer.host()).isLoopbackAddress();
     if (settings.security() instanceof TransportSecurity.PlainTextLoopback && !loopback) {
-      throw new IOException("plain text is for loopback only, not for " + peer);
+      throw new IOException("plain text is allowed on loopback only, not for " + peer);
     }
   }
 
@@ -175,12 +178,12 @@
     return counters.traffic();
   }
 
-  /** Number of faults since the start, by cause. */
+  /** Returns the number of faults since the start, by cause. */
   public Map<TransportFault, Long> faults() {
     return counters.faults();
   }
 
-  /** Open connections and attempts, in both directions. */
+  /** Returns the number of open connections and connection attempts, in both directions. */
   public int connections() {
     ConnectionManager manager = connectionManager;
     return manager == null ? 0 : manager.connectionCount();
@@ -199,7 +202,7 @@
     }
   }
 
-  /** Decodes payloads for the listener. */
+  /** Decodes payloads and passes the messages to the listener. */
   private final class DecodingReceiver implements ConnectionManager.PayloadReceiver {
     private final Listener listener;
 
--- a/umberpath-transport/src/main/java/io/umberpath/transport/Handshake.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/Handshake.java
@@ -4,9 +4,9 @@
 import io.umberpath.model.PeerAddress;
 import io.vavr.control.Either;
 
-/** Makes this node's hello and checks those of others. Immutable. */
+/** Encodes this node's hello and validates those of peers. Immutable. */
 final class Handshake {
-  /** Longest frame before the hello has been checked. */
+  /** Maximum frame size until the hello has been validated. */
   static final int MAX_HELLO_BYTES = 512;
 
   private final MessageCodec<Hello> codec = new MessageCodec<>(Hello.class);
@@ -19,12 +19,12 @@
     this.helloFrame = Frame.encode(FrameKind.HELLO, codec.encode(hello));
   }
 
-  /** The encoded hello of this node. */
+  /** Encoded hello frame of this node. */
   byte[] helloFrame() {
     return helloFrame;
   }
 
-  /** The other side's hello, or why it ends the connection. */
+  /** Decodes and validates the peer's hello; an error closes the connection. */
   Either<TransportError, Hello> readHello(PeerConnection connection, byte[] payload) {
     if (connection.isEstablished()) {
       return badHello("second hello");
@@ -38,7 +38,7 @@
   private Either<TransportError, Hello> validate(PeerConnection connection, Hello hello) {
     PeerAddress listenAddress = hello.listenAddress();
     if (hello.protocolVersion() != Frame.PROTOCOL_VERSION) {
-      return badHello("protocolVersion " + hello.protocolVersion());
+      return badHello("unsupported protocolVersion " + hello.protocolVersion());
     }
     if (listenAddress.port() < 1
         || listenAddress.port() > PeerAddress.MAX_PORT
--- a/umberpath-transport/src/main/java/io/umberpath/transport/Hello.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/Hello.java
@@ -3,10 +3,10 @@
 import io.umberpath.model.PeerAddress;
 
 /**
- * The first frame in each direction.
+ * Payload of the first frame in each direction; identifies the sender.
  *
- * @param protocolVersion protocol version of the sender
- * @param listenAddress where the sender listens; its identity
- * @param incarnation tells successive processes at one address apart
+ * @param protocolVersion protocol version that the sender uses
+ * @param listenAddress address on which the sender listens; serves as its identity
+ * @param incarnation distinguishes successive processes at the same address
  */
 record Hello(int protocolVersion, PeerAddress listenAddress, long incarnation) {}
--- a/umberpath-transport/src/main/java/io/umberpath/transport/MessageCodec.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/MessageCodec.java
@@ -18,13 +18,13 @@
 import java.io.IOException;
 
 /**
- * Encodes values of one type as CBOR and decodes them strictly. A record is an array of its
- * components, in order and without names; a sealed type is a pair of type name and value. Missing
- * and surplus components, nulls, trailing tokens, deep nesting and long strings are refused. A list
- * that Jackson leaves out because it is empty is null on the wire; its record makes it a list
- * again. Thread-safe.
+ * Encodes values of one type as CBOR and decodes them strictly. A record is encoded as an array of
+ * its components, in declaration order and without names; a sealed type as a pair of type name and
+ * value. The decoder rejects missing and surplus components, nulls, trailing tokens, deep nesting
+ * and long strings. An empty list that Jackson omits is null on the wire; the record's constructor
+ * converts it back to an empty list. Thread-safe.
  *
- * @param <T> the type, usually a sealed hierarchy with Jackson type names
+ * @param <T> the message type, usually a sealed hierarchy with Jackson type names
  */
 public final class MessageCodec<T> {
   private static final int MAX_NESTING_DEPTH = 32;
@@ -36,7 +36,7 @@
   private final ObjectWriter writer;
   private final ObjectReader reader;
 
-  /** Creates a codec for a type. */
+  /** Creates a codec for values of a type. */
   public MessageCodec(Class<T> type) {
     writer = MAPPER.writerFor(type);
     reader = MAPPER.readerFor(type);
@@ -72,7 +72,8 @@
   /**
    * Encodes a value.
    *
-   * @throws IllegalArgumentException if the type lacks a Jackson mapping; a programming error
+   * @throws IllegalArgumentException if the type has no Jackson mapping, which is a programming
+   *     error
    */
   public byte[] encode(T value) {
     try {
@@ -83,7 +84,7 @@
     }
   }
 
-  /** Decodes a whole payload; the error names the place, never the content. */
+  /** Decodes a complete payload; the error names the path of the fault, never the content. */
   public Either<TransportError, T> decode(byte[] payload) {
     try {
       T value = reader.readValue(payload);
@@ -91,7 +92,7 @@
           .<Either<TransportError, T>>map(path -> malformed(path + " is null or missing"))
           .orElseGet(() -> Either.right(value));
     } catch (InvalidTypeIdException e) {
-      return e.getTypeId() == null ? malformed("no message type") : unknownType(e.getTypeId());
+      return e.getTypeId() == null ? malformed("missing message type") : unknownType(e.getTypeId());
     } catch (JsonMappingException e) {
       return malformed(e.getClass().getSimpleName() + " at " + e.getPathReference());
     } catch (IOException e) {
--- a/umberpath-transport/src/main/java/io/umberpath/transport/NullCheck.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/NullCheck.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.stream.Stream;
 
-/** Finds null record components, elements and map values in decoded values. */
+/** Finds null record components, collection elements and map values in decoded objects. */
 final class NullCheck {
   private static final ClassValue<List<Method>> ACCESSORS =
       new ClassValue<>() {
@@ -29,7 +29,7 @@
     return accessor;
   }
 
-  /** The place of the first null below and including a value, if there is one. */
+  /** Returns the path of the first null in an object graph, including its root, if any. */
   static Optional<String> findFirstNull(Object value) {
     return findFirstNull(value, "the value");
   }
@@ -78,7 +78,7 @@
     try {
       return accessor.invoke(value);
     } catch (IllegalAccessException | InvocationTargetException e) {
-      throw new IllegalStateException("cannot read " + accessor, e);
+      throw new IllegalStateException("cannot invoke " + accessor, e);
     }
   }
 }
--- a/umberpath-transport/src/main/java/io/umberpath/transport/Peer.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/Peer.java
@@ -5,20 +5,20 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Everything known of one peer. Guarded by {@link PeerTable#lock}. */
+/** Connection state and send queue of one peer. Guarded by {@link PeerTable#lock}. */
 final class Peer {
   final PeerAddress address;
   final SendQueue queue;
   final Backoff backoff;
   final List<PeerConnection> established = new ArrayList<>();
 
-  /** The connection messages are sent on; null if there is none. */
+  /** Connection on which messages are sent; null if there is none. */
   PeerConnection active;
 
-  /** The attempt that is under way; null if there is none. */
+  /** Connection attempt in progress; null if there is none. */
   PeerConnection connectAttempt;
 
-  /** No attempt before this time. */
+  /** Earliest time of the next connection attempt, in milliseconds of the transport clock. */
   long nextAttemptMillis;
 
   boolean disconnectWhenEmpty;
@@ -33,8 +33,8 @@
   }
 
   /**
-   * The usable connection both sides prefer: of two directions, the one that the smaller address
-   * dialled; of one direction, the newest.
+   * Returns the usable connection that both sides select: the one dialled by the smaller address if
+   * there are connections in both directions, otherwise the newest.
    */
   Optional<PeerConnection> preferredConnection(PeerAddress self) {
     boolean preferOutbound = self.compareTo(address) < 0;
@@ -52,7 +52,7 @@
     return Optional.ofNullable(best);
   }
 
-  /** Whether nothing would be lost by forgetting this peer. */
+  /** Whether this peer has no connections, queued frames or pending backoff and can be removed. */
   boolean isIdle(long nowMillis) {
     return established.isEmpty()
         && connectAttempt == null
--- a/umberpath-transport/src/main/java/io/umberpath/transport/PeerConnection.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/PeerConnection.java
@@ -7,25 +7,28 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * One TCP connection, from the attempt to its end. Fields are guarded by {@link PeerTable#lock},
- * except {@code decoder}, which belongs to the thread that reads, and {@code flushRequests}.
+ * A TCP connection from the connection attempt until it is closed. Fields are guarded by {@link
+ * PeerTable#lock}, except {@code decoder}, which is used by the reading thread only, and {@code
+ * flushRequests}.
  */
 final class PeerConnection {
-  /** The address dialled; empty for an accepted connection. */
+  /** Address that was dialled; empty for an accepted connection. */
   final Optional<PeerAddress> dialledAddress;
 
   final FrameDecoder decoder;
 
-  /** Hello, goodbye and ping frames that wait to be written, ahead of messages. */
+  /** Queued hello, goodbye and ping frames; written before messages. */
   final ArrayDeque<byte[]> controlFrames = new ArrayDeque<>();
 
-  /** Counts requests to write, so that one thread at a time does it, without recursion. */
+  /**
+   * Number of pending flush requests; ensures that one thread flushes at a time, without recursion.
+   */
   final AtomicInteger flushRequests = new AtomicInteger();
 
-  /** The socket; null until the attempt has succeeded. */
+  /** Socket; null until the connection attempt has succeeded. */
   Socket socket;
 
-  /** The peer's hello; null until it has arrived. */
+  /** Hello of the peer; null until it has been received. */
   Hello remoteHello;
 
   long openedMillis;
@@ -53,18 +56,18 @@
     return remoteHello != null;
   }
 
-  /** Whether both sides may still send messages on it. */
+  /** Whether both sides may still send messages on this connection. */
   boolean isUsable() {
     return remoteHello != null && !closed && !goodbyeQueued && !goodbyeReceived;
   }
 
-  /** Queues the last frame of this side. */
+  /** Queues the goodbye frame, after which this side sends no more messages. */
   void queueGoodbye() {
     goodbyeQueued = true;
     controlFrames.add(Frame.encode(FrameKind.GOODBYE));
   }
 
-  /** Whether a ping is due, so that the other side does not take this one for gone. */
+  /** Whether a ping is due to keep the peer's silence timeout from expiring. */
   boolean needsPing(long nowMillis, long pingIntervalMillis) {
     return isUsable()
         && !writeInProgress
@@ -72,7 +75,7 @@
         && nowMillis - lastWriteMillis >= pingIntervalMillis;
   }
 
-  /** The timeout that has passed, if any. */
+  /** Returns a fault for the timeout that has expired, if any. */
   Optional<TransportError> findExpiredTimeout(long nowMillis, TransportSettings.Timeouts timeouts) {
     if (closed) {
       return Optional.empty();
@@ -94,10 +97,10 @@
     if (elapsedMillis < limitMillis) {
       return Optional.empty();
     }
-    return Optional.of(new TransportError(fault, "more than " + limitMillis + " ms"));
+    return Optional.of(new TransportError(fault, "exceeded timeout of " + limitMillis + " ms"));
   }
 
-  /** For logs: the best name known for the other side. */
+  /** Returns the peer's listening address or else the dialled address, for logs. */
   String describe() {
     if (remoteHello != null) {
       return remoteHello.listenAddress().toString();
@@ -105,15 +108,18 @@
     return dialledAddress.map(PeerAddress::toString).orElse("unnamed");
   }
 
-  /** What the owner needs of a TCP connection. */
+  /** Operations of the underlying TCP connection. */
   interface Socket {
-    /** Writes and reports when the operating system or TLS has taken all of it. */
+    /**
+     * Writes frames; runs {@code onWritten} once the operating system or TLS has accepted all
+     * bytes.
+     */
     void write(List<byte[]> frames, Runnable onWritten);
 
-    /** Closes after what was written. */
+    /** Closes the connection after pending writes. */
     void close();
 
-    /** Closes at once. */
+    /** Closes the connection immediately, discarding pending writes. */
     void abort();
   }
 }
--- a/umberpath-transport/src/main/java/io/umberpath/transport/PeerTable.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/PeerTable.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 
 /**
- * Peers and connections of one transport and the choice among connections. Every method is called
- * with {@link #lock} held.
+ * Peers and connections of one transport. Selects the active connection of each peer. All methods
+ * must be called with {@link #lock} held.
  */
 final class PeerTable {
   /** Guards this table, its peers and their connections. */
@@ -32,7 +32,7 @@
     return peers.computeIfAbsent(address, key -> new Peer(key, settings));
   }
 
-  /** Adds a connection whose hello has been checked. */
+  /** Registers a connection whose hello has been validated. */
   Peer establish(PeerConnection connection, Hello hello) {
     Peer peer = getOrCreatePeer(hello.listenAddress());
     connection.remoteHello = hello;
@@ -46,7 +46,7 @@
     return peer;
   }
 
-  /** Removes and returns the connections of other incarnations of the same peer. */
+  /** Removes and returns the connections that belong to other incarnations of the peer. */
   List<PeerConnection> removeStaleIncarnations(Peer peer, long incarnation) {
     List<PeerConnection> stale =
         peer.established.stream()
@@ -59,9 +59,9 @@
   }
 
   /**
-   * Chooses the connection to send on and queues goodbyes on the others.
+   * Selects the connection to send on and queues a goodbye on the others.
    *
-   * @return connections that have something to write
+   * @return connections on which a goodbye was queued
    */
   List<PeerConnection> selectActive(Peer peer) {
     peer.active = peer.preferredConnection(self).orElse(null);
@@ -73,7 +73,10 @@
     return retired;
   }
 
-  /** Begins an attempt if frames wait, none is under way and the backoff has passed. */
+  /**
+   * Begins a connection attempt if frames are queued, there is neither an active connection nor
+   * another attempt, and the backoff has elapsed.
+   */
   Optional<PeerConnection> beginConnectAttempt(Peer peer, long nowMillis) {
     boolean needed = peer.active == null && peer.connectAttempt == null && !peer.queue.isEmpty();
     if (closed || !needed || nowMillis < peer.nextAttemptMillis) {
@@ -86,14 +89,14 @@
     return Optional.of(attempt);
   }
 
-  /** Removes an established connection; true if the peer lost the connection it was sent on. */
+  /** Removes an established connection; returns true if it was the active one. */
   boolean removeEstablished(PeerConnection connection) {
     Peer peer = getOrCreatePeer(connection.remoteHello.listenAddress());
     peer.established.remove(connection);
     return peer.active == connection;
   }
 
-  /** Removes a failed attempt; true if the peer has no other connection. */
+  /** Removes a failed attempt; returns true if the peer has no active connection. */
   boolean removeConnectAttempt(PeerConnection connection, long nowMillis) {
     Peer peer = getOrCreatePeer(connection.dialledAddress.get());
     peer.connectAttempt = null;
@@ -101,7 +104,7 @@
     return peer.active == null;
   }
 
-  /** Drops what waits for a peer that is out of reach. */
+  /** Discards the queued frames of an unreachable peer. */
   void discardPending(Peer peer) {
     peer.active = null;
     peer.queue.clear();
--- a/umberpath-transport/src/main/java/io/umberpath/transport/PositionalRecords.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/PositionalRecords.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.introspect.AnnotatedClass;
 import com.fasterxml.jackson.databind.introspect.NopAnnotationIntrospector;
 
-/** Encodes every record as an array of its components, without their names. */
+/** Makes Jackson serialize every record as an array of its components, without their names. */
 final class PositionalRecords extends NopAnnotationIntrospector {
   private static final long serialVersionUID = 1L;
 
--- a/umberpath-transport/src/main/java/io/umberpath/transport/RecordDeserializer.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/RecordDeserializer.java
@@ -20,8 +20,8 @@
 import java.util.stream.Stream;
 
 /**
- * Decodes a record from an array of exactly its components. Jackson's own decoder of such arrays
- * skips surplus elements.
+ * Deserializes a record from an array that holds exactly its components. Needed because Jackson's
+ * own array deserializer silently skips surplus elements.
  */
 final class RecordDeserializer extends StdDeserializer<Object> implements ResolvableDeserializer {
   private static final long serialVersionUID = 1L;
@@ -39,7 +39,7 @@
     constructor.setAccessible(true);
   }
 
-  /** Makes every record decode this way. */
+  /** Creates a Jackson module that applies this deserializer to all records. */
   static SimpleModule module() {
     return new SimpleModule().setDeserializerModifier(new RecordDeserializerModifier());
   }
@@ -55,7 +55,7 @@
   @Override
   public Object deserialize(JsonParser parser, DeserializationContext context) throws IOException {
     if (!parser.isExpectedStartArrayToken()) {
-      return context.reportInputMismatch(this, "not an array of components");
+      return context.reportInputMismatch(this, "expected an array of record components");
     }
     Object[] values = new Object[components.length];
     for (int index = 0; index < values.length; index++) {
@@ -71,7 +71,7 @@
       throws IOException {
     JsonToken token = parser.nextToken();
     if (token == JsonToken.END_ARRAY) {
-      return context.reportInputMismatch(this, "only %d components", index);
+      return context.reportInputMismatch(this, "missing components: found only %d", index);
     }
     try {
       return token == JsonToken.VALUE_NULL
@@ -93,7 +93,7 @@
     }
   }
 
-  /** Replaces the decoders of records. */
+  /** Replaces Jackson's deserializers for records. */
   private static final class RecordDeserializerModifier extends BeanDeserializerModifier {
     private static final long serialVersionUID = 1L;
 
@@ -106,7 +106,7 @@
       try {
         return new RecordDeserializer(type.getBeanClass());
       } catch (NoSuchMethodException e) {
-        throw new IllegalStateException("record without canonical constructor", e);
+        throw new IllegalStateException("record has no canonical constructor", e);
       }
     }
   }
--- a/umberpath-transport/src/main/java/io/umberpath/transport/SendQueue.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/SendQueue.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Frames that wait for one peer, bounded by count and bytes. Not thread-safe. */
+/** Queue of encoded frames for one peer, bounded by count and bytes. Not thread-safe. */
 final class SendQueue {
   private final int maxMessages;
   private final long maxBytes;
@@ -16,7 +16,7 @@
     this.maxBytes = maxBytes;
   }
 
-  /** Adds a frame unless the queue is full; an empty queue takes any frame. */
+  /** Adds a frame unless the queue is full; an empty queue accepts a frame of any size. */
   boolean offer(byte[] frame) {
     if (!frames.isEmpty()
         && (frames.size() >= maxMessages || queuedBytes + frame.length > maxBytes)) {
@@ -27,7 +27,7 @@
     return true;
   }
 
-  /** Removes frames from the head up to a number of bytes, but at least one if there is one. */
+  /** Removes up to {@code maxBatchBytes} of frames from the head, but at least one frame if any. */
   List<byte[]> poll(int maxBatchBytes) {
     List<byte[]> batch = new ArrayList<>();
     long polledBytes = 0;
--- a/umberpath-transport/src/main/java/io/umberpath/transport/Transport.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/Transport.java
@@ -5,16 +5,17 @@
 import java.io.IOException;
 
 /**
- * Carries control messages between nodes. Best effort: a message may be lost, never altered or
- * truncated; messages to one peer stay in order while a connection lasts. Thread-safe.
+ * Exchanges control messages between nodes. Delivery is best effort: a message may be lost but is
+ * never altered or truncated. Messages to one peer are delivered in order within a connection.
+ * Thread-safe.
  */
 public interface Transport extends AutoCloseable {
-  /** Receives messages and losses; called from transport threads. */
+  /** Receives messages and notifications about unreachable peers; called on transport threads. */
   interface Listener {
-    /** A whole, decoded message arrived from the peer that listens at {@code from}. */
+    /** Called with each decoded message from the peer that listens at {@code from}. */
     void onMessage(PeerAddress from, ControlMessage message);
 
-    /** The peer could not be reached or its connection broke. */
+    /** Called when a peer could not be reached or its connection was lost. */
     void onUnreachable(PeerAddress peer);
   }
 
@@ -25,20 +26,20 @@
    */
   void start(Listener listener) throws IOException;
 
-  /** Queues a message; connects if needed; drops it if the peer's bounded queue is full. */
+  /** Queues a message and connects if needed; drops the message if the peer's queue is full. */
   void send(PeerAddress to, ControlMessage message);
 
-  /** Closes the connection to a peer when its queue is empty. */
+  /** Closes the connection to a peer once its send queue is empty. */
   void disconnect(PeerAddress peer);
 
-  /** Bytes sent and received on control connections since start. */
+  /** Returns the bytes and messages sent and received on control connections since start. */
   Traffic traffic();
 
   @Override
   void close();
 
   /**
-   * Byte counters.
+   * Byte and message counters.
    *
    * @param sentBytes framed bytes written
    * @param receivedBytes framed bytes read
--- a/umberpath-transport/src/main/java/io/umberpath/transport/TransportCounters.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/TransportCounters.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.concurrent.atomic.LongAdder;
 
-/** Counters of one transport. Thread-safe. */
+/** Traffic and fault counters of one transport. Thread-safe. */
 final class TransportCounters {
   private final LongAdder sentBytes = new LongAdder();
   private final LongAdder receivedBytes = new LongAdder();
--- a/umberpath-transport/src/main/java/io/umberpath/transport/TransportError.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/TransportError.java
@@ -1,9 +1,9 @@
 package io.umberpath.transport;
 
 /**
- * A fault and what is known of it.
+ * A transport fault with details for the log.
  *
- * @param fault the cause
- * @param detail names the field and value at fault, free of message content
+ * @param fault the category of the fault
+ * @param detail names the field and value at fault; must not contain message content
  */
 public record TransportError(TransportFault fault, String detail) {}
--- a/umberpath-transport/src/main/java/io/umberpath/transport/TransportFault.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/TransportFault.java
@@ -2,44 +2,46 @@
 
 import java.util.Locale;
 
-/** Causes of lost messages and closed connections; each has its counter. */
+/** Causes of lost messages and closed connections, each counted separately. */
 public enum TransportFault {
-  /** A frame header is not one. */
+  /** A frame header is invalid. */
   MALFORMED_FRAME,
-  /** The connection ended inside a frame. */
+  /** The connection was closed in the middle of a frame. */
   TRUNCATED_FRAME,
-  /** A frame is longer than the limit. */
+  /** A frame exceeds the size limit. */
   OVERSIZED_FRAME,
-  /** The peer speaks another protocol version. */
+  /** The peer uses a different protocol version. */
   WRONG_VERSION,
-  /** The first frame is not a valid hello, or names an address that the connection is not for. */
+  /**
+   * The first frame is not a valid hello, or the hello names an address other than the dialled one.
+   */
   BAD_HELLO,
-  /** A payload is not a valid message. */
+  /** A payload cannot be decoded as a message. */
   MALFORMED_MESSAGE,
-  /** A message type is not known here. */
+  /** The message type is unknown to this build. */
   UNKNOWN_MESSAGE_TYPE,
-  /** The connection could not be made. */
+  /** A connection attempt failed. */
   CONNECT_FAILED,
-  /** No connection with a hello within the connect timeout. */
+  /** No hello was received within the connect timeout. */
   CONNECT_TIMEOUT,
-  /** An established connection broke. */
+  /** A connection was lost without a goodbye. */
   CONNECTION_LOST,
-  /** The peer sent nothing for the silence timeout. */
+  /** Nothing was received from the peer for the silence timeout. */
   SILENT_PEER,
-  /** The peer took nothing for the stall timeout. */
+  /** A write to the peer made no progress for the stall timeout. */
   STALLED_PEER,
-  /** More connections than the limit. */
+  /** The connection limit was reached. */
   TOO_MANY_CONNECTIONS,
   /** A message was dropped because the peer's send queue was full. */
   SEND_QUEUE_FULL,
-  /** A message could not be sent: too large, or to an address this transport may not use. */
+  /** A message could not be sent: it is too large, or its destination is not allowed. */
   REFUSED_MESSAGE,
   /** The TLS handshake failed. */
   TLS_HANDSHAKE_FAILED,
-  /** Changed certificate files could not be loaded; the former ones stay in use. */
+  /** Changed certificate files could not be loaded; the previous ones stay in use. */
   TLS_RELOAD_FAILED;
 
-  /** Stable name for logs and metric labels, for example {@code wrong-version}. */
+  /** Returns the stable name for logs and metric labels, for example {@code wrong-version}. */
   public String label() {
     return name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
--- a/umberpath-transport/src/main/java/io/umberpath/transport/tls/MutualTlsEngineConfigurator.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/tls/MutualTlsEngineConfigurator.java
@@ -3,7 +3,7 @@
 import javax.net.ssl.SSLEngine;
 import org.glassfish.grizzly.ssl.SSLEngineConfigurator;
 
-/** Makes engines from the newest context; both sides must show a certificate. */
+/** Creates TLS engines from the current context; both sides must present a certificate. */
 final class MutualTlsEngineConfigurator extends SSLEngineConfigurator {
   private static final String[] PROTOCOLS = {TlsContextLoader.PROTOCOL};
 
--- a/umberpath-transport/src/main/java/io/umberpath/transport/tls/ReloadingTlsContext.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/tls/ReloadingTlsContext.java
@@ -13,8 +13,8 @@
 import org.glassfish.grizzly.ssl.SSLFilter;
 
 /**
- * The TLS context of the certificate files as they were when last loaded whole. Thread-safe; {@link
- * #reload} is called by one thread.
+ * Provides the TLS context of the last successful load of the certificate files. Thread-safe,
+ * except that {@link #reload} must be called by a single thread.
  */
 public final class ReloadingTlsContext {
   private final MutualTls security;
@@ -30,24 +30,26 @@
   /**
    * Loads the files for the first time.
    *
-   * @throws IOException if a file cannot be read or is not what it should be
+   * @throws IOException if a file cannot be read or has invalid content
    */
   public static ReloadingTlsContext load(MutualTls security) throws IOException {
     HashCode contentHash = hashContent(security);
     Try<SSLContext> loaded = TlsContextLoader.load(security);
     if (loaded.isFailure()) {
       throw new IOException(
-          "TLS files cannot be loaded: " + loaded.getCause().getMessage(), loaded.getCause());
+          "failed to load TLS files: " + loaded.getCause().getMessage(), loaded.getCause());
     }
     return new ReloadingTlsContext(security, contentHash, loaded.get());
   }
 
-  /** The context for new connections. */
+  /** Returns the context for new connections. */
   SSLContext context() {
     return context;
   }
 
-  /** A filter that takes the newest context for each new connection, in either direction. */
+  /**
+   * Creates a filter that uses the current context for each new connection, in either direction.
+   */
   public SSLFilter filter() {
     return new SSLFilter(
         new MutualTlsEngineConfigurator(this, false), new MutualTlsEngineConfigurator(this, true));
@@ -56,8 +58,8 @@
   /**
    * Loads the files again if their content has changed.
    *
-   * @return whether a new context is in use, or why the former one stays; an unchanged fault is
-   *     reported once
+   * @return whether a new context is in use, or the reason why the previous one stays in use;
+   *     invalid content is reported once until it changes, an unreadable file at each call
    */
   public Either<String, Boolean> reload() {
     Try<HashCode> contentHash = Try.of(() -> hashContent(security));
--- a/umberpath-transport/src/main/java/io/umberpath/transport/tls/TlsContextLoader.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/tls/TlsContextLoader.java
@@ -18,9 +18,9 @@
 import javax.net.ssl.SSLContext;
 import javax.net.ssl.TrustManagerFactory;
 
-/** Builds TLS contexts from files. */
+/** Creates TLS contexts from certificate and key files. */
 final class TlsContextLoader {
-  /** The one protocol that nodes speak. */
+  /** The only TLS version that nodes accept. */
   static final String PROTOCOL = "TLSv1.3";
 
   private static final String KEY_STORE_TYPE = "PKCS12";
@@ -28,12 +28,12 @@
 
   private TlsContextLoader() {}
 
-  /** Loads every file anew; the failure says which one is at fault. */
+  /** Reads all files and creates a context; the failure names the file at fault. */
   static Try<SSLContext> load(MutualTls security) {
     return Try.of(() -> create(security));
   }
 
-  /** The files a context depends on. */
+  /** Lists the files from which a context is created. */
   static List<Path> listFiles(MutualTls security) {
     Identity identity = security.identity();
     Stream<Path> identityFiles =
--- a/umberpath-transport/src/main/java/io/umberpath/transport/tls/package-info.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/tls/package-info.java
@@ -1,2 +1,4 @@
-/** Mutual TLS between nodes: certificate files, their reload and the Grizzly filter. */
+/**
+ * Mutual TLS between nodes: loads and reloads certificate files and provides the Grizzly filter.
+ */
 package io.umberpath.transport.tls;
--- a/umberpath-transport/src/test/java/io/umberpath/transport/ControlMessageCodecTest.java
+++ b/umberpath-transport/src/test/java/io/umberpath/transport/ControlMessageCodecTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Every control message survives the wire as it is. */
+/** Checks that every control message is unchanged after encoding and decoding. */
 class ControlMessageCodecTest {
   private static final PeerAddress ADDRESS = new PeerAddress("10.0.0.1", 7000);
   private static final Member MEMBER = new Member(3, ADDRESS, 5, "selayang", "klang-valley");
--- a/umberpath-transport/src/test/java/io/umberpath/transport/FaultyPeerTest.java
+++ b/umberpath-transport/src/test/java/io/umberpath/transport/FaultyPeerTest.java
@@ -16,13 +16,16 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** What one faulty peer does is counted by cause, ends its connection and touches nothing else. */
+/**
+ * Checks that a fault of one peer is counted by cause, closes its connection and affects no other
+ * connection.
+ */
 @Timeout(120)
 class FaultyPeerTest {
   private static final TransportSettings.Timeouts SHORT_TIMEOUTS =
       new TransportSettings.Timeouts(300, 300, 300, 10, 100);
 
-  /** What the raw peer does after the listed bytes. */
+  /** What the raw peer does after it has written the bytes of the case. */
   private enum EndAction {
     WAIT,
     CLOSE,
@@ -109,12 +112,16 @@
         TestNode healthy = TestNode.open();
         RawPeer faulty = RawPeer.dial(target.address)) {
       healthy.send(target, 1);
-      await("before", () -> target.recorder.numbersFrom(healthy.address).contains(1));
+      await(
+          "message before the fault",
+          () -> target.recorder.numbersFrom(healthy.address).contains(1));
       faulty.write(bytes);
       if (endAction == EndAction.CLOSE) {
         faulty.shutdownOutput();
       } else if (endAction == EndAction.RESET) {
-        await("read", () -> !target.recorder.numbersFrom(RawPeer.ADDRESS).isEmpty());
+        await(
+            "message of the faulty peer",
+            () -> !target.recorder.numbersFrom(RawPeer.ADDRESS).isEmpty());
         faulty.reset();
       }
       await(fault.label(), () -> target.faults(fault) == 1);
@@ -124,8 +131,12 @@
       await("one connection is left", () -> target.transport.connections() == 1);
       healthy.send(target, 2);
       target.send(healthy, 3);
-      await("after", () -> target.recorder.numbersFrom(healthy.address).contains(2));
-      await("answer", () -> healthy.recorder.numbersFrom(target.address).contains(3));
+      await(
+          "message after the fault",
+          () -> target.recorder.numbersFrom(healthy.address).contains(2));
+      await(
+          "message to the healthy peer",
+          () -> healthy.recorder.numbersFrom(target.address).contains(3));
       assertThat(target.transport.faults().values().stream().mapToLong(n -> n).sum()).isEqualTo(1);
       assertThat(target.recorder.unreachable).doesNotContain(healthy.address);
       return target;
@@ -137,7 +148,8 @@
     try (TestNode target = TestNode.open(TestNode.LIMITS, SHORT_TIMEOUTS);
         RawPeer halfOpen = RawPeer.dial(target.address)) {
       halfOpen.write(RawPeer.hello()).write(RawPeer.message(1));
-      await("told", () -> target.recorder.unreachable.contains(RawPeer.ADDRESS));
+      await(
+          "unreachable peer reported", () -> target.recorder.unreachable.contains(RawPeer.ADDRESS));
       halfOpen.awaitClosed();
       assertThat(target.faults(TransportFault.SILENT_PEER)).isEqualTo(1);
       assertThat(target.recorder.numbersFrom(RawPeer.ADDRESS)).containsExactly(1);
@@ -151,7 +163,7 @@
     try (TestNode a = TestNode.open(TestNode.LIMITS, twoSeconds);
         TestNode b = TestNode.open(TestNode.LIMITS, twoSeconds)) {
       a.send(b, 1);
-      await("sent", () -> b.recorder.numbersFrom(a.address).contains(1));
+      await("message delivered", () -> b.recorder.numbersFrom(a.address).contains(1));
       long hello = b.transport.traffic().receivedBytes();
       int pings = 4;
       await(
@@ -170,13 +182,18 @@
         TestNode healthy = TestNode.open();
         RawPeer slow = RawPeer.dial(target.address)) {
       slow.write(RawPeer.hello()).write(RawPeer.message(1));
-      await("known", () -> !target.recorder.numbersFrom(RawPeer.ADDRESS).isEmpty());
+      await(
+          "connection with the slow reader",
+          () -> !target.recorder.numbersFrom(RawPeer.ADDRESS).isEmpty());
       while (target.faults(TransportFault.SEND_QUEUE_FULL) == 0) {
         target.transport.send(RawPeer.ADDRESS, TestMessages.message(2, "x".repeat(60_000)));
       }
       target.send(healthy, 3);
-      await("sound peer", () -> healthy.recorder.numbersFrom(target.address).contains(3));
-      await("told", () -> target.recorder.unreachable.contains(RawPeer.ADDRESS));
+      await(
+          "message to the healthy peer",
+          () -> healthy.recorder.numbersFrom(target.address).contains(3));
+      await(
+          "unreachable peer reported", () -> target.recorder.unreachable.contains(RawPeer.ADDRESS));
       assertThat(target.faults(TransportFault.STALLED_PEER)).isEqualTo(1);
     }
   }
@@ -187,7 +204,7 @@
         TestNode target = TestNode.open(TestNode.LIMITS, SHORT_TIMEOUTS)) {
       PeerAddress address = new PeerAddress("127.0.0.1", silentServer.getLocalPort());
       target.transport.send(address, TestMessages.message(1));
-      await("told", () -> target.recorder.unreachable.contains(address));
+      await("unreachable peer reported", () -> target.recorder.unreachable.contains(address));
       assertThat(target.faults(TransportFault.CONNECT_TIMEOUT)).isEqualTo(1);
     }
   }
@@ -202,7 +219,7 @@
         peer.write(RawPeer.hello());
         peer.awaitClosed();
       }
-      await("told", () -> target.recorder.unreachable.contains(address));
+      await("unreachable peer reported", () -> target.recorder.unreachable.contains(address));
       assertThat(target.faults(TransportFault.BAD_HELLO)).isEqualTo(1);
     }
   }
@@ -213,13 +230,17 @@
     try (TestNode target = TestNode.open(one, TestNode.TIMEOUTS);
         TestNode first = TestNode.open()) {
       first.send(target, 1);
-      await("first", () -> target.recorder.numbersFrom(first.address).contains(1));
+      await(
+          "message on the first connection",
+          () -> target.recorder.numbersFrom(first.address).contains(1));
       try (RawPeer second = RawPeer.dial(target.address)) {
         second.awaitClosed();
       }
       assertThat(target.faults(TransportFault.TOO_MANY_CONNECTIONS)).isEqualTo(1);
       first.send(target, 2);
-      await("still there", () -> target.recorder.numbersFrom(first.address).contains(2));
+      await(
+          "second message on the first connection",
+          () -> target.recorder.numbersFrom(first.address).contains(2));
     }
   }
 
@@ -227,7 +248,7 @@
     return new FaultCase(name, bytes, fault, EndAction.WAIT);
   }
 
-  /** One line of a fault table. */
+  /** Arguments of one test case. */
   private record FaultCase(String name, byte[] bytes, TransportFault fault, EndAction endAction)
       implements Arguments {
     FaultCase withEndAction(EndAction nextAction) {
--- a/umberpath-transport/src/test/java/io/umberpath/transport/GrizzlyTransportTest.java
+++ b/umberpath-transport/src/test/java/io/umberpath/transport/GrizzlyTransportTest.java
@@ -36,10 +36,10 @@
         Thread other = new Thread(() -> IntStream.range(0, 90).forEach(n -> b.send(a, n)));
         other.start();
         IntStream.range(0, 90).forEach(n -> a.send(b, n));
-        await("b", () -> b.recorder.numbersFrom(a.address).size() == 90);
-        await("a", () -> a.recorder.numbersFrom(b.address).size() == 90);
-        await("one connection", () -> a.transport.connections() == 1);
-        await("one connection", () -> b.transport.connections() == 1);
+        await("all messages at b", () -> b.recorder.numbersFrom(a.address).size() == 90);
+        await("all messages at a", () -> a.recorder.numbersFrom(b.address).size() == 90);
+        await("one connection left at a", () -> a.transport.connections() == 1);
+        await("one connection left at b", () -> b.transport.connections() == 1);
         assertThat(a.recorder.unreachable).isEmpty();
         assertThat(b.recorder.unreachable).isEmpty();
       }
@@ -54,11 +54,12 @@
     }
     try (TestNode a = TestNode.open()) {
       a.transport.send(later, TestMessages.message(1));
-      await("told", () -> a.recorder.unreachable.contains(later));
+      await("unreachable peer reported", () -> a.recorder.unreachable.contains(later));
       assertThat(a.faults(TransportFault.CONNECT_FAILED)).isPositive();
       try (TestNode b = TestNode.open(later, 2, TestNode.LIMITS, TestNode.TIMEOUTS)) {
         a.send(b, 2);
-        await("reached", () -> b.recorder.numbersFrom(a.address).contains(2));
+        await(
+            "message after the peer started", () -> b.recorder.numbersFrom(a.address).contains(2));
       }
     }
   }
@@ -68,14 +69,19 @@
     try (TestNode a = TestNode.open()) {
       TestNode first = TestNode.open();
       a.send(first, 1);
-      await("first", () -> first.recorder.numbersFrom(a.address).contains(1));
+      await(
+          "message to the first process", () -> first.recorder.numbersFrom(a.address).contains(1));
       first.close();
-      await("told", () -> a.recorder.unreachable.contains(first.address));
+      await("unreachable peer reported", () -> a.recorder.unreachable.contains(first.address));
       try (TestNode second = TestNode.open(first.address, 2, TestNode.LIMITS, TestNode.TIMEOUTS)) {
         second.send(a, 7);
         a.send(second, 2);
-        await("second", () -> second.recorder.numbersFrom(a.address).contains(2));
-        await("back", () -> a.recorder.numbersFrom(second.address).contains(7));
+        await(
+            "message to the restarted process",
+            () -> second.recorder.numbersFrom(a.address).contains(2));
+        await(
+            "message from the restarted process",
+            () -> a.recorder.numbersFrom(second.address).contains(7));
       }
     }
   }
@@ -87,7 +93,9 @@
       IntStream.range(0, 20).forEach(number -> a.send(b, number));
       a.transport.disconnect(b.address);
       await("delivered", () -> b.recorder.numbersFrom(a.address).size() == 20);
-      await("closed", () -> a.transport.connections() + b.transport.connections() == 0);
+      await(
+          "all connections closed",
+          () -> a.transport.connections() + b.transport.connections() == 0);
       b.send(a, 3);
       await("dialled again", () -> a.recorder.numbersFrom(b.address).contains(3));
       assertThat(a.recorder.unreachable).isEmpty();
@@ -104,7 +112,7 @@
       a.transport.send(a.address, TestMessages.message(3));
       assertThat(a.faults(TransportFault.REFUSED_MESSAGE)).isEqualTo(3);
       a.send(b, 4);
-      await("sound message", () -> b.recorder.numbersFrom(a.address).contains(4));
+      await("valid message", () -> b.recorder.numbersFrom(a.address).contains(4));
     }
   }
 
--- a/umberpath-transport/src/test/java/io/umberpath/transport/MutualTlsTest.java
+++ b/umberpath-transport/src/test/java/io/umberpath/transport/MutualTlsTest.java
@@ -55,7 +55,8 @@
     return Stream.of(
         Arguments.of("foreign authority", certificates.pem("intruder", "mesh")),
         Arguments.of(
-            "foreign authority that trusts itself", certificates.pem("intruder", "foreign")),
+            "foreign authority that the node itself trusts",
+            certificates.pem("intruder", "foreign")),
         Arguments.of("expired", certificates.pem("expired", "mesh")),
         Arguments.of("self-signed", certificates.pem("foreign", "mesh")),
         Arguments.of("plain text", new TransportSecurity.PlainTextLoopback()));
@@ -73,11 +74,13 @@
           () ->
               a.faults(TransportFault.TLS_HANDSHAKE_FAILED) > 0
                   || untrusted.faults(TransportFault.TLS_HANDSHAKE_FAILED) > 0);
-      await("stranger told", () -> untrusted.recorder.unreachable.contains(a.address));
+      await(
+          "unreachable peer reported to the untrusted node",
+          () -> untrusted.recorder.unreachable.contains(a.address));
       a.send(untrusted, 2);
       await("outbound refused", () -> a.recorder.unreachable.contains(untrusted.address));
       b.send(a, 3);
-      await("the mesh goes on", () -> a.recorder.numbersFrom(b.address).contains(3));
+      await("trusted nodes still communicate", () -> a.recorder.numbersFrom(b.address).contains(3));
       assertThat(a.recorder.numbersFrom(untrusted.address)).isEmpty();
       assertThat(untrusted.recorder.numbersFrom(a.address)).isEmpty();
       assertThat(untrusted.transport.traffic().receivedMessages()).isZero();
@@ -91,12 +94,12 @@
     try (TestNode a = open(certificates.pem("a", "mesh"));
         TestNode renewed = open(certificates.pem("renewed", "mesh"))) {
       renewed.send(a, 1);
-      await("expired is refused", () -> renewed.recorder.unreachable.contains(a.address));
+      await("expired certificate refused", () -> renewed.recorder.unreachable.contains(a.address));
       certificates.write("renewed.key", "half a file");
-      await("broken", () -> renewed.faults(TransportFault.TLS_RELOAD_FAILED) > 0);
+      await("failed reload reported", () -> renewed.faults(TransportFault.TLS_RELOAD_FAILED) > 0);
       certificates.replace("renewed", "b");
       await(
-          "accepted",
+          "renewed certificate accepted",
           () -> {
             renewed.send(a, 2);
             return a.recorder.numbersFrom(renewed.address).contains(2);
--- a/umberpath-transport/src/test/java/io/umberpath/transport/RawPeer.java
+++ b/umberpath-transport/src/test/java/io/umberpath/transport/RawPeer.java
@@ -9,7 +9,7 @@
 import java.net.SocketTimeoutException;
 import java.nio.ByteBuffer;
 
-/** A peer that writes any bytes it likes. */
+/** A peer that writes arbitrary bytes to a plain socket. */
 final class RawPeer implements AutoCloseable {
   static final PeerAddress ADDRESS = new PeerAddress("127.0.0.1", 9);
 
@@ -38,7 +38,7 @@
     return Frame.encode(FrameKind.MESSAGE, payload);
   }
 
-  /** A frame header, then nothing. */
+  /** Encodes a frame header without a payload. */
   static byte[] header(int length, int version, int kind) {
     return ByteBuffer.allocate(Frame.HEADER_BYTES)
         .putInt(length)
@@ -52,7 +52,7 @@
     return this;
   }
 
-  /** Closes with a reset, as a killed machine's network would. */
+  /** Closes the connection with a TCP reset, as happens when the peer's machine fails. */
   void reset() throws IOException {
     socket.setSoLinger(true, 0);
     socket.close();
@@ -62,7 +62,7 @@
     socket.shutdownOutput();
   }
 
-  /** Reads until the other side closes; the read timeout fails the test. */
+  /** Reads until the peer closes the connection; fails after a read timeout. */
   void awaitClosed() throws IOException {
     socket.setSoTimeout(30_000);
     InputStream input = socket.getInputStream();
@@ -75,7 +75,7 @@
     } catch (SocketTimeoutException e) {
       throw new AssertionError("the connection was not closed", e);
     } catch (SocketException e) {
-      // A reset ends the connection as well.
+      // A reset closes the connection as well.
       return;
     }
   }
--- a/umberpath-transport/src/test/java/io/umberpath/transport/RecordingListener.java
+++ b/umberpath-transport/src/test/java/io/umberpath/transport/RecordingListener.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** Keeps what a transport delivers. */
+/** Records the messages and unreachable peers that a transport reports. */
 final class RecordingListener implements Transport.Listener {
   private record Received(PeerAddress from, ControlMessage message) {}
 
--- a/umberpath-transport/src/test/java/io/umberpath/transport/TestCertificates.java
+++ b/umberpath-transport/src/test/java/io/umberpath/transport/TestCertificates.java
@@ -15,7 +15,10 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** Makes authorities and certificates with the JDK's {@code keytool} in a directory. */
+/**
+ * Creates certificate authorities and node certificates in a directory with the JDK's {@code
+ * keytool}.
+ */
 final class TestCertificates {
   static final String PASSWORD = "test-password";
 
@@ -26,13 +29,15 @@
     Files.writeString(passwordFile(), PASSWORD + "\n");
   }
 
-  /** Makes a self-signed authority. */
+  /** Creates a self-signed certificate authority. */
   void authority(String name) throws Exception {
     keytool(name, name, List.of("-ext", "bc:c=ca:true", "-ext", "ku:c=keyCertSign"));
     export(name, name);
   }
 
-  /** Makes a node certificate that an authority has signed; negative days have passed. */
+  /**
+   * Creates a node certificate signed by an authority; with negative days it has already expired.
+   */
   void node(String name, String authority, int validDays) throws Exception {
     int startDay = Math.min(validDays, 0) - 1;
     List<String> arguments =
@@ -104,7 +109,9 @@
         directory.resolve(authority + ".pem"));
   }
 
-  /** Overwrites one node's files with another's, as a renewal does. */
+  /**
+   * Overwrites a node's certificate and key with those of another, as a certificate renewal does.
+   */
   void replace(String name, String replacement) throws IOException {
     for (String suffix : List.of(".pem", ".key")) {
       try (OutputStream output = Files.newOutputStream(directory.resolve(name + suffix))) {
--- a/umberpath-transport/src/test/java/io/umberpath/transport/TestMessages.java
+++ b/umberpath-transport/src/test/java/io/umberpath/transport/TestMessages.java
@@ -3,7 +3,7 @@
 import io.umberpath.control.ControlMessage;
 import io.umberpath.model.ChangeResult;
 
-/** Numbered control messages. */
+/** Creates control messages that carry a number. */
 final class TestMessages {
   private TestMessages() {}
 
--- a/umberpath-transport/src/test/java/io/umberpath/transport/TestNode.java
+++ b/umberpath-transport/src/test/java/io/umberpath/transport/TestNode.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.BooleanSupplier;
 
-/** One transport under test on an ephemeral loopback port. */
+/** A transport under test on an ephemeral loopback port. */
 final class TestNode implements AutoCloseable {
   static final TransportSettings.Limits LIMITS =
       new TransportSettings.Limits(64 << 10, 100, 1 << 20, 20);
@@ -61,12 +61,12 @@
     return transport.faults().get(fault);
   }
 
-  /** Waits for a condition; fails loudly only after a bound that no healthy run comes near. */
+  /** Waits for a condition; fails after a timeout far longer than any healthy run needs. */
   static void await(String what, BooleanSupplier condition) {
     long deadline = System.nanoTime() + Duration.ofSeconds(AWAIT_TIMEOUT_SECONDS).toNanos();
     while (!condition.getAsBoolean()) {
       if (System.nanoTime() > deadline) {
-        throw new AssertionError("not reached: " + what);
+        throw new AssertionError("timed out waiting for: " + what);
       }
       Thread.onSpinWait();
       LockSupport.parkNanos(1_000_000);
