--- a/umberpath-transport/src/main/java/io/umberpath/transport/ConnectionManager.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/ConnectionManager.java
@@ -163,8 +163,7 @@
       return onHello(connection, frame.payload());
     }
     if (!connection.isEstablished()) {
-      return errorOf(
-          TransportFault.BAD_HELLO, "expected HELLO as first frame, got " + frame.kind());
+      return error(TransportFault.BAD_HELLO, "expected HELLO as first frame, got " + frame.kind());
     }
     if (frame.kind() == FrameKind.MESSAGE) {
       counters.countReceivedMessage();
@@ -342,7 +341,7 @@
     open.stream().filter(c -> c.socket != null).forEach(c -> c.socket.abort());
   }
 
-  private static Optional<TransportError> errorOf(TransportFault fault, String detail) {
+  private static Optional<TransportError> error(TransportFault fault, String detail) {
     return Optional.of(new TransportError(fault, detail));
   }
 }
--- a/umberpath-transport/src/main/java/io/umberpath/transport/NullCheck.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/NullCheck.java
@@ -38,8 +38,8 @@
     if (value == null) {
       return Optional.of(path);
     }
-    if (value instanceof Record part) {
-      return findInRecord(part);
+    if (value instanceof Record record) {
+      return findInRecord(record);
     }
     if (value instanceof Iterable<?> elements) {
       return findInElements(elements, path);
--- a/umberpath-transport/src/test/java/io/umberpath/transport/FaultyPeerTest.java
+++ b/umberpath-transport/src/test/java/io/umberpath/transport/FaultyPeerTest.java
@@ -96,10 +96,10 @@
   void faultAfterHello(String name, byte[] bytes, TransportFault fault, EndAction endAction)
       throws IOException {
     byte[] hello = RawPeer.hello();
-    byte[] healthy = RawPeer.message(1);
-    byte[] allBytes = Arrays.copyOf(hello, hello.length + healthy.length + bytes.length);
-    System.arraycopy(healthy, 0, allBytes, hello.length, healthy.length);
-    System.arraycopy(bytes, 0, allBytes, hello.length + healthy.length, bytes.length);
+    byte[] validMessage = RawPeer.message(1);
+    byte[] allBytes = Arrays.copyOf(hello, hello.length + validMessage.length + bytes.length);
+    System.arraycopy(validMessage, 0, allBytes, hello.length, validMessage.length);
+    System.arraycopy(bytes, 0, allBytes, hello.length + validMessage.length, bytes.length);
     TestNode target = assertFaultIsolated(allBytes, fault, endAction, TestNode.TIMEOUTS);
     assertThat(target.recorder.numbersFrom(RawPeer.ADDRESS)).startsWith(1);
     assertThat(target.recorder.unreachable).containsOnlyOnce(RawPeer.ADDRESS);
@@ -226,8 +226,9 @@
 
   @Test
   void connectionsOverTheLimitAreRefused() throws IOException {
-    TransportSettings.Limits one = new TransportSettings.Limits(64 << 10, 100, 1 << 20, 1);
-    try (TestNode target = TestNode.open(one, TestNode.TIMEOUTS);
+    TransportSettings.Limits singleConnection =
+        new TransportSettings.Limits(64 << 10, 100, 1 << 20, 1);
+    try (TestNode target = TestNode.open(singleConnection, TestNode.TIMEOUTS);
         TestNode first = TestNode.open()) {
       first.send(target, 1);
       await(
