--- a/umberpath-transport/src/main/java/io/umberpath/transport/Backoff.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/Backoff.java
@@ -2,7 +2,10 @@
 
 import java.util.concurrent.ThreadLocalRandom;
 
-/** Exponential backoff with jitter between half and the whole of each wait. Not thread-safe. */
+/**
+ * Exponential backoff with jitter: each delay is between half and all of the nominal delay. Not
+ * thread-safe.
+ */
 final class Backoff {
   private final long minMillis;
   private final long maxMillis;
@@ -14,11 +17,11 @@
     this.nextMillis = minMillis;
   }
 
-  /** The wait after one more failure. */
-  long nextWaitMillis() {
-    long wait = nextMillis;
+  /** Returns the delay in milliseconds after a further failure. */
+  long nextDelayMillis() {
+    long delayMillis = nextMillis;
     nextMillis = Math.min(maxMillis, 2 * nextMillis);
-    return wait / 2 + ThreadLocalRandom.current().nextLong(wait / 2 + 1);
+    return delayMillis / 2 + ThreadLocalRandom.current().nextLong(delayMillis / 2 + 1);
   }
 
   void reset() {
--- a/umberpath-transport/src/main/java/io/umberpath/transport/PeerConnections.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/ConnectionManager.java
@@ -8,90 +8,91 @@
 import java.util.function.LongSupplier;
 
 /**
- * Keeps one usable connection with each peer, whichever side dialled it, and a bounded queue of
- * frames for each. When two connections cross, both sides move to the one that the smaller address
- * dialled and end the other with goodbyes, so that no message is lost by it. Thread-safe; calls
- * listeners without holding its lock.
+ * Maintains one active connection per peer, regardless of which side dialled it, and a bounded send
+ * queue per peer. When both sides dial at the same time, both switch to the connection dialled by
+ * the smaller address and close the other after exchanging goodbye frames, so that no message is
+ * lost. Thread-safe; calls listeners without holding the lock.
  */
-final class PeerConnections {
-  private static final int PINGS_PER_SILENCE = 3;
+final class ConnectionManager {
+  private static final int PINGS_PER_SILENCE_TIMEOUT = 3;
 
   private final TransportSettings settings;
   private final Dialer dialer;
-  private final Receiver receiver;
+  private final PayloadReceiver receiver;
   private final TransportCounters counters;
-  private final FaultReporter faults;
+  private final FaultReporter faultReporter;
   private final LongSupplier clockMillis;
   private final Handshake handshake;
   private final PeerTable table;
   private final FrameWriter writer;
 
-  /** Starts connection attempts. */
+  /** Starts outbound connection attempts. */
   interface Dialer {
     /**
-     * Answers with {@link #onConnected} or {@link #onConnectFailed}, possibly before it returns.
+     * Starts an attempt and reports its result to {@link #onConnected} or {@link #onConnectFailed},
+     * possibly before this method returns.
      */
     void dial(PeerAddress peer, PeerConnection connection);
   }
 
-  /** Takes what arrives. */
-  interface Receiver {
-    /** Returns the error that ends the connection, if the payload is refused. */
+  /** Receives message payloads and notifications about unreachable peers. */
+  interface PayloadReceiver {
+    /** Returns the error for which the connection is closed if the payload is rejected. */
     Optional<TransportError> onPayload(PeerAddress from, byte[] payload);
 
     void onUnreachable(PeerAddress peer);
   }
 
-  PeerConnections(
+  ConnectionManager(
       TransportSettings settings,
       PeerAddress self,
       Dialer dialer,
-      Receiver receiver,
+      PayloadReceiver receiver,
       TransportCounters counters,
       LongSupplier clockMillis) {
     this.settings = settings;
     this.dialer = dialer;
     this.receiver = receiver;
     this.counters = counters;
-    this.faults = new FaultReporter(counters);
+    this.faultReporter = new FaultReporter(counters);
     this.clockMillis = clockMillis;
     this.handshake = new Handshake(self, settings.incarnation());
     this.table = new PeerTable(settings, self);
     this.writer = new FrameWriter(table, counters, clockMillis);
   }
 
-  /** Queues a frame for a peer; false if its queue is full. */
+  /** Queues a frame for a peer and connects if needed; returns false if the queue is full. */
   boolean send(PeerAddress to, byte[] frame) {
-    Effects effects = new Effects();
+    DeferredActions deferred = new DeferredActions();
     synchronized (table.lock) {
       if (table.closed) {
         return true;
       }
-      Peer peer = table.peer(to);
+      Peer peer = table.getOrCreatePeer(to);
       if (!peer.queue.offer(frame)) {
         return false;
       }
       peer.disconnectWhenEmpty = false;
-      pursue(peer, effects);
+      flushOrConnect(peer, deferred);
     }
-    effects.run();
+    deferred.run();
     return true;
   }
 
-  /** Ends the connection with a peer once its queue is empty. */
+  /** Closes the connection to a peer once its send queue is empty. */
   void disconnect(PeerAddress address) {
-    Effects effects = new Effects();
+    DeferredActions deferred = new DeferredActions();
     synchronized (table.lock) {
       Peer peer = table.peers.get(address);
       if (peer != null) {
         peer.disconnectWhenEmpty = true;
-        pursue(peer, effects);
+        flushOrConnect(peer, deferred);
       }
     }
-    effects.run();
+    deferred.run();
   }
 
-  /** Takes an accepted connection, or refuses it when there are too many. */
+  /** Registers an accepted connection, or aborts it if the connection limit is reached. */
   Optional<PeerConnection> onAccepted(PeerConnection.Socket socket) {
     int limit = settings.limits().maxConnections();
     synchronized (table.lock) {
@@ -104,38 +105,39 @@
         return Optional.of(connection);
       }
     }
-    faults.report(
-        new TransportError(TransportFault.TOO_MANY_CONNECTIONS, "limit " + limit + " is reached"),
+    faultReporter.report(
+        new TransportError(
+            TransportFault.TOO_MANY_CONNECTIONS, "connection limit " + limit + " reached"),
         "unnamed");
     socket.abort();
     return Optional.empty();
   }
 
-  /** A dialled connection stands; the hello goes out. */
+  /** Sends the hello on a newly established outbound connection. */
   void onConnected(PeerConnection connection, PeerConnection.Socket socket) {
     boolean abandoned;
     synchronized (table.lock) {
       abandoned = connection.closed || table.closed;
       connection.socket = socket;
-      connection.controlFrames.add(handshake.frame());
+      connection.controlFrames.add(handshake.helloFrame());
     }
     if (abandoned) {
       socket.abort();
       return;
     }
-    writer.drain(connection);
+    writer.flush(connection);
   }
 
-  /** A dialled connection could not be made. */
+  /** Handles a failed outbound connection attempt. */
   void onConnectFailed(PeerConnection connection, String cause) {
     fail(connection, new TransportError(TransportFault.CONNECT_FAILED, cause));
   }
 
-  /** Bytes arrived; called by one thread at a time for one connection. */
+  /** Processes received bytes; called by one thread at a time per connection. */
   void onBytes(PeerConnection connection, ByteBuffer input) {
-    counters.received(input.remaining());
+    counters.addReceived(input.remaining());
     synchronized (table.lock) {
-      connection.receivedAt = clockMillis.getAsLong();
+      connection.lastReceivedMillis = clockMillis.getAsLong();
     }
     while (input.hasRemaining() && !isClosed(connection)) {
       Either<TransportError, Optional<Frame>> decoded = connection.decoder.next(input);
@@ -161,11 +163,11 @@
       return onHello(connection, frame.payload());
     }
     if (!connection.isEstablished()) {
-      return error(TransportFault.BAD_HELLO, "first frame is " + frame.kind());
+      return error(TransportFault.BAD_HELLO, "expected HELLO as first frame, got " + frame.kind());
     }
     if (frame.kind() == FrameKind.MESSAGE) {
-      counters.receivedMessage();
-      return receiver.onPayload(connection.remote.listening(), frame.payload());
+      counters.countReceivedMessage();
+      return receiver.onPayload(connection.remoteHello.listenAddress(), frame.payload());
     }
     if (frame.kind() == FrameKind.GOODBYE) {
       onGoodbye(connection);
@@ -174,69 +176,71 @@
   }
 
   private Optional<TransportError> onHello(PeerConnection connection, byte[] payload) {
-    Either<TransportError, Hello> read = handshake.read(connection, payload);
-    if (read.isLeft()) {
-      return Optional.of(read.getLeft());
+    Either<TransportError, Hello> decoded = handshake.readHello(connection, payload);
+    if (decoded.isLeft()) {
+      return Optional.of(decoded.getLeft());
     }
-    Hello hello = read.get();
-    Effects effects = new Effects();
+    Hello hello = decoded.get();
+    DeferredActions deferred = new DeferredActions();
     synchronized (table.lock) {
       Peer peer = table.establish(connection, hello);
       if (!connection.isOutbound()) {
-        connection.controlFrames.add(handshake.frame());
+        connection.controlFrames.add(handshake.helloFrame());
       }
-      for (PeerConnection former : table.removeFormerIncarnations(peer, hello.incarnation())) {
-        effects.add(former.socket::abort);
-        effects.add(() -> receiver.onUnreachable(peer.address));
+      for (PeerConnection stale : table.removeStaleIncarnations(peer, hello.incarnation())) {
+        deferred.add(stale.socket::abort);
+        deferred.add(() -> receiver.onUnreachable(peer.address));
       }
-      effects.add(() -> writer.drain(connection));
-      choose(peer, effects);
+      deferred.add(() -> writer.flush(connection));
+      selectActive(peer, deferred);
     }
-    effects.run();
+    deferred.run();
     return Optional.empty();
   }
 
   private void onGoodbye(PeerConnection connection) {
-    Effects effects = new Effects();
+    DeferredActions deferred = new DeferredActions();
     synchronized (table.lock) {
       connection.goodbyeReceived = true;
-      choose(table.peer(connection.remote.listening()), effects);
+      selectActive(table.getOrCreatePeer(connection.remoteHello.listenAddress()), deferred);
       if (connection.goodbyeWritten) {
-        effects.add(connection.socket::close);
+        deferred.add(connection.socket::close);
       }
     }
-    effects.run();
+    deferred.run();
   }
 
-  private void choose(Peer peer, Effects effects) {
-    for (PeerConnection retired : table.choose(peer)) {
-      effects.add(() -> writer.drain(retired));
+  private void selectActive(Peer peer, DeferredActions deferred) {
+    for (PeerConnection retired : table.selectActive(peer)) {
+      deferred.add(() -> writer.flush(retired));
     }
-    pursue(peer, effects);
+    flushOrConnect(peer, deferred);
   }
 
-  /** Writes what waits, or dials if it must; call with the lock held. */
-  private void pursue(Peer peer, Effects effects) {
+  /**
+   * Flushes the active connection, or dials the peer if frames are queued; call with the lock held.
+   */
+  private void flushOrConnect(Peer peer, DeferredActions deferred) {
     PeerConnection active = peer.active;
     if (active != null) {
-      effects.add(() -> writer.drain(active));
+      deferred.add(() -> writer.flush(active));
       return;
     }
     table
-        .beginAttempt(peer, clockMillis.getAsLong())
-        .ifPresent(attempt -> effects.add(() -> dialer.dial(peer.address, attempt)));
+        .beginConnectAttempt(peer, clockMillis.getAsLong())
+        .ifPresent(attempt -> deferred.add(() -> dialer.dial(peer.address, attempt)));
   }
 
-  /** Ends a connection because of a fault; nothing happens if it has ended. */
+  /** Reports a fault and closes the connection; does nothing if it is already closed. */
   void fail(PeerConnection connection, TransportError error) {
     if (isClosed(connection)) {
       return;
     }
-    faults.report(error, connection.describe());
+    faultReporter.report(error, connection.describe());
     onClosed(connection);
   }
 
-  /** A socket was closed by either side. */
+  /** Handles a socket that was closed by either side. */
   void onSocketClosed(PeerConnection connection) {
     boolean unexpected;
     synchronized (table.lock) {
@@ -247,13 +251,14 @@
           connection.decoder.isInsideFrame()
               ? TransportFault.TRUNCATED_FRAME
               : TransportFault.CONNECTION_LOST;
-      faults.report(new TransportError(fault, "closed by the other side"), connection.describe());
+      faultReporter.report(
+          new TransportError(fault, "connection closed by peer"), connection.describe());
     }
     onClosed(connection);
   }
 
   private void onClosed(PeerConnection connection) {
-    Effects effects = new Effects();
+    DeferredActions deferred = new DeferredActions();
     synchronized (table.lock) {
       if (connection.closed) {
         return;
@@ -261,65 +266,69 @@
       connection.closed = true;
       table.connections.remove(connection);
       if (connection.socket != null) {
-        effects.add(connection.socket::abort);
+        deferred.add(connection.socket::abort);
       }
       if (connection.isEstablished()) {
-        Peer peer = table.peer(connection.remote.listening());
-        loseIf(table.removeEstablished(connection), peer, effects);
-        choose(peer, effects);
+        Peer peer = table.getOrCreatePeer(connection.remoteHello.listenAddress());
+        dropIfUnreachable(table.removeEstablished(connection), peer, deferred);
+        selectActive(peer, deferred);
       } else if (connection.isOutbound()) {
-        Peer peer = table.peer(connection.dialled.get());
-        loseIf(table.removeAttempt(connection, clockMillis.getAsLong()), peer, effects);
+        Peer peer = table.getOrCreatePeer(connection.dialledAddress.get());
+        dropIfUnreachable(
+            table.removeConnectAttempt(connection, clockMillis.getAsLong()), peer, deferred);
       }
     }
-    effects.run();
+    deferred.run();
   }
 
-  private void loseIf(boolean lost, Peer peer, Effects effects) {
-    if (lost) {
-      table.drop(peer);
-      effects.add(() -> receiver.onUnreachable(peer.address));
+  private void dropIfUnreachable(boolean unreachable, Peer peer, DeferredActions deferred) {
+    if (unreachable) {
+      table.discardPending(peer);
+      deferred.add(() -> receiver.onUnreachable(peer.address));
     }
   }
 
-  /** Ends what is overdue, pings what is quiet and dials what may be dialled again. */
+  /**
+   * Closes connections whose timeout has expired, pings idle connections, and dials peers with
+   * queued frames whose backoff has elapsed.
+   */
   void sweep() {
-    long now = clockMillis.getAsLong();
+    long nowMillis = clockMillis.getAsLong();
     List<PeerConnection> open;
-    Effects effects = new Effects();
+    DeferredActions deferred = new DeferredActions();
     synchronized (table.lock) {
       open = List.copyOf(table.connections);
-      table.forgetIdlePeers(now);
-      table.peers.values().forEach(peer -> pursue(peer, effects));
+      table.removeIdlePeers(nowMillis);
+      table.peers.values().forEach(peer -> flushOrConnect(peer, deferred));
     }
-    effects.run();
-    open.forEach(connection -> sweep(connection, now));
+    deferred.run();
+    open.forEach(connection -> sweep(connection, nowMillis));
   }
 
-  private void sweep(PeerConnection connection, long now) {
-    Optional<TransportError> overdue;
+  private void sweep(PeerConnection connection, long nowMillis) {
+    Optional<TransportError> timeout;
     synchronized (table.lock) {
-      overdue = connection.overdue(now, settings.timeouts());
-      long pingMillis = settings.timeouts().silenceMillis() / PINGS_PER_SILENCE;
-      if (overdue.isEmpty() && connection.isQuiet(now, pingMillis)) {
+      timeout = connection.findExpiredTimeout(nowMillis, settings.timeouts());
+      long pingIntervalMillis = settings.timeouts().silenceMillis() / PINGS_PER_SILENCE_TIMEOUT;
+      if (timeout.isEmpty() && connection.needsPing(nowMillis, pingIntervalMillis)) {
         connection.controlFrames.add(Frame.encode(FrameKind.PING));
       }
     }
-    if (overdue.isPresent()) {
-      fail(connection, overdue.get());
+    if (timeout.isPresent()) {
+      fail(connection, timeout.get());
     } else {
-      writer.drain(connection);
+      writer.flush(connection);
     }
   }
 
-  /** Open connections and attempts. */
-  int count() {
+  /** Number of open connections and connection attempts. */
+  int connectionCount() {
     synchronized (table.lock) {
       return table.connections.size();
     }
   }
 
-  /** Ends everything; nobody is told. */
+  /** Aborts all connections without notifying listeners. */
   void close() {
     List<PeerConnection> open;
     synchronized (table.lock) {
--- a/umberpath-transport/src/main/java/io/umberpath/transport/FrameDecoder.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/FrameDecoder.java
@@ -6,8 +6,9 @@
 import java.util.Optional;
 
 /**
- * Cuts the bytes of one connection into frames. Memory grows with the bytes that arrived, not with
- * the length a peer announces. After an error the decoder must not be used again. Not thread-safe.
+ * Decodes the byte stream of one connection into frames. The buffer grows with the bytes received,
+ * not with the length that the peer announces. Must not be used again after an error. Not
+ * thread-safe.
  */
 final class FrameDecoder {
   private static final int INITIAL_PAYLOAD_BYTES = 4096;
@@ -18,31 +19,32 @@
   private FrameKind kind;
   private byte[] payload = NO_PAYLOAD;
   private int payloadLength;
-  private int filled;
+  private int payloadFilled;
 
   /**
    * Creates a decoder.
    *
-   * @param maxFrameBytes longest frame, header included
+   * @param maxFrameBytes maximum frame size, including the header
    */
   FrameDecoder(int maxFrameBytes) {
     this.maxFrameBytes = maxFrameBytes;
   }
 
-  /** Changes the limit for the frames that follow. */
-  void limitFrames(int bytes) {
-    maxFrameBytes = bytes;
+  /** Sets the maximum size of the frames that follow. */
+  void setMaxFrameBytes(int newMaxFrameBytes) {
+    maxFrameBytes = newMaxFrameBytes;
   }
 
-  /** Whether some bytes of an unfinished frame have arrived. */
+  /** Whether a frame has been received in part. */
   boolean isInsideFrame() {
     return header.position() > 0;
   }
 
   /**
-   * Consumes input up to the end of one frame.
+   * Consumes input up to the end of the current frame.
    *
-   * @return the frame, nothing if the input ended first, or the error that ends the connection
+   * @return the frame, empty if the input ended before the frame, or an error for which the
+   *     connection must be closed
    */
   Either<TransportError, Optional<Frame>> next(ByteBuffer input) {
     if (header.hasRemaining()) {
@@ -56,7 +58,8 @@
       }
     }
     fillPayload(input);
-    return Either.right(filled < payloadLength ? Optional.empty() : Optional.of(finishFrame()));
+    return Either.right(
+        payloadFilled < payloadLength ? Optional.empty() : Optional.of(finishFrame()));
   }
 
   private void fillHeader(ByteBuffer input) {
@@ -67,13 +70,13 @@
 
   private Optional<TransportError> readHeader() {
     int length = header.getInt(0);
-    if (length < Frame.TYPE_BYTES) {
+    if (length < Frame.VERSION_AND_KIND_BYTES) {
       return error(TransportFault.MALFORMED_FRAME, "frame length " + length + " is too small");
     }
     if (length > maxFrameBytes - Frame.LENGTH_BYTES) {
       return error(
           TransportFault.OVERSIZED_FRAME,
-          "frame length " + length + " is over the limit of " + maxFrameBytes + " bytes");
+          "frame length " + length + " exceeds the limit of " + maxFrameBytes + " bytes");
     }
     byte version = header.get(Frame.LENGTH_BYTES);
     if (version != Frame.PROTOCOL_VERSION) {
@@ -82,24 +85,24 @@
           "protocol version " + version + ", expected " + Frame.PROTOCOL_VERSION);
     }
     byte code = header.get(Frame.LENGTH_BYTES + 1);
-    Optional<FrameKind> known = FrameKind.ofCode(code);
+    Optional<FrameKind> known = FrameKind.fromCode(code);
     if (known.isEmpty()) {
       return error(TransportFault.MALFORMED_FRAME, "frame kind " + code + " is unknown");
     }
     kind = known.get();
-    payloadLength = length - Frame.TYPE_BYTES;
+    payloadLength = length - Frame.VERSION_AND_KIND_BYTES;
     payload = new byte[Math.min(payloadLength, INITIAL_PAYLOAD_BYTES)];
     return Optional.empty();
   }
 
   private void fillPayload(ByteBuffer input) {
-    while (filled < payloadLength && input.hasRemaining()) {
-      if (filled == payload.length) {
+    while (payloadFilled < payloadLength && input.hasRemaining()) {
+      if (payloadFilled == payload.length) {
         payload = Arrays.copyOf(payload, (int) Math.min(payloadLength, 2L * payload.length));
       }
-      int count = Math.min(payload.length - filled, input.remaining());
-      input.get(payload, filled, count);
-      filled += count;
+      int count = Math.min(payload.length - payloadFilled, input.remaining());
+      input.get(payload, payloadFilled, count);
+      payloadFilled += count;
     }
   }
 
@@ -108,7 +111,7 @@
     header.clear();
     payload = NO_PAYLOAD;
     payloadLength = 0;
-    filled = 0;
+    payloadFilled = 0;
     return frame;
   }
 
--- a/umberpath-transport/src/main/java/io/umberpath/transport/RecordDeserializer.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/RecordDeserializer.java
@@ -20,15 +20,15 @@
 import java.util.stream.Stream;
 
 /**
- * Decodes a record from an array of exactly its components. Jackson's own decoder of such arrays
- * skips surplus elements.
+ * Deserializes a record from an array that holds exactly its components. Needed because Jackson's
+ * own array deserializer silently skips surplus elements.
  */
 final class RecordDeserializer extends StdDeserializer<Object> implements ResolvableDeserializer {
   private static final long serialVersionUID = 1L;
 
   private final transient RecordComponent[] components;
   private final transient Constructor<?> constructor;
-  private final transient List<JsonDeserializer<Object>> parts = new ArrayList<>();
+  private final transient List<JsonDeserializer<Object>> componentDeserializers = new ArrayList<>();
 
   private RecordDeserializer(Class<?> type) throws NoSuchMethodException {
     super(type);
@@ -39,15 +39,15 @@
     constructor.setAccessible(true);
   }
 
-  /** Makes every record decode this way. */
+  /** Creates a Jackson module that applies this deserializer to all records. */
   static SimpleModule module() {
-    return new SimpleModule().setDeserializerModifier(new Modifier());
+    return new SimpleModule().setDeserializerModifier(new RecordDeserializerModifier());
   }
 
   @Override
   public void resolve(DeserializationContext context) throws JsonMappingException {
     for (RecordComponent component : components) {
-      parts.add(
+      componentDeserializers.add(
           context.findRootValueDeserializer(context.constructType(component.getGenericType())));
     }
   }
@@ -55,11 +55,11 @@
   @Override
   public Object deserialize(JsonParser parser, DeserializationContext context) throws IOException {
     if (!parser.isExpectedStartArrayToken()) {
-      return context.reportInputMismatch(this, "not an array of components");
+      return context.reportInputMismatch(this, "expected an array of record components");
     }
     Object[] values = new Object[components.length];
     for (int index = 0; index < values.length; index++) {
-      values[index] = component(index, parser, context);
+      values[index] = readComponent(index, parser, context);
     }
     if (parser.nextToken() != JsonToken.END_ARRAY) {
       return context.reportInputMismatch(this, "more than %d components", values.length);
@@ -67,16 +67,16 @@
     return construct(values, context);
   }
 
-  private Object component(int index, JsonParser parser, DeserializationContext context)
+  private Object readComponent(int index, JsonParser parser, DeserializationContext context)
       throws IOException {
     JsonToken token = parser.nextToken();
     if (token == JsonToken.END_ARRAY) {
-      return context.reportInputMismatch(this, "only %d components", index);
+      return context.reportInputMismatch(this, "missing components: found only %d", index);
     }
     try {
       return token == JsonToken.VALUE_NULL
-          ? parts.get(index).getNullValue(context)
-          : parts.get(index).deserialize(parser, context);
+          ? componentDeserializers.get(index).getNullValue(context)
+          : componentDeserializers.get(index).deserialize(parser, context);
     } catch (JsonMappingException e) {
       e.prependPath(handledType(), components[index].getName());
       throw e;
@@ -93,20 +93,20 @@
     }
   }
 
-  /** Replaces the decoders of records. */
-  private static final class Modifier extends BeanDeserializerModifier {
+  /** Replaces Jackson's deserializers for records. */
+  private static final class RecordDeserializerModifier extends BeanDeserializerModifier {
     private static final long serialVersionUID = 1L;
 
     @Override
     public JsonDeserializer<?> modifyDeserializer(
-        DeserializationConfig config, BeanDescription type, JsonDeserializer<?> former) {
+        DeserializationConfig config, BeanDescription type, JsonDeserializer<?> original) {
       if (!type.getBeanClass().isRecord()) {
-        return former;
+        return original;
       }
       try {
         return new RecordDeserializer(type.getBeanClass());
       } catch (NoSuchMethodException e) {
-        throw new IllegalStateException("record without canonical constructor", e);
+        throw new IllegalStateException("record has no canonical constructor", e);
       }
     }
   }
--- a/umberpath-transport/src/main/java/io/umberpath/transport/SendQueue.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/SendQueue.java
@@ -4,38 +4,40 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Frames that wait for one peer, bounded by count and bytes. Not thread-safe. */
+/** Queue of encoded frames for one peer, bounded by count and bytes. Not thread-safe. */
 final class SendQueue {
   private final int maxMessages;
   private final long maxBytes;
   private final ArrayDeque<byte[]> frames = new ArrayDeque<>();
-  private long bytes;
+  private long queuedBytes;
 
   SendQueue(int maxMessages, long maxBytes) {
     this.maxMessages = maxMessages;
     this.maxBytes = maxBytes;
   }
 
-  /** Adds a frame unless the queue is full; an empty queue takes any frame. */
+  /** Adds a frame unless the queue is full; an empty queue accepts a frame of any size. */
   boolean offer(byte[] frame) {
-    if (!frames.isEmpty() && (frames.size() >= maxMessages || bytes + frame.length > maxBytes)) {
+    if (!frames.isEmpty()
+        && (frames.size() >= maxMessages || queuedBytes + frame.length > maxBytes)) {
       return false;
     }
     frames.add(frame);
-    bytes += frame.length;
+    queuedBytes += frame.length;
     return true;
   }
 
-  /** Removes frames from the head up to a number of bytes, but at least one if there is one. */
-  List<byte[]> poll(int batchBytes) {
+  /** Removes up to {@code maxBatchBytes} of frames from the head, but at least one frame if any. */
+  List<byte[]> poll(int maxBatchBytes) {
     List<byte[]> batch = new ArrayList<>();
-    long taken = 0;
-    while (!frames.isEmpty() && (batch.isEmpty() || taken + frames.peek().length <= batchBytes)) {
+    long polledBytes = 0;
+    while (!frames.isEmpty()
+        && (batch.isEmpty() || polledBytes + frames.peek().length <= maxBatchBytes)) {
       byte[] frame = frames.remove();
       batch.add(frame);
-      taken += frame.length;
+      polledBytes += frame.length;
     }
-    bytes -= taken;
+    queuedBytes -= polledBytes;
     return batch;
   }
 
@@ -45,6 +47,6 @@
 
   void clear() {
     frames.clear();
-    bytes = 0;
+    queuedBytes = 0;
   }
 }
--- a/umberpath-transport/src/test/java/io/umberpath/transport/Recorder.java
+++ b/umberpath-transport/src/test/java/io/umberpath/transport/RecordingListener.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** Keeps what a transport delivers. */
-final class Recorder implements Transport.Listener {
+/** Records the messages and unreachable peers that a transport reports. */
+final class RecordingListener implements Transport.Listener {
   private record Received(PeerAddress from, ControlMessage message) {}
 
   private final List<Received> received = new CopyOnWriteArrayList<>();
--- a/umberpath-transport/src/test/java/io/umberpath/transport/TestCertificates.java
+++ b/umberpath-transport/src/test/java/io/umberpath/transport/TestCertificates.java
@@ -15,7 +15,10 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** Makes authorities and certificates with the JDK's {@code keytool} in a directory. */
+/**
+ * Creates certificate authorities and node certificates in a directory with the JDK's {@code
+ * keytool}.
+ */
 final class TestCertificates {
   static final String PASSWORD = "test-password";
 
@@ -26,16 +29,18 @@
     Files.writeString(passwordFile(), PASSWORD + "\n");
   }
 
-  /** Makes a self-signed authority. */
+  /** Creates a self-signed certificate authority. */
   void authority(String name) throws Exception {
     keytool(name, name, List.of("-ext", "bc:c=ca:true", "-ext", "ku:c=keyCertSign"));
     export(name, name);
   }
 
-  /** Makes a node certificate that an authority has signed; negative days have passed. */
+  /**
+   * Creates a node certificate signed by an authority; with negative days it has already expired.
+   */
   void node(String name, String authority, int validDays) throws Exception {
     int startDay = Math.min(validDays, 0) - 1;
-    List<String> signed =
+    List<String> arguments =
         List.of(
             "-signer",
             authority,
@@ -43,17 +48,17 @@
             startDay + "d",
             "-validity",
             Integer.toString(validDays < 0 ? 1 : validDays + 1));
-    keytool(name, authority, signed);
+    keytool(name, authority, arguments);
     export(name, authority);
   }
 
-  private void keytool(String alias, String store, List<String> more) throws Exception {
+  private void keytool(String alias, String store, List<String> extraArguments) throws Exception {
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "keytool").toString());
     command.addAll(List.of("-genkeypair", "-alias", alias, "-dname", "CN=" + alias));
     command.addAll(List.of("-keyalg", "EC", "-storetype", "PKCS12", "-storepass", PASSWORD));
     command.addAll(List.of("-keystore", storeOf(store).toString()));
-    command.addAll(more);
+    command.addAll(extraArguments);
     Process process = new ProcessBuilder(command).redirectErrorStream(true).start();
     String output = new String(process.getInputStream().readAllBytes());
     if (!process.waitFor(60, TimeUnit.SECONDS) || process.exitValue() != 0) {
@@ -104,11 +109,13 @@
         directory.resolve(authority + ".pem"));
   }
 
-  /** Overwrites one node's files with another's, as a renewal does. */
-  void replace(String name, String by) throws IOException {
+  /**
+   * Overwrites a node's certificate and key with those of another, as a certificate renewal does.
+   */
+  void replace(String name, String replacement) throws IOException {
     for (String suffix : List.of(".pem", ".key")) {
       try (OutputStream output = Files.newOutputStream(directory.resolve(name + suffix))) {
-        Files.copy(directory.resolve(by + suffix), output);
+        Files.copy(directory.resolve(replacement + suffix), output);
       }
     }
   }
