--- a/umberpath-lab/src/main/java/io/umberpath/lab/transport/IdleRelayCommand.java
+++ b/umberpath-lab/src/main/java/io/umberpath/lab/transport/IdleRelayCommand.java
@@ -149,7 +149,7 @@
     out.printf(
         "resident %s, threads %d%n",
         resident(), ManagementFactory.getThreadMXBean().getThreadCount());
-    out.printf("faults %s%n", relay.transport().faults());
+    out.printf("faults %s%n", relay.transport().faultCounts());
   }
 
   private static long messagesSent(Traffic before, Traffic after) {
--- a/umberpath-node/src/main/java/io/umberpath/node/admin/TransportMetrics.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/admin/TransportMetrics.java
@@ -23,13 +23,13 @@
     traffic(registry, transport, "bytes", "received", Transport.Traffic::receivedBytes);
     traffic(registry, transport, "messages", "sent", Transport.Traffic::sentMessages);
     traffic(registry, transport, "messages", "received", Transport.Traffic::receivedMessages);
-    Gauge.builder(PREFIX + "connections", transport, GrizzlyTransport::connections)
+    Gauge.builder(PREFIX + "connections", transport, GrizzlyTransport::connectionCount)
         .description("connections with other nodes")
         .strongReference(true)
         .register(registry);
     for (TransportFault fault : TransportFault.values()) {
       FunctionCounter.builder(
-              PREFIX + "faults", transport, source -> source.faults().getOrDefault(fault, 0L))
+              PREFIX + "faults", transport, source -> source.faultCounts().getOrDefault(fault, 0L))
           .description("faults of connections with other nodes")
           .tag("fault", fault.name().toLowerCase(Locale.ROOT))
           .register(registry);
--- a/umberpath-transport/src/main/java/io/umberpath/transport/GrizzlyTransport.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/GrizzlyTransport.java
@@ -17,7 +17,7 @@
  * Exchanges control messages over TCP with Grizzly. Uses two threads: Grizzly's selector thread,
  * which delivers messages, and a timer. {@link #send} encodes on the calling thread, also writes
  * there if the socket accepts the bytes immediately, and never blocks. A message that is not
- * delivered leads to {@link Listener#onUnreachable} or is counted in {@link #faults}.
+ * delivered leads to {@link Listener#onUnreachable} or is counted in {@link #faultCounts}.
  */
 public final class GrizzlyTransport implements Transport {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -179,12 +179,12 @@
   }
 
   /** Returns the number of faults since the start, by cause. */
-  public Map<TransportFault, Long> faults() {
+  public Map<TransportFault, Long> faultCounts() {
     return counters.faults();
   }
 
   /** Returns the number of open connections and connection attempts, in both directions. */
-  public int connections() {
+  public int connectionCount() {
     ConnectionManager manager = connectionManager;
     return manager == null ? 0 : manager.connectionCount();
   }
--- a/umberpath-transport/src/test/java/io/umberpath/transport/FaultyPeerTest.java
+++ b/umberpath-transport/src/test/java/io/umberpath/transport/FaultyPeerTest.java
@@ -128,7 +128,7 @@
       if (endAction != EndAction.RESET) {
         faulty.awaitClosed();
       }
-      await("one connection is left", () -> target.transport.connections() == 1);
+      await("one connection is left", () -> target.transport.connectionCount() == 1);
       healthy.send(target, 2);
       target.send(healthy, 3);
       await(
@@ -137,7 +137,8 @@
       await(
           "message to the healthy peer",
           () -> healthy.recorder.numbersFrom(target.address).contains(3));
-      assertThat(target.transport.faults().values().stream().mapToLong(n -> n).sum()).isEqualTo(1);
+      assertThat(target.transport.faultCounts().values().stream().mapToLong(n -> n).sum())
+          .isEqualTo(1);
       assertThat(target.recorder.unreachable).doesNotContain(healthy.address);
       return target;
     }
--- a/umberpath-transport/src/test/java/io/umberpath/transport/GrizzlyTransportTest.java
+++ b/umberpath-transport/src/test/java/io/umberpath/transport/GrizzlyTransportTest.java
@@ -38,8 +38,8 @@
         IntStream.range(0, 90).forEach(n -> a.send(b, n));
         await("all messages at b", () -> b.recorder.numbersFrom(a.address).size() == 90);
         await("all messages at a", () -> a.recorder.numbersFrom(b.address).size() == 90);
-        await("one connection left at a", () -> a.transport.connections() == 1);
-        await("one connection left at b", () -> b.transport.connections() == 1);
+        await("one connection left at a", () -> a.transport.connectionCount() == 1);
+        await("one connection left at b", () -> b.transport.connectionCount() == 1);
         assertThat(a.recorder.unreachable).isEmpty();
         assertThat(b.recorder.unreachable).isEmpty();
       }
@@ -95,7 +95,7 @@
       await("delivered", () -> b.recorder.numbersFrom(a.address).size() == 20);
       await(
           "all connections closed",
-          () -> a.transport.connections() + b.transport.connections() == 0);
+          () -> a.transport.connectionCount() + b.transport.connectionCount() == 0);
       b.send(a, 3);
       await("dialled again", () -> a.recorder.numbersFrom(b.address).contains(3));
       assertThat(a.recorder.unreachable).isEmpty();
--- a/umberpath-transport/src/test/java/io/umberpath/transport/TestNode.java
+++ b/umberpath-transport/src/test/java/io/umberpath/transport/TestNode.java
@@ -58,7 +58,7 @@
   }
 
   long faults(TransportFault fault) {
-    return transport.faults().get(fault);
+    return transport.faultCounts().get(fault);
   }
 
   /** Waits for a condition; fails after a timeout far longer than any healthy run needs. */
