--- a/umberpath-node/src/main/java/io/umberpath/node/control/ControlInbox.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/control/ControlInbox.java
@@ -12,37 +12,37 @@
 import java.util.function.Predicate;
 
 /**
- * Tasks that wait for the control thread, in order of arrival. Messages of peers are bounded: when
- * too many wait, the oldest one that a later one replaces anyway is dropped, and if there is none,
- * the message that arrives. Tasks of this process are few and never dropped. Thread-safe.
+ * FIFO queue of tasks for the control thread. Messages from peers are bounded: when the queue is
+ * full, the oldest message that a later one from the same sender supersedes is dropped; if there is
+ * none, the new message is dropped. Tasks from this process are few and never dropped. Thread-safe.
  */
 final class ControlInbox {
   private final int maxMessages;
   private final Predicate<ControlMessage> replaceable;
   private final ReentrantLock lock = new ReentrantLock();
-  private final Condition arrived = lock.newCondition();
+  private final Condition notEmpty = lock.newCondition();
   private final ArrayDeque<ControlTask> tasks = new ArrayDeque<>();
-  private int messages;
-  private long dropped;
+  private int queuedMessages;
+  private long droppedMessages;
   private boolean closed;
 
   /**
    * Creates an inbox.
    *
-   * @param maxMessages messages of peers that may wait
-   * @param replaceable tells messages that a later one of the same sender replaces
+   * @param maxMessages maximum number of queued messages from peers
+   * @param replaceable matches messages that a later one from the same sender supersedes
    */
   ControlInbox(int maxMessages, Predicate<ControlMessage> replaceable) {
     this.maxMessages = maxMessages;
     this.replaceable = replaceable;
   }
 
-  /** Adds an input of this process; false if the inbox is closed. */
+  /** Enqueues an input from this process; returns false if the inbox is closed. */
   boolean add(ControlInput input) {
     return add(new ControlTask.Input(input));
   }
 
-  /** Adds a task of this process; false if the inbox is closed. */
+  /** Enqueues a task from this process; returns false if the inbox is closed. */
   boolean add(ControlTask task) {
     lock.lock();
     try {
@@ -50,37 +50,37 @@
         return false;
       }
       tasks.add(task);
-      arrived.signal();
+      notEmpty.signal();
       return true;
     } finally {
       lock.unlock();
     }
   }
 
-  /** Adds a peer's message, or drops one if too many wait. */
+  /** Enqueues a message from a peer; drops a message if the queue is full. */
   void addMessage(ControlInput.MessageReceived message) {
     lock.lock();
     try {
       if (closed) {
         return;
       }
-      if (messages >= maxMessages && !makeRoom()) {
+      if (queuedMessages >= maxMessages && !evictOldestReplaceable()) {
         return;
       }
       tasks.add(new ControlTask.Input(message));
-      messages++;
-      arrived.signal();
+      queuedMessages++;
+      notEmpty.signal();
     } finally {
       lock.unlock();
     }
   }
 
-  private boolean makeRoom() {
-    dropped++;
-    for (Iterator<ControlTask> waiting = tasks.iterator(); waiting.hasNext(); ) {
-      if (isReplaceable(waiting.next())) {
-        waiting.remove();
-        messages--;
+  private boolean evictOldestReplaceable() {
+    droppedMessages++;
+    for (Iterator<ControlTask> queued = tasks.iterator(); queued.hasNext(); ) {
+      if (isReplaceable(queued.next())) {
+        queued.remove();
+        queuedMessages--;
         return true;
       }
     }
@@ -98,17 +98,17 @@
         && input.input() instanceof ControlInput.MessageReceived;
   }
 
-  /** Takes the oldest task, waiting at most so long; empty if none came. */
+  /** Removes the oldest task, waiting up to the timeout; empty if none arrives in time. */
   Optional<ControlTask> poll(long waitMillis) throws InterruptedException {
     lock.lockInterruptibly();
     try {
       long remaining = TimeUnit.MILLISECONDS.toNanos(waitMillis);
       while (tasks.isEmpty() && !closed && remaining > 0) {
-        remaining = arrived.awaitNanos(remaining);
+        remaining = notEmpty.awaitNanos(remaining);
       }
       ControlTask task = tasks.poll();
       if (isMessage(task)) {
-        messages--;
+        queuedMessages--;
       }
       return Optional.ofNullable(task);
     } finally {
@@ -116,7 +116,7 @@
     }
   }
 
-  /** Whether {@link #close} was called. */
+  /** Returns whether {@link #close} was called. */
   boolean isClosed() {
     lock.lock();
     try {
@@ -126,35 +126,35 @@
     }
   }
 
-  /** Takes everything that waits. */
+  /** Removes and returns all queued tasks. */
   List<ControlTask> drain() {
     lock.lock();
     try {
-      List<ControlTask> all = List.copyOf(tasks);
+      List<ControlTask> drained = List.copyOf(tasks);
       tasks.clear();
-      messages = 0;
-      return all;
+      queuedMessages = 0;
+      return drained;
     } finally {
       lock.unlock();
     }
   }
 
-  /** Refuses further tasks; those that wait can still be taken. */
+  /** Rejects further tasks; queued tasks can still be removed. */
   void close() {
     lock.lock();
     try {
       closed = true;
-      arrived.signalAll();
+      notEmpty.signalAll();
     } finally {
       lock.unlock();
     }
   }
 
-  /** Messages dropped since the start. */
-  long dropped() {
+  /** Number of messages dropped since the inbox was created. */
+  long droppedMessages() {
     lock.lock();
     try {
-      return dropped;
+      return droppedMessages;
     } finally {
       lock.unlock();
     }
--- a/umberpath-node/src/main/java/io/umberpath/node/control/ControlLoop.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/control/ControlLoop.java
@@ -13,11 +13,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The control thread: takes tasks from the inbox, ticks the node when it is due, and has its
- * outputs carried out. Ends when the inbox is closed or the node fails.
+ * Event loop of the control thread: passes tasks from the inbox and periodic ticks to the node and
+ * executes the node's outputs. Ends when the inbox is closed or the node fails.
  */
 final class ControlLoop implements Runnable {
-  /** The answer to a change that never reached the node. */
+  /** The result of a change that never reached the node. */
   static final ChangeResult NOT_RUN = new ChangeResult.Refused(RefusalCode.NO_QUORUM, List.of());
 
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -31,10 +31,10 @@
   private final OutputHandler outputs;
   private final Runnable onFailure;
   private final long startNanos = System.nanoTime();
-  private final TicketBook<ChangeResult> changes = new TicketBook<>();
-  private final TicketBook<List<ControlStatus.NodeView>> views = new TicketBook<>();
-  private long nextTickAt;
-  private boolean statusDue;
+  private final PendingRequests<ChangeResult> changes = new PendingRequests<>();
+  private final PendingRequests<List<ControlStatus.NodeView>> views = new PendingRequests<>();
+  private long nextTickMillis;
+  private boolean statusOutdated;
   private volatile ControlStatus status;
 
   ControlLoop(ControlNode node, ControlInbox inbox, OutputHandler outputs, Runnable onFailure) {
@@ -45,7 +45,7 @@
     this.status = node.status();
   }
 
-  /** What the node believed after its last input but a few. */
+  /** Status of the node after a recent input; may lag the latest input slightly. */
   ControlStatus status() {
     return status;
   }
@@ -55,9 +55,9 @@
     boolean failed = false;
     try {
       while (!inbox.isClosed()) {
-        step();
+        runOnce();
       }
-      changes.openTickets().forEach(this::abandon);
+      changes.pendingTickets().forEach(this::abandonChange);
     } catch (InterruptedException e) {
       logger.atSevere().log("The control thread was interrupted");
       failed = true;
@@ -65,95 +65,96 @@
       logger.atSevere().withCause(e).log("The control node failed; this process must be replaced");
       failed = true;
     } finally {
-      finish();
+      completePending();
     }
     if (failed) {
       onFailure.run();
     }
   }
 
-  private void step() throws InterruptedException {
+  private void runOnce() throws InterruptedException {
     Optional<ControlTask> task = inbox.poll(waitMillis(now()));
     if (task.isPresent()) {
-      accept(task.get());
+      process(task.get());
     }
     long now = now();
-    changes.takeOverdue(now).forEach(this::abandon);
-    views.takeOverdue(now).forEach(ticket -> views.answer(ticket, List.of()));
-    if (now >= nextTickAt && now >= node.nextWakeMillis()) {
-      nextTickAt = now + MIN_TICK_MILLIS;
+    changes.takeExpired(now).forEach(this::abandonChange);
+    views.takeExpired(now).forEach(ticket -> views.complete(ticket, List.of()));
+    if (now >= nextTickMillis && now >= node.nextWakeMillis()) {
+      nextTickMillis = now + MIN_TICK_MILLIS;
       handle(new ControlInput.Tick());
     }
-    if (statusDue) {
-      publish();
+    if (statusOutdated) {
+      publishStatus();
     }
   }
 
   private long waitMillis(long now) {
-    long wake = Math.max(nextTickAt, node.nextWakeMillis());
-    wake = Math.min(wake, changes.nextDeadline().orElse(Long.MAX_VALUE));
-    wake = Math.min(wake, views.nextDeadline().orElse(Long.MAX_VALUE));
-    return Math.max(0, Math.min(wake - now, MAX_WAIT_MILLIS));
+    long wakeMillis = Math.max(nextTickMillis, node.nextWakeMillis());
+    wakeMillis = Math.min(wakeMillis, changes.nextDeadlineMillis().orElse(Long.MAX_VALUE));
+    wakeMillis = Math.min(wakeMillis, views.nextDeadlineMillis().orElse(Long.MAX_VALUE));
+    return Math.max(0, Math.min(wakeMillis - now, MAX_WAIT_MILLIS));
   }
 
-  private void accept(ControlTask task) {
+  private void process(ControlTask task) {
     if (task instanceof ControlTask.Input input) {
       handle(input.input());
     } else if (task instanceof ControlTask.Change change) {
-      changes.open(change.ticket(), change.answer(), now() + change.timeout().toMillis());
+      changes.add(change.ticket(), change.result(), now() + change.timeout().toMillis());
       handle(change.input());
     } else if (task instanceof ControlTask.FleetView view) {
-      views.open(view.ticket(), view.answer(), now() + view.timeout().toMillis());
+      views.add(view.ticket(), view.result(), now() + view.timeout().toMillis());
       handle(new ControlInput.FleetViewRequested(view.ticket()));
     }
   }
 
-  private void abandon(long ticket) {
+  private void abandonChange(long ticket) {
     handle(new ControlInput.ChangeAbandoned(ticket));
-    changes.answer(ticket, UNKNOWN);
+    changes.complete(ticket, UNKNOWN);
   }
 
   private void handle(ControlInput input) {
-    List<ControlOutput> decided = node.handle(now(), input);
-    statusDue = true;
-    for (ControlOutput output : decided) {
-      carryOut(output);
+    List<ControlOutput> produced = node.handle(now(), input);
+    statusOutdated = true;
+    for (ControlOutput output : produced) {
+      execute(output);
     }
   }
 
-  private void carryOut(ControlOutput output) {
-    if (output instanceof ControlOutput.ChangeAnswered answered) {
-      publish();
-      changes.answer(answered.ticket(), answered.result());
-    } else if (output instanceof ControlOutput.FleetViewAnswered answered) {
-      views.answer(answered.ticket(), answered.nodes());
+  private void execute(ControlOutput output) {
+    if (output instanceof ControlOutput.ChangeAnswered completed) {
+      publishStatus();
+      changes.complete(completed.ticket(), completed.result());
+    } else if (output instanceof ControlOutput.FleetViewAnswered completed) {
+      views.complete(completed.ticket(), completed.nodes());
     } else {
       if (output instanceof ControlOutput.Activate) {
-        // Who sees the snapshot must not find an older status.
-        publish();
+        // Publish the status before the snapshot: a reader of the new snapshot must never see an
+        // older status.
+        publishStatus();
       }
-      outputs.carryOut(output, this::document);
+      outputs.execute(output, this::platformDocument);
     }
   }
 
-  private PlatformDocument document() {
+  private PlatformDocument platformDocument() {
     return node.status().document();
   }
 
-  private void publish() {
+  private void publishStatus() {
     status = node.status();
-    statusDue = false;
+    statusOutdated = false;
   }
 
-  private void finish() {
+  private void completePending() {
     inbox.close();
-    changes.openTickets().forEach(ticket -> changes.answer(ticket, UNKNOWN));
-    views.openTickets().forEach(ticket -> views.answer(ticket, List.of()));
+    changes.pendingTickets().forEach(ticket -> changes.complete(ticket, UNKNOWN));
+    views.pendingTickets().forEach(ticket -> views.complete(ticket, List.of()));
     for (ControlTask task : inbox.drain()) {
       if (task instanceof ControlTask.Change change) {
-        change.answer().completeAsync(() -> NOT_RUN);
+        change.result().completeAsync(() -> NOT_RUN);
       } else if (task instanceof ControlTask.FleetView view) {
-        view.answer().completeAsync(List::of);
+        view.result().completeAsync(List::of);
       }
     }
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/control/ControlRuntime.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/control/ControlRuntime.java
@@ -24,9 +24,10 @@
 import java.util.function.LongFunction;
 
 /**
- * Owns one {@link ControlNode}: a single thread feeds it messages, operators' changes, answers of
- * the platform and ticks, and carries out what it asks for. If the node fails with an exception its
- * state can no longer be trusted: the runtime stops for good and tells its owner. Thread-safe.
+ * Runs one {@link ControlNode} on a single thread: feeds it peer messages, operator changes,
+ * platform documents and ticks, and executes its outputs. If the node throws an exception, its
+ * state can no longer be trusted: the runtime stops permanently and notifies its owner.
+ * Thread-safe.
  */
 public final class ControlRuntime implements ControlService, NodeComponent {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -40,12 +41,12 @@
   private final AtomicLong lastTicket = new AtomicLong();
 
   /**
-   * Creates a runtime that does nothing yet.
+   * Creates a runtime; call {@link #start} to run it.
    *
-   * @param node the state machine; used by the control thread alone from now on
-   * @param transport closed with the runtime
-   * @param reader read when the node asks for it; not closed here
-   * @param settings sizes
+   * @param node the state machine; from now on used only by the control thread
+   * @param transport connections to peers; closed with the runtime
+   * @param reader reads the platform document when the node requests it; not closed here
+   * @param settings queue size
    * @param onFailure called once, on the control thread, if the node fails
    */
   public ControlRuntime(
@@ -67,7 +68,10 @@
     thread.start();
   }
 
-  /** Answers every open ticket truthfully, then stops the thread and the transport. */
+  /**
+   * Completes every pending request with its actual outcome, or as unknown, then stops the thread
+   * and the transport.
+   */
   @Override
   public void close() {
     inbox.close();
@@ -88,32 +92,33 @@
 
   @Override
   public CompletionStage<ChangeResult> submit(ChangeSet change, Duration timeout) {
-    return change(ticket -> new ControlInput.ChangeSubmitted(ticket, change), timeout);
+    return submitInput(ticket -> new ControlInput.ChangeSubmitted(ticket, change), timeout);
   }
 
   @Override
   public CompletionStage<ChangeResult> reform(Set<PeerAddress> acceptedLoss, Duration timeout) {
     Set<PeerAddress> copy = Set.copyOf(acceptedLoss);
-    return change(ticket -> new ControlInput.ReformRequested(ticket, copy), timeout);
+    return submitInput(ticket -> new ControlInput.ReformRequested(ticket, copy), timeout);
   }
 
-  private CompletionStage<ChangeResult> change(LongFunction<ControlInput> input, Duration timeout) {
+  private CompletionStage<ChangeResult> submitInput(
+      LongFunction<ControlInput> input, Duration timeout) {
     long ticket = lastTicket.incrementAndGet();
-    CompletableFuture<ChangeResult> answer = new CompletableFuture<>();
-    if (!inbox.add(new ControlTask.Change(ticket, input.apply(ticket), answer, timeout))) {
-      answer.complete(ControlLoop.NOT_RUN);
+    CompletableFuture<ChangeResult> result = new CompletableFuture<>();
+    if (!inbox.add(new ControlTask.Change(ticket, input.apply(ticket), result, timeout))) {
+      result.complete(ControlLoop.NOT_RUN);
     }
-    return answer.minimalCompletionStage();
+    return result.minimalCompletionStage();
   }
 
   @Override
   public CompletionStage<List<ControlStatus.NodeView>> fleetView(Duration timeout) {
     long ticket = lastTicket.incrementAndGet();
-    CompletableFuture<List<ControlStatus.NodeView>> answer = new CompletableFuture<>();
-    if (!inbox.add(new ControlTask.FleetView(ticket, answer, timeout))) {
-      answer.complete(List.of());
+    CompletableFuture<List<ControlStatus.NodeView>> result = new CompletableFuture<>();
+    if (!inbox.add(new ControlTask.FleetView(ticket, result, timeout))) {
+      result.complete(List.of());
     }
-    return answer.minimalCompletionStage();
+    return result.minimalCompletionStage();
   }
 
   @Override
@@ -136,12 +141,12 @@
     inbox.add(new ControlInput.BackendObserved(backend));
   }
 
-  /** Messages of peers that were dropped because too many waited. */
+  /** Number of peer messages dropped because the inbox was full. */
   public long droppedMessages() {
-    return inbox.dropped();
+    return inbox.droppedMessages();
   }
 
-  /** Hands what the transport delivers to the control thread. */
+  /** Enqueues messages and connection failures from the transport for the control thread. */
   private final class TransportListener implements Transport.Listener {
     @Override
     public void onMessage(PeerAddress from, ControlMessage message) {
--- a/umberpath-node/src/main/java/io/umberpath/node/control/ControlService.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/control/ControlService.java
@@ -12,26 +12,34 @@
 import java.util.Set;
 import java.util.concurrent.CompletionStage;
 
-/** What the rest of the node sees of its control side. Thread-safe. */
+/** The control plane of this node, as used by its other components. Thread-safe. */
 public interface ControlService {
-  /** Submits a change; completes with its truthful outcome, at the latest after the timeout. */
+  /**
+   * Submits a change; completes with its outcome, or as unknown if the outcome is not known when
+   * the timeout expires.
+   */
   CompletionStage<ChangeResult> submit(ChangeSet change, Duration timeout);
 
-  /** The leader's per-member view; empty if no leader answers within the timeout. */
+  /** The leader's view of each member; empty if no leader responds within the timeout. */
   CompletionStage<List<ControlStatus.NodeView>> fleetView(Duration timeout);
 
-  /** Re-forms the fleet although the named members are silent. */
+  /**
+   * Re-forms the fleet without the given unreachable members, accepting the loss of their state.
+   */
   CompletionStage<ChangeResult> reform(Set<PeerAddress> acceptedLoss, Duration timeout);
 
-  /** What this node believes now. */
+  /** Current status of this node's control plane. */
   ControlStatus status();
 
-  /** The snapshot in force; {@link ProxySnapshot#EMPTY} before the first. One volatile read. */
+  /**
+   * The active snapshot; {@link ProxySnapshot#EMPTY} before the first activation. Costs one
+   * volatile read.
+   */
   ProxySnapshot snapshot();
 
-  /** The newest statement about each back end, by id. */
+  /** The latest observation of each backend, by backend id. */
   Map<String, ObservedBackend> observed();
 
-  /** Tells the fleet about the back end beside this node. */
+  /** Reports an observation of this node's local backend to the fleet. */
   void observe(ObservedBackend backend);
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/control/ControlTask.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/control/ControlTask.java
@@ -7,31 +7,31 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 
-/** Something that waits for the control thread. */
+/** A task queued for the control thread. */
 sealed interface ControlTask {
-  /** An input that nobody waits for. */
+  /** An input without a result. */
   record Input(ControlInput input) implements ControlTask {}
 
   /**
-   * A change or a call to re-form.
+   * A configuration change or a request to re-form the fleet.
    *
-   * @param ticket names the answer
-   * @param input carries the ticket
-   * @param answer completed exactly once
-   * @param timeout from when the control thread takes it
+   * @param ticket correlates the node's output with this request
+   * @param input the input, which carries the same ticket
+   * @param result completed exactly once
+   * @param timeout starts when the control thread dequeues the task
    */
   record Change(
-      long ticket, ControlInput input, CompletableFuture<ChangeResult> answer, Duration timeout)
+      long ticket, ControlInput input, CompletableFuture<ChangeResult> result, Duration timeout)
       implements ControlTask {}
 
   /**
-   * A request for the leader's per-member view.
+   * A request for the leader's view of each member.
    *
-   * @param ticket names the answer
-   * @param answer completed exactly once
-   * @param timeout from when the control thread takes it
+   * @param ticket correlates the node's output with this request
+   * @param result completed exactly once
+   * @param timeout starts when the control thread dequeues the task
    */
   record FleetView(
-      long ticket, CompletableFuture<List<ControlStatus.NodeView>> answer, Duration timeout)
+      long ticket, CompletableFuture<List<ControlStatus.NodeView>> result, Duration timeout)
       implements ControlTask {}
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/control/ObservedBackends.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/control/ObservedBackends.java
@@ -10,35 +10,36 @@
 import java.util.stream.Collectors;
 
 /**
- * The newest statement about each back end. Written by the control thread, read by any. Back ends
- * that the platform no longer names are forgotten once there are many of them.
+ * The latest observation of each backend. Written by the control thread, read by any thread.
+ * Backends that the platform document no longer lists are removed once more than {@link
+ * #MAX_UNLISTED_BACKENDS} accumulate.
  */
 final class ObservedBackends {
-  private static final int UNNAMED_KEPT = 1_000;
+  private static final int MAX_UNLISTED_BACKENDS = 1_000;
 
   private final ConcurrentHashMap<String, ObservedBackend> byId = new ConcurrentHashMap<>();
   private final Map<String, ObservedBackend> view = Collections.unmodifiableMap(byId);
 
-  /** A live view by back-end id. */
+  /** A live, unmodifiable view by backend id. */
   Map<String, ObservedBackend> view() {
     return view;
   }
 
-  /** Takes newer statements. */
+  /** Merges observations, keeping the newest per backend. */
   void update(List<ObservedBackend> backends, PlatformDocument document) {
     for (ObservedBackend backend : backends) {
       byId.merge(
           backend.backendId(),
           backend,
-          (former, latter) -> latter.supersedes(former) ? latter : former);
+          (current, received) -> received.supersedes(current) ? received : current);
     }
-    int named = document.services().values().stream().mapToInt(List::size).sum();
-    if (byId.size() > named + UNNAMED_KEPT) {
-      byId.keySet().retainAll(ids(document));
+    int listed = document.services().values().stream().mapToInt(List::size).sum();
+    if (byId.size() > listed + MAX_UNLISTED_BACKENDS) {
+      byId.keySet().retainAll(listedIds(document));
     }
   }
 
-  private static Set<String> ids(PlatformDocument document) {
+  private static Set<String> listedIds(PlatformDocument document) {
     return document.services().values().stream()
         .flatMap(List::stream)
         .map(PlatformDocument.BackendAddress::id)
--- a/umberpath-node/src/main/java/io/umberpath/node/control/OutputHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/control/OutputHandler.java
@@ -13,8 +13,8 @@
 import java.util.function.Supplier;
 
 /**
- * Carries out what the node asks for, except answers to tickets. Called by the control thread;
- * {@link #snapshot} and {@link #observed} by any.
+ * Executes the node's outputs, except results of pending requests. Called by the control thread;
+ * {@link #snapshot} and {@link #observed} may be called by any thread.
  */
 final class OutputHandler {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -31,18 +31,22 @@
     this.inbox = inbox;
   }
 
-  /** The snapshot in force. */
+  /** The active snapshot. */
   ProxySnapshot snapshot() {
     return snapshot;
   }
 
-  /** The newest statement about each back end. */
+  /** The latest observation of each backend, by backend id. */
   Map<String, ObservedBackend> observed() {
     return observed.view();
   }
 
-  /** Carries out one output. */
-  void carryOut(ControlOutput output, Supplier<PlatformDocument> document) {
+  /**
+   * Executes one output.
+   *
+   * @param document supplies the node's current platform document
+   */
+  void execute(ControlOutput output, Supplier<PlatformDocument> document) {
     if (output instanceof ControlOutput.Send send) {
       send(send);
     } else if (output instanceof ControlOutput.Disconnect disconnect) {
@@ -62,7 +66,7 @@
     try {
       transport.send(send.to(), send.message());
     } catch (IllegalArgumentException e) {
-      logger.atSevere().withCause(e).log("A message to %s could not be encoded", send.to());
+      logger.atSevere().withCause(e).log("Failed to encode a message to %s", send.to());
     }
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/control/ReplaceableMessages.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/control/ReplaceableMessages.java
@@ -4,8 +4,8 @@
 import java.util.function.Predicate;
 
 /**
- * Messages that a later one of the same sender replaces, so that losing one costs only time:
- * reports that carry no joins, deliveries that carry no states, and requests to attach.
+ * Matches messages that a later one from the same sender supersedes, so that dropping one only
+ * delays progress: reports without joins, deliveries without state deltas, and attach requests.
  */
 final class ReplaceableMessages implements Predicate<ControlMessage> {
   @Override
--- a/umberpath-node/src/main/java/io/umberpath/node/control/package-info.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/control/package-info.java
@@ -1,2 +1,2 @@
-/** Runs the control side of one node: its thread, its inputs and what it asks for. */
+/** Runs the control plane of one node: its thread, its input queue and its outputs. */
 package io.umberpath.node.control;
--- a/umberpath-node/src/test/java/io/umberpath/node/control/ControlInboxTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/control/ControlInboxTest.java
@@ -28,16 +28,16 @@
         new Round(1, number), PEER, 0, Version.NONE, 0, List.of(), List.of());
   }
 
-  private void arrive(ControlMessage message) {
+  private void receive(ControlMessage message) {
     inbox.addMessage(new ControlInput.MessageReceived(PEER, message));
   }
 
-  private List<Object> takeAll() throws InterruptedException {
+  private List<Object> pollAll() throws InterruptedException {
     List<Object> all = new ArrayList<>();
     Optional<ControlTask> next = inbox.poll(0);
     while (next.isPresent()) {
       ControlInput input = ((ControlTask.Input) next.get()).input();
-      all.add(input instanceof ControlInput.MessageReceived got ? got.message() : input);
+      all.add(input instanceof ControlInput.MessageReceived received ? received.message() : input);
       next = inbox.poll(0);
     }
     return all;
@@ -46,31 +46,31 @@
   @Test
   void keepsOrder() throws InterruptedException {
     ControlInput unreachable = new ControlInput.PeerUnreachable(PEER);
-    arrive(heartbeat(1));
+    receive(heartbeat(1));
     inbox.add(unreachable);
-    arrive(heartbeat(2));
-    assertThat(takeAll()).containsExactly(heartbeat(1), unreachable, heartbeat(2));
-    assertThat(inbox.dropped()).isZero();
+    receive(heartbeat(2));
+    assertThat(pollAll()).containsExactly(heartbeat(1), unreachable, heartbeat(2));
+    assertThat(inbox.droppedMessages()).isZero();
   }
 
   @Test
   void dropsTheOldestReplaceableMessageWhenFull() throws InterruptedException {
     ControlMessage joins = report(1, List.of(JOINING));
-    arrive(joins);
-    arrive(heartbeat(1));
-    arrive(report(2, List.of()));
-    arrive(new ControlMessage.Detach());
-    assertThat(takeAll()).containsExactly(joins, report(2, List.of()), new ControlMessage.Detach());
-    assertThat(inbox.dropped()).isEqualTo(1);
+    receive(joins);
+    receive(heartbeat(1));
+    receive(report(2, List.of()));
+    receive(new ControlMessage.Detach());
+    assertThat(pollAll()).containsExactly(joins, report(2, List.of()), new ControlMessage.Detach());
+    assertThat(inbox.droppedMessages()).isEqualTo(1);
   }
 
   @Test
   void dropsTheArrivingMessageWhenNothingIsReplaceable() throws InterruptedException {
     for (long ticket = 1; ticket <= 4; ticket++) {
-      arrive(new ControlMessage.FleetViewRequest(ticket));
+      receive(new ControlMessage.FleetViewRequest(ticket));
     }
-    assertThat(takeAll()).hasSize(3).doesNotContain(new ControlMessage.FleetViewRequest(4));
-    assertThat(inbox.dropped()).isEqualTo(1);
+    assertThat(pollAll()).hasSize(3).doesNotContain(new ControlMessage.FleetViewRequest(4));
+    assertThat(inbox.droppedMessages()).isEqualTo(1);
   }
 
   @Test
@@ -78,14 +78,14 @@
     for (long ticket = 1; ticket <= 10; ticket++) {
       assertThat(inbox.add(new ControlInput.ChangeAbandoned(ticket))).isTrue();
     }
-    assertThat(takeAll()).hasSize(10);
+    assertThat(pollAll()).hasSize(10);
   }
 
   @Test
-  void takesNothingAfterItWasClosed() throws InterruptedException {
+  void refusesTasksAfterClose() throws InterruptedException {
     inbox.close();
-    arrive(heartbeat(1));
+    receive(heartbeat(1));
     assertThat(inbox.add(new ControlInput.Tick())).isFalse();
-    assertThat(takeAll()).isEmpty();
+    assertThat(pollAll()).isEmpty();
   }
 }
--- a/umberpath-node/src/test/java/io/umberpath/node/control/ControlRuntimeFleetTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/control/ControlRuntimeFleetTest.java
@@ -1,7 +1,7 @@
 package io.umberpath.node.control;
 
 import static io.umberpath.node.control.RuntimeFleet.await;
-import static io.umberpath.node.control.RuntimeFleet.holds;
+import static io.umberpath.node.control.RuntimeFleet.hasPool;
 import static io.umberpath.node.control.RuntimeFleet.poolChange;
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -26,32 +26,32 @@
   private static final Duration TIMEOUT = Duration.ofSeconds(20);
 
   @Test
-  void followersChangeIsActiveEverywhere() throws Exception {
+  void changeSubmittedToAFollowerBecomesActiveOnEveryNode() throws Exception {
     try (RuntimeFleet fleet = new RuntimeFleet(5)) {
       fleet.awaitFormed();
-      Version accepted = accept(fleet.follower(), "first");
+      Version accepted = submitAccepted(fleet.follower(), "first");
       fleet.awaitActive(accepted);
       assertThat(fleet.nodes)
           .allMatch(node -> node.runtime.snapshot().pools().containsKey("first"))
           .allMatch(node -> node.runtime.droppedMessages() == 0)
-          .noneMatch(node -> node.failed.get());
+          .noneMatch(node -> node.nodeFailed.get());
     }
   }
 
   @Test
-  void theStatusNeverLagsBehindTheSnapshotInForce() throws Exception {
+  void statusIsNeverOlderThanTheActiveSnapshot() throws Exception {
     try (RuntimeFleet fleet = new RuntimeFleet(3)) {
       fleet.awaitFormed();
-      fleet.awaitActive(accept(fleet.follower(), "first"));
+      fleet.awaitActive(submitAccepted(fleet.follower(), "first"));
       assertThat(fleet.nodes).noneMatch(node -> node.statusLagged.get());
     }
   }
 
   @Test
-  void killedLeaderLeavesTruthfulOutcomesAndNobodyGoesBack() throws Exception {
+  void leaderCrashKeepsOutcomesCorrectAndVersionsMonotonic() throws Exception {
     try (RuntimeFleet fleet = new RuntimeFleet(5)) {
       fleet.awaitFormed();
-      Version first = accept(fleet.follower(), "first");
+      Version first = submitAccepted(fleet.follower(), "first");
       fleet.awaitActive(first);
       RuntimeNode leader = fleet.leader();
       RuntimeNode follower = fleet.follower();
@@ -64,9 +64,10 @@
       fleet.nodes.remove(leader);
       CompletableFuture.allOf(outcomes.values().toArray(CompletableFuture[]::new)).get();
 
-      Version last = accept(fleet.follower(), "last");
+      Version last = submitAccepted(fleet.follower(), "last");
       fleet.awaitActive(last);
-      outcomes.forEach((name, outcome) -> assertTruthful(fleet, name, outcome.join()));
+      outcomes.forEach(
+          (name, outcome) -> assertOutcomeMatchesCommittedState(fleet, name, outcome.join()));
 
       fleet.nodes.add(leader);
       RuntimeNode restarted = fleet.restart(leader, 2_000);
@@ -75,16 +76,17 @@
       Map<PeerAddress, List<ProxySnapshot>> activations = new HashMap<>();
       fleet.nodes.forEach(node -> activations.put(node.address, new ArrayList<>(node.activations)));
       activations.get(leader.address).addAll(0, leader.activations);
-      RuntimeFleet.assertNeverBack(activations);
-      assertThat(fleet.nodes).noneMatch(node -> node.failed.get());
+      RuntimeFleet.assertMonotonic(activations);
+      assertThat(fleet.nodes).noneMatch(node -> node.nodeFailed.get());
     }
   }
 
-  private static void assertTruthful(RuntimeFleet fleet, String name, ChangeResult outcome) {
+  private static void assertOutcomeMatchesCommittedState(
+      RuntimeFleet fleet, String name, ChangeResult outcome) {
     if (outcome instanceof ChangeResult.Accepted) {
-      assertThat(fleet.nodes).as(name).allMatch(node -> holds(node, name));
+      assertThat(fleet.nodes).as(name).allMatch(node -> hasPool(node, name));
     } else if (outcome instanceof ChangeResult.Refused) {
-      assertThat(fleet.nodes).as(name).noneMatch(node -> holds(node, name));
+      assertThat(fleet.nodes).as(name).noneMatch(node -> hasPool(node, name));
     }
   }
 
@@ -93,7 +95,7 @@
     outcomes.put(name, node.runtime.submit(poolChange(name), TIMEOUT).toCompletableFuture());
   }
 
-  private static Version accept(RuntimeNode node, String name) throws Exception {
+  private static Version submitAccepted(RuntimeNode node, String name) throws Exception {
     ChangeResult result =
         node.runtime.submit(poolChange(name), TIMEOUT).toCompletableFuture().get();
     assertThat(result).isInstanceOf(ChangeResult.Accepted.class);
@@ -101,17 +103,17 @@
   }
 
   @Test
-  void withoutQuorumAChangeIsRefusedAsNotRun() throws IOException {
+  void changeWithoutQuorumIsRefused() throws IOException {
     try (RuntimeFleet fleet = new RuntimeFleet(3)) {
       fleet.awaitFormed();
       RuntimeNode survivor = fleet.follower();
       fleet.nodes.stream().filter(node -> node != survivor).forEach(RuntimeNode::kill);
-      await("no leader heard", () -> refusedAtOnce(survivor));
-      assertThat(holds(survivor, "never")).isFalse();
+      await("no leader heard", () -> refusesChange(survivor));
+      assertThat(hasPool(survivor, "never")).isFalse();
     }
   }
 
-  private static boolean refusedAtOnce(RuntimeNode node) {
+  private static boolean refusesChange(RuntimeNode node) {
     return node.runtime
             .submit(poolChange("never"), Duration.ofSeconds(3))
             .toCompletableFuture()
@@ -120,7 +122,7 @@
   }
 
   @Test
-  void closedRuntimeAnswersAsNotRun() throws IOException {
+  void closedRuntimeRefusesChanges() throws IOException {
     try (RuntimeFleet fleet = new RuntimeFleet(1)) {
       RuntimeNode node = fleet.nodes.get(0);
       node.runtime.close();
--- a/umberpath-node/src/test/java/io/umberpath/node/control/ControlRuntimeTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/control/ControlRuntimeTest.java
@@ -33,11 +33,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The runtime with a node that does what each test says. */
+/** Tests the runtime with a scripted node. */
 @Timeout(60)
 class ControlRuntimeTest {
   private static final PeerAddress PEER = new PeerAddress("127.0.0.1", 1);
-  private static final Duration LONG = Duration.ofSeconds(50);
+  private static final Duration LONG_TIMEOUT = Duration.ofSeconds(50);
   private static final ChangeResult ACCEPTED = new ChangeResult.Accepted(new Version(1, 1));
   private static final ChangeResult FORWARDED = new ChangeResult.Unknown("forwarded");
 
@@ -52,7 +52,7 @@
     runtime =
         new ControlRuntime(
             new ScriptedNode(behaviour),
-            new MemoryTransport(),
+            new RecordingTransport(),
             new PendingReader(),
             ControlRuntimeSettings.DEFAULT,
             failure::countDown);
@@ -64,7 +64,7 @@
     runtime.close();
   }
 
-  private static Function<ControlInput, List<ControlOutput>> silent() {
+  private static Function<ControlInput, List<ControlOutput>> noOutputs() {
     return input -> List.of();
   }
 
@@ -73,16 +73,16 @@
   }
 
   @Test
-  void changeIsAnsweredByTheNode() throws Exception {
+  void changeCompletesWithTheResultOfTheNode() throws Exception {
     start(
         input ->
             input instanceof ControlInput.ChangeSubmitted change
                 ? List.of(new ControlOutput.ChangeAnswered(change.ticket(), ACCEPTED))
                 : List.of());
-    assertThat(submit(LONG).get()).isEqualTo(ACCEPTED);
+    assertThat(submit(LONG_TIMEOUT).get()).isEqualTo(ACCEPTED);
   }
 
-  private void startAnsweringAbandonedChanges() throws IOException {
+  private void startCompletingAbandonedChanges() throws IOException {
     start(
         input ->
             input instanceof ControlInput.ChangeAbandoned change
@@ -91,15 +91,15 @@
   }
 
   @Test
-  void overdueChangeIsAnsweredByTheNodesVerdict() throws Exception {
-    startAnsweringAbandonedChanges();
+  void expiredChangeCompletesWithTheResultOfTheNode() throws Exception {
+    startCompletingAbandonedChanges();
     assertThat(submit(Duration.ofMillis(20)).get()).isEqualTo(FORWARDED);
   }
 
   @Test
-  void openChangesAreAbandonedBeforeTheRuntimeStops() throws Exception {
-    startAnsweringAbandonedChanges();
-    CompletableFuture<ChangeResult> open = submit(LONG);
+  void pendingChangesAreAbandonedBeforeTheRuntimeStops() throws Exception {
+    startCompletingAbandonedChanges();
+    CompletableFuture<ChangeResult> open = submit(LONG_TIMEOUT);
     RuntimeFleet.await("submitted", () -> inputs.stream().anyMatch(this::isSubmission));
     runtime.close();
     assertThat(open.get()).isEqualTo(FORWARDED);
@@ -110,7 +110,7 @@
   }
 
   @Test
-  void failedNodeEndsTheRuntimeAndLeavesOutcomesUnknown() throws Exception {
+  void nodeFailureStopsTheRuntimeAndLeavesOutcomesUnknown() throws Exception {
     start(
         input -> {
           if (input instanceof ControlInput.ChangeSubmitted) {
@@ -118,19 +118,19 @@
           }
           return List.of();
         });
-    assertThat(submit(LONG).get()).isInstanceOf(ChangeResult.Unknown.class);
+    assertThat(submit(LONG_TIMEOUT).get()).isInstanceOf(ChangeResult.Unknown.class);
     assertThat(failure.await(30, TimeUnit.SECONDS)).isTrue();
-    assertThat(submit(LONG).get()).isInstanceOf(ChangeResult.Refused.class);
+    assertThat(submit(LONG_TIMEOUT).get()).isInstanceOf(ChangeResult.Refused.class);
   }
 
   @Test
-  void unansweredFleetViewIsEmpty() throws Exception {
-    start(silent());
+  void fleetViewIsEmptyAfterTimeout() throws Exception {
+    start(noOutputs());
     assertThat(runtime.fleetView(Duration.ofMillis(20)).toCompletableFuture().get()).isEmpty();
   }
 
   @Test
-  void messagesLossesAndReadsReachTheNode() throws Exception {
+  void messagesUnreachablePeersAndDocumentsReachTheNode() throws Exception {
     PlatformDocument read = new PlatformDocument(4, new TreeMap<>(), List.of());
     start(
         input ->
@@ -155,7 +155,7 @@
   }
 
   @Test
-  void failedReadReachesTheNode() throws Exception {
+  void failedDocumentReadReachesTheNode() throws Exception {
     start(
         input ->
             input instanceof ControlInput.PeerUnreachable
@@ -169,7 +169,7 @@
   }
 
   @Test
-  void snapshotAndObservedFollowTheNode() throws Exception {
+  void snapshotAndObservedBackendsFollowTheNode() throws Exception {
     ProxySnapshot snapshot = new ProxySnapshot(new Version(1, 5), 2, List.of(), Map.of(), Map.of());
     ObservedBackend newer = backend(2);
     start(
@@ -190,7 +190,7 @@
     return new ObservedBackend("b", 1, counter, ObservedBackend.Phase.READY, 0);
   }
 
-  /** Does what a function says; wants a tick every 10 ms. */
+  /** Computes its outputs with a function; requests a tick every 10 ms. */
   private final class ScriptedNode implements ControlNode {
     private final Function<ControlInput, List<ControlOutput>> behaviour;
     private long now;
@@ -235,8 +235,8 @@
     }
   }
 
-  /** Keeps what is sent. */
-  private final class MemoryTransport implements Transport {
+  /** Records sent messages. */
+  private final class RecordingTransport implements Transport {
     @Override
     public void start(Listener started) {
       listener = started;
@@ -259,7 +259,7 @@
     public void close() {}
   }
 
-  /** Answers when the test says so. */
+  /** Returns a document that the test completes. */
   private final class PendingReader implements PlatformReader {
     @Override
     public CompletionStage<PlatformDocument> read() {
--- a/umberpath-node/src/test/java/io/umberpath/node/control/RuntimeFleet.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/control/RuntimeFleet.java
@@ -21,11 +21,11 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.BooleanSupplier;
 
-/** A fleet of control runtimes in this process, on real sockets of ephemeral ports. */
+/** A fleet of control runtimes in this process, on real sockets with ephemeral ports. */
 final class RuntimeFleet implements AutoCloseable {
   static final String SERVICE = "booking";
 
-  private static final long GENEROUS_SECONDS = 60;
+  private static final long AWAIT_TIMEOUT_SECONDS = 60;
 
   final List<RuntimeNode> nodes = new ArrayList<>();
   final AtomicReference<PlatformDocument> platform = new AtomicReference<>(document());
@@ -52,8 +52,8 @@
   }
 
   RuntimeNode leader() {
-    await("a leader", () -> nodes.stream().anyMatch(RuntimeNode::leads));
-    return nodes.stream().filter(RuntimeNode::leads).findAny().orElseThrow();
+    await("a leader", () -> nodes.stream().anyMatch(RuntimeNode::isLeader));
+    return nodes.stream().filter(RuntimeNode::isLeader).findAny().orElseThrow();
   }
 
   RuntimeNode follower() {
@@ -64,10 +64,10 @@
   void awaitFormed() {
     await(
         "the whole fleet in the roster everywhere",
-        () -> nodes.stream().allMatch(node -> rosterOf(node) == nodes.size()));
+        () -> nodes.stream().allMatch(node -> rosterSize(node) == nodes.size()));
   }
 
-  private static int rosterOf(RuntimeNode node) {
+  private static int rosterSize(RuntimeNode node) {
     ControlStatus status = node.status();
     return status.self().slot() < 0 ? 0 : status.committed().roster().size();
   }
@@ -80,12 +80,12 @@
                 .allMatch(node -> node.runtime.snapshot().version().compareTo(version) >= 0));
   }
 
-  /** Puts a new process at the address of a killed one. */
+  /** Starts a new node at the address of a killed one. */
   RuntimeNode restart(RuntimeNode killed, long incarnation) throws IOException {
-    RuntimeNode next = new RuntimeNode(killed.address, incarnation, platform);
-    nodes.set(nodes.indexOf(killed), next);
-    next.start(seeds, nodes.size());
-    return next;
+    RuntimeNode restarted = new RuntimeNode(killed.address, incarnation, platform);
+    nodes.set(nodes.indexOf(killed), restarted);
+    restarted.start(seeds, nodes.size());
+    return restarted;
   }
 
   static ChangeSet poolChange(String name) {
@@ -100,7 +100,7 @@
         List.of());
   }
 
-  static boolean holds(RuntimeNode node, String pool) {
+  static boolean hasPool(RuntimeNode node, String pool) {
     return node.status()
         .committed()
         .resources()
@@ -108,7 +108,7 @@
   }
 
   static void await(String what, BooleanSupplier condition) {
-    long deadline = System.nanoTime() + Duration.ofSeconds(GENEROUS_SECONDS).toNanos();
+    long deadline = System.nanoTime() + Duration.ofSeconds(AWAIT_TIMEOUT_SECONDS).toNanos();
     while (!condition.getAsBoolean()) {
       if (System.nanoTime() > deadline) {
         throw new AssertionError("not reached: " + what);
@@ -117,8 +117,12 @@
     }
   }
 
-  /** Activated pairs by address, of all incarnations in order. */
-  static void assertNeverBack(Map<PeerAddress, List<ProxySnapshot>> activations) {
+  /**
+   * Asserts that no node activated an older version or platform revision than before.
+   *
+   * @param activations activated snapshots by node address, in order over all incarnations
+   */
+  static void assertMonotonic(Map<PeerAddress, List<ProxySnapshot>> activations) {
     activations.forEach(
         (address, snapshots) -> {
           for (int index = 1; index < snapshots.size(); index++) {
--- a/umberpath-node/src/test/java/io/umberpath/node/control/RuntimeNode.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/control/RuntimeNode.java
@@ -26,11 +26,11 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicReference;
 
-/** One control runtime of a test fleet, on a real socket. */
+/** A control runtime of a test fleet, on a real socket. */
 final class RuntimeNode implements AutoCloseable {
   final PeerAddress address;
   final GrizzlyTransport transport;
-  final AtomicBoolean failed = new AtomicBoolean();
+  final AtomicBoolean nodeFailed = new AtomicBoolean();
   final AtomicBoolean statusLagged = new AtomicBoolean();
   final List<ProxySnapshot> activations = new CopyOnWriteArrayList<>();
   ControlRuntime runtime;
@@ -38,7 +38,7 @@
   private final long incarnation;
   private final AtomicReference<PlatformDocument> platform;
 
-  /** Binds, so that the address is known; {@link #start} does the rest. */
+  /** Binds the socket so that the address is known; {@link #start} starts the runtime. */
   RuntimeNode(PeerAddress listen, long incarnation, AtomicReference<PlatformDocument> platform)
       throws IOException {
     this.incarnation = incarnation;
@@ -69,14 +69,14 @@
             300,
             100,
             1_000);
-    ControlNode node = new Recording(ControlNodes.create(settings));
+    ControlNode node = new RecordingNode(ControlNodes.create(settings));
     runtime =
         new ControlRuntime(
             node,
             transport,
-            new StoredDocument(),
+            new StaticPlatformReader(),
             ControlRuntimeSettings.DEFAULT,
-            () -> failed.set(true));
+            () -> nodeFailed.set(true));
     runtime.start();
   }
 
@@ -84,11 +84,11 @@
     return runtime.status();
   }
 
-  boolean leads() {
+  boolean isLeader() {
     return status().role() == ControlStatus.Role.LEADER;
   }
 
-  /** Stops as a killed process does: nothing more leaves it. */
+  /** Simulates a killed process: closes the transport first, so that nothing more is sent. */
   void kill() {
     transport.close();
     runtime.close();
@@ -102,8 +102,8 @@
     transport.close();
   }
 
-  /** The platform of the test fleet. */
-  private final class StoredDocument implements PlatformReader {
+  /** Returns the current platform document of the test fleet. */
+  private final class StaticPlatformReader implements PlatformReader {
     @Override
     public CompletionStage<PlatformDocument> read() {
       return CompletableFuture.completedFuture(platform.get());
@@ -113,11 +113,11 @@
     public void close() {}
   }
 
-  /** Notes every activation. */
-  private final class Recording implements ControlNode {
+  /** Records every activation. */
+  private final class RecordingNode implements ControlNode {
     private final ControlNode node;
 
-    Recording(ControlNode node) {
+    RecordingNode(ControlNode node) {
       this.node = node;
     }
 
@@ -137,14 +137,14 @@
 
         @Override
         public int size() {
-          noteLag();
+          checkStatusLag();
           return outputs.size();
         }
       };
     }
 
-    /** The loop asks for the size between any two outputs, on its own thread. */
-    private void noteLag() {
+    /** Called between any two outputs, because the loop calls {@code size()} on its own thread. */
+    private void checkStatusLag() {
       Version active = runtime.status().activeVersion();
       statusLagged.compareAndSet(false, active.compareTo(runtime.snapshot().version()) < 0);
     }
