--- a/umberpath-node/src/main/java/io/umberpath/node/NodeProcess.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/NodeProcess.java
@@ -40,8 +40,8 @@
   private final NodeSettings settings;
   private final PrometheusMeterRegistry metrics =
       new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-  private final CountDownLatch ended = new CountDownLatch(1);
-  private final Deque<AutoCloseable> started = new ArrayDeque<>();
+  private final CountDownLatch terminated = new CountDownLatch(1);
+  private final Deque<AutoCloseable> startedComponents = new ArrayDeque<>();
   private volatile boolean failed = false;
   private volatile boolean draining = false;
   private GrizzlyTransport transport;
@@ -109,15 +109,15 @@
         TransportSettings.withDefaults(self.address(), self.incarnation(), settings.security());
     transport = new GrizzlyTransport(connections, new MessageCodec<>(ControlMessage.class));
     HttpPlatformReader reader = HttpPlatformReader.open(settings.platform(), self.address());
-    started.push(reader);
+    startedComponents.push(reader);
     control =
         new ControlRuntime(
             ControlNodes.create(settings.control()),
             transport,
             reader,
             ControlRuntimeSettings.DEFAULT,
-            this::fail);
-    started.push(control);
+            this::onControlFailure);
+    startedComponents.push(control);
     control.start();
   }
 
@@ -128,7 +128,7 @@
             settings.control().self().zone(),
             control,
             new MeterRegistryStats(metrics));
-    started.push(server);
+    startedComponents.push(server);
     server.start();
     proxy = Optional.of(server);
   }
@@ -137,25 +137,25 @@
     NodeMetrics.register(metrics, control);
     TransportMetrics.register(metrics, transport, control);
     operator = new OperatorServer(settings.operator(), control, metrics);
-    started.push(operator);
+    startedComponents.push(operator);
     operator.start();
     Readiness notDraining = () -> draining ? Optional.of("draining") : Optional.empty();
     admin =
         new AdminServer(settings.admin(), control, metrics, notDraining.and(Readiness.of(control)));
-    started.push(admin);
+    startedComponents.push(admin);
     admin.start();
   }
 
   /** Waits until {@link #close} is done or the control side failed; true if it failed. */
   public boolean awaitEnd() throws InterruptedException {
-    ended.await();
+    terminated.await();
     return failed;
   }
 
-  private void fail() {
+  private void onControlFailure() {
     failed = true;
     logger.atSevere().with(LogFields.EVENT, "node-failed").log("the control side failed");
-    ended.countDown();
+    terminated.countDown();
   }
 
   /** Drains the proxy, then closes every part in the opposite order of its start. */
@@ -163,14 +163,14 @@
   public void close() {
     draining = true;
     synchronized (this) {
-      if (!started.isEmpty()) {
+      if (!startedComponents.isEmpty()) {
         logger.atInfo().with(LogFields.EVENT, "node-draining").log("planned stop");
         proxy.ifPresent(this::drain);
         closeStarted();
         logger.atInfo().with(LogFields.EVENT, "node-stopped").log("node stopped");
       }
     }
-    ended.countDown();
+    terminated.countDown();
   }
 
   private void drain(ProxyServer server) {
@@ -186,16 +186,16 @@
   }
 
   private void closeStarted() {
-    while (!started.isEmpty()) {
-      AutoCloseable part = started.pop();
+    while (!startedComponents.isEmpty()) {
+      AutoCloseable component = startedComponents.pop();
       try {
-        part.close();
+        component.close();
       } catch (Exception failure) {
         logger
             .atWarning()
             .withCause(failure)
             .with(LogFields.EVENT, "node-part-not-closed")
-            .log("%s did not close", part.getClass().getSimpleName());
+            .log("%s did not close", component.getClass().getSimpleName());
       }
     }
     metrics.close();
--- a/umberpath-node/src/main/java/io/umberpath/node/admin/AdminServer.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/admin/AdminServer.java
@@ -28,7 +28,7 @@
   private static final String TEXT_TYPE = "text/plain; charset=utf-8";
   private static final String JSON_TYPE = "application/json";
   private static final int THREADS = 2;
-  private static final int MAX_WAITING = 64;
+  private static final int MAX_QUEUED_REQUESTS = 64;
   private static final int STATUS_OK = 200;
   private static final int STATUS_NOT_FOUND = 404;
   private static final int STATUS_METHOD_NOT_ALLOWED = 405;
@@ -65,11 +65,11 @@
                 .setPoolName(LISTENER)
                 .setCorePoolSize(THREADS)
                 .setMaxPoolSize(THREADS)
-                .setQueueLimit(MAX_WAITING)
+                .setQueueLimit(MAX_QUEUED_REQUESTS)
                 .setDaemon(true));
     listener.getTransport().setSelectorRunnersCount(1);
     server.addListener(listener);
-    server.getServerConfiguration().addHttpHandler(new Pages(), "/");
+    server.getServerConfiguration().addHttpHandler(new RequestHandler(), "/");
   }
 
   @Override
@@ -92,7 +92,7 @@
     server.shutdownNow();
   }
 
-  private final class Pages extends HttpHandler {
+  private final class RequestHandler extends HttpHandler {
     @Override
     public void service(Request request, Response response) throws IOException {
       boolean reads =
@@ -117,7 +117,7 @@
     }
 
     private void sendReadiness(Response response) throws IOException {
-      Optional<String> obstacle = readiness.obstacle();
+      Optional<String> obstacle = readiness.notReadyReason();
       if (obstacle.isPresent()) {
         send(response, STATUS_UNAVAILABLE, TEXT_TYPE, obstacle.get() + "\n");
       } else {
--- a/umberpath-node/src/main/java/io/umberpath/node/admin/NodeMetrics.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/admin/NodeMetrics.java
@@ -19,11 +19,11 @@
     new JvmThreadMetrics().bindTo(registry);
     new ProcessorMetrics().bindTo(registry);
     ControlGauges gauges = new ControlGauges(registry, control);
-    agreement(gauges);
-    platform(gauges);
+    registerConsensus(gauges);
+    registerPlatform(gauges);
   }
 
-  private static void agreement(ControlGauges gauges) {
+  private static void registerConsensus(ControlGauges gauges) {
     gauges.add("epoch", "highest epoch promised", ControlStatus::epoch);
     gauges.add(
         "committed.sequence",
@@ -40,14 +40,15 @@
     gauges.add("children", "nodes that it relays to", ControlStatus::children);
     gauges.add(
         "members", "members of the committed roster", status -> status.committed().roster().size());
-    gauges.add("leader", "1 while it leads", status -> is(status, ControlStatus.Role.LEADER));
+    gauges.add(
+        "leader", "1 while it leads", status -> roleIndicator(status, ControlStatus.Role.LEADER));
     gauges.add(
         "joining",
         "1 while it is not a member of the fleet",
-        status -> is(status, ControlStatus.Role.JOINING));
+        status -> roleIndicator(status, ControlStatus.Role.JOINING));
   }
 
-  private static void platform(ControlGauges gauges) {
+  private static void registerPlatform(ControlGauges gauges) {
     gauges.add(
         "active.platform.revision", "platform revision in force", ControlStatus::activeRevision);
     gauges.add(
@@ -61,7 +62,7 @@
         status -> status.compositionViolations().size());
   }
 
-  private static double is(ControlStatus status, ControlStatus.Role role) {
+  private static double roleIndicator(ControlStatus status, ControlStatus.Role role) {
     return status.role() == role ? 1 : 0;
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/admin/Readiness.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/admin/Readiness.java
@@ -9,7 +9,7 @@
 @FunctionalInterface
 public interface Readiness {
   /** Why the node should not be sent calls; empty if it should. */
-  Optional<String> obstacle();
+  Optional<String> notReadyReason();
 
   /** A node that is a member and has a configuration in force. */
   static Readiness of(ControlService control) {
@@ -26,8 +26,8 @@
   /** Ready when both are; this one's obstacle goes first. */
   default Readiness and(Readiness other) {
     return () -> {
-      Optional<String> first = obstacle();
-      return first.isPresent() ? first : other.obstacle();
+      Optional<String> ownReason = notReadyReason();
+      return ownReason.isPresent() ? ownReason : other.notReadyReason();
     };
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/admin/TransportMetrics.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/admin/TransportMetrics.java
@@ -19,10 +19,11 @@
   /** Registers the meters; each is read when the registry is scraped. */
   public static void register(
       MeterRegistry registry, GrizzlyTransport transport, ControlRuntime control) {
-    traffic(registry, transport, "bytes", "sent", Transport.Traffic::sentBytes);
-    traffic(registry, transport, "bytes", "received", Transport.Traffic::receivedBytes);
-    traffic(registry, transport, "messages", "sent", Transport.Traffic::sentMessages);
-    traffic(registry, transport, "messages", "received", Transport.Traffic::receivedMessages);
+    registerTraffic(registry, transport, "bytes", "sent", Transport.Traffic::sentBytes);
+    registerTraffic(registry, transport, "bytes", "received", Transport.Traffic::receivedBytes);
+    registerTraffic(registry, transport, "messages", "sent", Transport.Traffic::sentMessages);
+    registerTraffic(
+        registry, transport, "messages", "received", Transport.Traffic::receivedMessages);
     Gauge.builder(PREFIX + "connections", transport, GrizzlyTransport::connections)
         .description("connections with other nodes")
         .strongReference(true)
@@ -39,7 +40,7 @@
         .register(registry);
   }
 
-  private static void traffic(
+  private static void registerTraffic(
       MeterRegistry registry,
       GrizzlyTransport transport,
       String unit,
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/ApplyCommand.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/ApplyCommand.java
@@ -45,11 +45,11 @@
       return ExitCode.USAGE;
     }
     ApplyRequest request = withRequestId(parsed.get());
-    Either<CallFailure, ApplyResponse> answer = change(server -> server.apply(request));
+    Either<CallFailure, ApplyResponse> result = change(server -> server.apply(request));
     ExitCode exitCode =
         print(
             output,
-            answer,
+            result,
             accepted ->
                 "accepted version "
                     + Names.version(accepted.getVersion())
@@ -61,7 +61,7 @@
     if (exitCode != ExitCode.OK || !waitUntilInForce) {
       return exitCode;
     }
-    WaitRequest wait = WaitRequest.newBuilder().setVersion(answer.get().getVersion()).build();
+    WaitRequest wait = WaitRequest.newBuilder().setVersion(result.get().getVersion()).build();
     ExitCode waited = print(output, read(server -> server.wait(wait)), WaitCommand::text);
     if (waited == ExitCode.OK) {
       return waited;
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/CallFailure.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/CallFailure.java
@@ -69,6 +69,7 @@
         found ->
             found
                 .getViolationsList()
-                .forEach(violation -> stream.println("  " + Texts.violation(violation))));
+                .forEach(
+                    violation -> stream.println("  " + ResponseFormatter.violation(violation))));
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/CommandLine.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/CommandLine.java
@@ -99,8 +99,8 @@
     }
   }
 
-  private void printCommands(boolean asked) {
-    var stream = asked ? output.out() : output.err();
+  private void printCommands(boolean helpRequested) {
+    var stream = helpRequested ? output.out() : output.err();
     stream.println("usage: umberpath COMMAND [OPTIONS]");
     stream.println();
     for (Entry entry : ENTRIES) {
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/DrainCommand.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/DrainCommand.java
@@ -33,10 +33,10 @@
     return print(
         output,
         change(server -> server.drain(request.build())),
-        answer ->
+        response ->
             "accepted version "
-                + Names.version(answer.getVersion())
+                + Names.version(response.getVersion())
                 + (undo ? " returns to service " : " drains ")
-                + String.join(", ", answer.getBackendIdsList()));
+                + String.join(", ", response.getBackendIdsList()));
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/ExplainCommand.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/ExplainCommand.java
@@ -29,6 +29,6 @@
             : ExplainRequest.newBuilder()
                 .setRequest(RequestSubject.newBuilder().setHost(host).setPath(path))
                 .build();
-    return print(output, read(server -> server.explain(request)), Texts::explanation);
+    return print(output, read(server -> server.explain(request)), ResponseFormatter::explanation);
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/GetCommand.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/GetCommand.java
@@ -19,6 +19,6 @@
     return print(
         output,
         read(server -> server.get(request)),
-        answer -> Texts.resource(answer.getResource()));
+        response -> ResponseFormatter.resource(response.getResource()));
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/PlannedStop.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/GracefulShutdown.java
@@ -6,17 +6,17 @@
  * Closes a node when its process is told to end, and ends the process with {@link ExitCode#OK}: a
  * signal that was obeyed is no failure, while the JVM by itself would report the signal's number.
  */
-final class PlannedStop {
+final class GracefulShutdown {
   private final NodeProcess node;
   private final Thread hook = new Thread(this::stop, "umberpath-stop");
 
-  private PlannedStop(NodeProcess node) {
+  private GracefulShutdown(NodeProcess node) {
     this.node = node;
   }
 
   /** From now on a signal closes the node before the process ends. */
-  static PlannedStop install(NodeProcess node) {
-    PlannedStop stop = new PlannedStop(node);
+  static GracefulShutdown install(NodeProcess node) {
+    GracefulShutdown stop = new GracefulShutdown(node);
     Runtime.getRuntime().addShutdownHook(stop.hook);
     return stop;
   }
@@ -27,7 +27,7 @@
   }
 
   /** The node has ended by itself: closes what is left of it, unless a signal does that already. */
-  ExitCode end(ExitCode exitCode) {
+  ExitCode closeAfterExit(ExitCode exitCode) {
     try {
       Runtime.getRuntime().removeShutdownHook(hook);
     } catch (IllegalStateException signalled) {
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/ListCommand.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/ListCommand.java
@@ -32,7 +32,7 @@
             list.getResourcesCount() == 0
                 ? "no resources"
                 : list.getResourcesList().stream()
-                    .map(Texts::resource)
+                    .map(ResponseFormatter::resource)
                     .collect(Collectors.joining("\n")));
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/LogFilesCommand.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/LogFilesCommand.java
@@ -20,7 +20,7 @@
           Files.newBufferedReader(Path.of(file), StandardCharsets.ISO_8859_1)) {
         for (String line = lines.readLine(); line != null; line = lines.readLine()) {
           Optional<LogLine> read = LogLine.read(line);
-          read.map(each -> named(each, file)).ifPresent(onLine);
+          read.map(each -> withSource(each, file)).ifPresent(onLine);
         }
       } catch (IOException unreadable) {
         throw new UsageException("FILE " + file + " cannot be read");
@@ -29,7 +29,7 @@
   }
 
   /** A line that does not say where it is from is from its file. */
-  private static LogLine named(LogLine line, String file) {
+  private static LogLine withSource(LogLine line, String file) {
     return line.node().isEmpty()
         ? new LogLine(file, line.time(), line.event(), line.fields())
         : line;
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/NodeCommand.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/NodeCommand.java
@@ -20,8 +20,8 @@
   ExitCode run(NodeSettings settings, Output output) {
     Logs.bridgeLibraries();
     NodeProcess node = new NodeProcess(settings);
-    PlannedStop stop = PlannedStop.install(node);
-    return stop.end(runUntilEnd(node, output));
+    GracefulShutdown stop = GracefulShutdown.install(node);
+    return stop.closeAfterExit(runUntilEnd(node, output));
   }
 
   private static ExitCode runUntilEnd(NodeProcess node, Output output) {
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/OperatorCommand.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/OperatorCommand.java
@@ -66,18 +66,18 @@
   private <T> Either<CallFailure, T> call(Call<T> call, boolean changes) throws UsageException {
     List<PeerAddress> addresses = addresses();
     String token = token();
-    Duration limit = timeout();
-    Optional<CallFailure> worst = Optional.empty();
+    Duration callTimeout = timeout();
+    Optional<CallFailure> mostSevereFailure = Optional.empty();
     for (PeerAddress address : addresses) {
       try (ServerConnection connection = new ServerConnection(address, token)) {
         if (!connection.connect(CONNECT_TIMEOUT)) {
           continue;
         }
-        return Either.right(call.on(connection.stub(limit)));
+        return Either.right(call.on(connection.stub(callTimeout)));
       } catch (StatusRuntimeException failed) {
         CallFailure failure = CallFailure.of(failed, changes);
-        worst =
-            worst
+        mostSevereFailure =
+            mostSevereFailure
                 .filter(known -> known.exitCode() == ExitCode.MAY_HAVE_RUN)
                 .or(() -> Optional.of(failure));
         if (failure.exitCode() == ExitCode.REFUSED) {
@@ -85,17 +85,18 @@
         }
       }
     }
-    return Either.left(worst.orElseGet(() -> CallFailure.unreachable(addresses.toString())));
+    return Either.left(
+        mostSevereFailure.orElseGet(() -> CallFailure.unreachable(addresses.toString())));
   }
 
   /** Prints an answer or a failure, and tells the exit code. */
   final <T extends Message> ExitCode print(
-      Output output, Either<CallFailure, T> answer, Function<T, String> text) {
-    if (answer.isLeft()) {
-      answer.getLeft().print(output.err());
-      return answer.getLeft().exitCode();
+      Output output, Either<CallFailure, T> result, Function<T, String> text) {
+    if (result.isLeft()) {
+      result.getLeft().print(output.err());
+      return result.getLeft().exitCode();
     }
-    output.out().println(json ? toJson(answer.get()) : text.apply(answer.get()));
+    output.out().println(json ? toJson(result.get()) : text.apply(result.get()));
     output.out().flush();
     return ExitCode.OK;
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/ReformCommand.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/ReformCommand.java
@@ -25,6 +25,6 @@
     return print(
         output,
         change(server -> server.reform(request)),
-        answer -> "re-formed at version " + Names.version(answer.getVersion()));
+        response -> "re-formed at version " + Names.version(response.getVersion()));
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/Texts.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/ResponseFormatter.java
@@ -14,8 +14,8 @@
 import java.util.Locale;
 
 /** Answers as a reader sees them. */
-final class Texts {
-  private Texts() {}
+final class ResponseFormatter {
+  private ResponseFormatter() {}
 
   static String resource(Resource resource) {
     String tier = resource.getTier().name().replace("TIER_", "").toLowerCase(Locale.ROOT);
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/StatusCommand.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/StatusCommand.java
@@ -21,10 +21,10 @@
       return print(
           output,
           read(server -> server.fleetStatus(FleetStatusRequest.getDefaultInstance())),
-          Texts::status);
+          ResponseFormatter::status);
     }
     Either<CallFailure, FleetStatusResponse> last = read(server -> follow(server, output));
-    return last.isLeft() ? print(output, last, Texts::status) : ExitCode.OK;
+    return last.isLeft() ? print(output, last, ResponseFormatter::status) : ExitCode.OK;
   }
 
   /** Prints report after report until the deadline, which is the way a watch ends. */
@@ -34,7 +34,7 @@
     FleetStatusResponse last = reports.next();
     try {
       while (true) {
-        print(output, Either.right(last), Texts::status);
+        print(output, Either.right(last), ResponseFormatter::status);
         last = reports.next();
       }
     } catch (StatusRuntimeException ended) {
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/TraceCommand.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/TraceCommand.java
@@ -16,9 +16,9 @@
   private static final String BACKEND = "backend";
 
   /** How long before and after a request what nodes believed of its back ends is shown. */
-  private static final Duration AROUND = Duration.ofSeconds(3);
+  private static final Duration CONTEXT_WINDOW = Duration.ofSeconds(3);
 
-  private static final Set<String> BELIEFS =
+  private static final Set<String> CONTEXT_EVENTS =
       Set.of(
           "backend-added",
           "backend-draining",
@@ -39,31 +39,31 @@
   @Override
   ExitCode run(Output output) throws UsageException {
     List<LogLine> all = readAll(files);
-    List<LogLine> own =
+    List<LogLine> requestLines =
         all.stream().filter(line -> line.field(REQUEST_ID).equals(id)).collect(Collectors.toList());
-    if (own.isEmpty()) {
+    if (requestLines.isEmpty()) {
       output.err().println("no line of request " + id + "; served ones are only sampled");
       return ExitCode.REFUSED;
     }
-    List<LogLine> story = new ArrayList<>(own);
-    story.addAll(around(all, own));
-    story.sort(Comparator.comparing(LogLine::time));
-    story.forEach(line -> output.out().println(text(line)));
+    List<LogLine> trace = new ArrayList<>(requestLines);
+    trace.addAll(contextLines(all, requestLines));
+    trace.sort(Comparator.comparing(LogLine::time));
+    trace.forEach(line -> output.out().println(text(line)));
     return ExitCode.OK;
   }
 
   /** What the nodes concerned came to believe of the back ends concerned, and what was dropped. */
-  private static List<LogLine> around(List<LogLine> all, List<LogLine> own) {
+  private static List<LogLine> contextLines(List<LogLine> all, List<LogLine> requestLines) {
     Set<String> backends =
-        own.stream().map(line -> line.field(BACKEND)).collect(Collectors.toSet());
-    Set<String> nodes = own.stream().map(LogLine::node).collect(Collectors.toSet());
-    Instant first = own.stream().map(LogLine::time).min(Comparator.naturalOrder()).get();
-    Instant last = own.stream().map(LogLine::time).max(Comparator.naturalOrder()).get();
+        requestLines.stream().map(line -> line.field(BACKEND)).collect(Collectors.toSet());
+    Set<String> nodes = requestLines.stream().map(LogLine::node).collect(Collectors.toSet());
+    Instant first = requestLines.stream().map(LogLine::time).min(Comparator.naturalOrder()).get();
+    Instant last = requestLines.stream().map(LogLine::time).max(Comparator.naturalOrder()).get();
     return all.stream()
-        .filter(line -> BELIEFS.contains(line.event()) && nodes.contains(line.node()))
+        .filter(line -> CONTEXT_EVENTS.contains(line.event()) && nodes.contains(line.node()))
         .filter(line -> line.field(BACKEND).isEmpty() || backends.contains(line.field(BACKEND)))
-        .filter(line -> !line.time().isBefore(first.minus(AROUND)))
-        .filter(line -> !line.time().isAfter(last.plus(AROUND)))
+        .filter(line -> !line.time().isBefore(first.minus(CONTEXT_WINDOW)))
+        .filter(line -> !line.time().isAfter(last.plus(CONTEXT_WINDOW)))
         .toList();
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/WaitCommand.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/WaitCommand.java
@@ -18,10 +18,10 @@
     return print(output, read(server -> server.wait(request)), WaitCommand::text);
   }
 
-  static String text(WaitResponse answer) {
+  static String text(WaitResponse response) {
     return "in force in all "
-        + answer.getNodes()
+        + response.getNodes()
         + " members; the oldest version in force is "
-        + Names.version(answer.getVersion());
+        + Names.version(response.getVersion());
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/logs/JsonLines.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/logs/JsonLines.java
@@ -24,22 +24,22 @@
  * a line itself.
  */
 public final class JsonLines extends Handler {
-  private static final int BUFFERED_LINES = 2_048;
+  private static final int MAX_BUFFERED_LINES = 2_048;
   private static final long FLUSH_MILLIS = 200;
   private static final String CONTEXT = " [CONTEXT ";
 
   private static volatile JsonLines installed;
 
-  private final BlockingQueue<String> lines = new ArrayBlockingQueue<>(BUFFERED_LINES);
-  private final AtomicLong dropped = new AtomicLong();
-  private final AtomicInteger writing = new AtomicInteger();
+  private final BlockingQueue<String> lines = new ArrayBlockingQueue<>(MAX_BUFFERED_LINES);
+  private final AtomicLong droppedLines = new AtomicLong();
+  private final AtomicInteger writesInProgress = new AtomicInteger();
   private final FileOutputStream out = new FileOutputStream(FileDescriptor.out);
 
   private JsonLines() {}
 
   /** Makes all log records of the process JSON lines; to be called before anything is logged. */
   public static void install() {
-    System.setProperty(KeptLogManager.PROPERTY, KeptLogManager.class.getName());
+    System.setProperty(NonResettingLogManager.PROPERTY, NonResettingLogManager.class.getName());
     JsonLines handler = new JsonLines();
     Logger root = Logger.getLogger("");
     for (Handler before : root.getHandlers()) {
@@ -47,7 +47,7 @@
     }
     root.setLevel(Level.INFO);
     root.addHandler(handler);
-    Thread thread = new Thread(handler::write, "umberpath-log");
+    Thread thread = new Thread(handler::writeLoop, "umberpath-log");
     thread.setDaemon(true);
     thread.start();
     installed = handler;
@@ -63,12 +63,12 @@
 
   @Override
   public void publish(LogRecord record) {
-    if (isLoggable(record) && !lines.offer(line(record))) {
-      dropped.incrementAndGet();
+    if (isLoggable(record) && !lines.offer(format(record))) {
+      droppedLines.incrementAndGet();
     }
   }
 
-  private static String line(LogRecord record) {
+  private static String format(LogRecord record) {
     StringBuilder line = new StringBuilder(256);
     line.append("{\"time\":\"").append(Instant.ofEpochMilli(record.getMillis())).append('"');
     line.append(",\"level\":\"").append(record.getLevel().getName()).append('"');
@@ -77,7 +77,7 @@
     }
     JsonText.appendField(line, "message", withoutContext(String.valueOf(record.getMessage())));
     if (record.getThrown() != null) {
-      JsonText.appendField(line, "thrown", ThrownText.of(record.getThrown()));
+      JsonText.appendField(line, "thrown", ThrowableFormatter.format(record.getThrown()));
     }
     return line.append("}\n").toString();
   }
@@ -98,20 +98,20 @@
     }
   }
 
-  private void write() {
+  private void writeLoop() {
     while (true) {
       try {
         String line = lines.poll(1, TimeUnit.HOURS);
         if (line == null) {
           continue;
         }
-        writing.incrementAndGet();
-        long lost = dropped.getAndSet(0);
-        if (lost > 0) {
-          line = "{\"event\":\"lines-dropped\",\"count\":" + lost + "}\n" + line;
+        writesInProgress.incrementAndGet();
+        long droppedCount = droppedLines.getAndSet(0);
+        if (droppedCount > 0) {
+          line = "{\"event\":\"lines-dropped\",\"count\":" + droppedCount + "}\n" + line;
         }
         out.write(line.getBytes(StandardCharsets.UTF_8));
-        writing.decrementAndGet();
+        writesInProgress.decrementAndGet();
       } catch (InterruptedException ended) {
         return;
       } catch (IOException closed) {
@@ -123,7 +123,7 @@
   @Override
   public void flush() {
     long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(FLUSH_MILLIS);
-    while ((!lines.isEmpty() || writing.get() > 0) && System.nanoTime() < end) {
+    while ((!lines.isEmpty() || writesInProgress.get() > 0) && System.nanoTime() < end) {
       Thread.yield();
     }
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/logs/ThrownText.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/logs/ThrowableFormatter.java
@@ -1,7 +1,7 @@
 package io.umberpath.node.logs;
 
 /** What a log line says of an exception: where it was thrown, how that was reached, and why. */
-final class ThrownText {
+final class ThrowableFormatter {
   /**
    * Most frames of a stack. A failure that a library reports from within a write lies some 40
    * frames above the event that began it.
@@ -11,10 +11,10 @@
   /** Most exceptions of a chain of causes. */
   static final int MAX_CAUSES = 3;
 
-  private ThrownText() {}
+  private ThrowableFormatter() {}
 
   /** The exception with its stack, then its causes with theirs, in one line. */
-  static String of(Throwable thrown) {
+  static String format(Throwable thrown) {
     StringBuilder text = new StringBuilder();
     append(text, thrown);
     Throwable cause = thrown.getCause();
--- a/umberpath-node/src/main/java/io/umberpath/node/operator/CallDeadline.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/CallDeadline.java
@@ -9,24 +9,25 @@
 final class CallDeadline {
   private static final long MIN_MARGIN_MILLIS = 50;
   private static final long MAX_MARGIN_MILLIS = 500;
-  private static final long MARGIN_SHARE = 10;
+  private static final long MARGIN_DIVISOR = 10;
 
   private CallDeadline() {}
 
   /**
    * Time left for the current call.
    *
-   * @param whenNone the time if the caller set no deadline
-   * @param longest upper bound
+   * @param defaultTimeout returned if the client set no deadline
+   * @param maxTimeout upper bound
    * @return zero or less if no time is left
    */
-  static Duration remaining(Duration whenNone, Duration longest) {
+  static Duration remaining(Duration defaultTimeout, Duration maxTimeout) {
     Deadline deadline = Context.current().getDeadline();
     if (deadline == null) {
-      return whenNone;
+      return defaultTimeout;
     }
-    long left = deadline.timeRemaining(TimeUnit.MILLISECONDS);
-    long margin = Math.max(MIN_MARGIN_MILLIS, Math.min(left / MARGIN_SHARE, MAX_MARGIN_MILLIS));
-    return Duration.ofMillis(Math.min(left - margin, longest.toMillis()));
+    long remainingMillis = deadline.timeRemaining(TimeUnit.MILLISECONDS);
+    long margin =
+        Math.max(MIN_MARGIN_MILLIS, Math.min(remainingMillis / MARGIN_DIVISOR, MAX_MARGIN_MILLIS));
+    return Duration.ofMillis(Math.min(remainingMillis - margin, maxTimeout.toMillis()));
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/operator/CallLimiter.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/CallLimiter.java
@@ -20,8 +20,8 @@
 final class CallLimiter implements ServerInterceptor {
   private static final Set<String> LONG_CALLS = Set.of("Wait", "WatchStatus");
 
-  private final Bound shortCalls;
-  private final Bound longCalls;
+  private final CallLimit shortCalls;
+  private final CallLimit longCalls;
 
   /**
    * Creates a limiter.
@@ -31,39 +31,39 @@
    * @param maxPerTenant of either kind, for one tenant
    */
   CallLimiter(int maxShort, int maxLong, int maxPerTenant) {
-    this.shortCalls = new Bound(maxShort, maxPerTenant);
-    this.longCalls = new Bound(maxLong, maxPerTenant);
+    this.shortCalls = new CallLimit(maxShort, maxPerTenant);
+    this.longCalls = new CallLimit(maxLong, maxPerTenant);
   }
 
   /** One bound over all tenants and one for each. */
-  private static final class Bound {
-    private final Semaphore all;
+  private static final class CallLimit {
+    private final Semaphore totalPermits;
     private final int perTenant;
-    private final Map<String, Semaphore> byTenant = new ConcurrentHashMap<>();
+    private final Map<String, Semaphore> permitsByTenant = new ConcurrentHashMap<>();
 
-    Bound(int all, int perTenant) {
-      this.all = new Semaphore(all);
+    CallLimit(int all, int perTenant) {
+      this.totalPermits = new Semaphore(all);
       this.perTenant = perTenant;
     }
 
     boolean tryAcquire(String tenant) {
-      if (!of(tenant).tryAcquire()) {
+      if (!tenantPermits(tenant).tryAcquire()) {
         return false;
       }
-      if (!all.tryAcquire()) {
-        of(tenant).release();
+      if (!totalPermits.tryAcquire()) {
+        tenantPermits(tenant).release();
         return false;
       }
       return true;
     }
 
     void release(String tenant) {
-      all.release();
-      of(tenant).release();
+      totalPermits.release();
+      tenantPermits(tenant).release();
     }
 
-    private Semaphore of(String tenant) {
-      return byTenant.computeIfAbsent(tenant, name -> new Semaphore(perTenant));
+    private Semaphore tenantPermits(String tenant) {
+      return permitsByTenant.computeIfAbsent(tenant, name -> new Semaphore(perTenant));
     }
   }
 
@@ -73,8 +73,8 @@
       Metadata headers,
       ServerCallHandler<RequestT, ResponseT> next) {
     String tenant = Principal.KEY.get().tenant();
-    boolean waits = LONG_CALLS.contains(call.getMethodDescriptor().getBareMethodName());
-    Bound bound = waits ? longCalls : shortCalls;
+    boolean isLongCall = LONG_CALLS.contains(call.getMethodDescriptor().getBareMethodName());
+    CallLimit bound = isLongCall ? longCalls : shortCalls;
     if (!bound.tryAcquire(tenant)) {
       OperatorError error = OperatorError.overloaded("too many calls in flight; try again later");
       call.close(error.toStatus(), error.toTrailers());
@@ -108,10 +108,10 @@
   /** Released once, by whichever end of the call comes first. */
   private static final class Permit {
     private final AtomicBoolean released = new AtomicBoolean();
-    private final Bound bound;
+    private final CallLimit bound;
     private final String tenant;
 
-    Permit(Bound bound, String tenant) {
+    Permit(CallLimit bound, String tenant) {
       this.bound = bound;
       this.tenant = tenant;
     }
--- a/umberpath-node/src/main/java/io/umberpath/node/operator/ChangeHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/ChangeHandler.java
@@ -34,16 +34,16 @@
 final class ChangeHandler {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
   private static final Duration DEFAULT_TIMEOUT = Duration.ofSeconds(10);
-  private static final Duration LONGEST_TIMEOUT = Duration.ofSeconds(60);
+  private static final Duration MAX_TIMEOUT = Duration.ofSeconds(60);
   private static final int MAX_REQUEST_ID_LENGTH = 64;
 
   /** How much later than its own timeout the control side may answer. */
-  private static final Duration GRACE = Duration.ofSeconds(1);
+  private static final Duration TIMEOUT_GRACE = Duration.ofSeconds(1);
 
   private final ControlService control;
-  private final RefusalMemory refusals;
+  private final RecentRefusals refusals;
 
-  ChangeHandler(ControlService control, RefusalMemory refusals) {
+  ChangeHandler(ControlService control, RecentRefusals refusals) {
     this.control = control;
     this.refusals = refusals;
   }
@@ -71,9 +71,9 @@
   CompletableFuture<Either<OperatorError, DrainResponse>> drain(
       Principal principal, DrainRequest request) {
     if (!principal.fleetAdmin()) {
-      return refuse(principal, request.getRequestId(), needsAdministrator("drain"));
+      return refuse(principal, request.getRequestId(), administratorRequired("drain"));
     }
-    Either<OperatorError, List<String>> targets = targets(request);
+    Either<OperatorError, List<String>> targets = drainTargets(request);
     if (targets.isLeft()) {
       return refuse(principal, request.getRequestId(), targets.getLeft());
     }
@@ -107,7 +107,7 @@
   CompletableFuture<Either<OperatorError, ReformResponse>> reform(
       Principal principal, ReformRequest request) {
     if (!principal.fleetAdmin()) {
-      return CompletableFuture.completedFuture(Either.left(needsAdministrator("re-form")));
+      return CompletableFuture.completedFuture(Either.left(administratorRequired("re-form")));
     }
     Set<PeerAddress> loss = new HashSet<>();
     List<Violation> violations = new ArrayList<>();
@@ -127,7 +127,7 @@
         .with(LogFields.EVENT, "operator-reform")
         .with(LogFields.TENANT, principal.tenant())
         .log("re-form requested, accepted loss %s", loss);
-    return outcome(timeout -> control.reform(loss, timeout))
+    return execute(timeout -> control.reform(loss, timeout))
         .thenApply(
             result ->
                 result.map(
@@ -137,36 +137,36 @@
                             .build()));
   }
 
-  private Either<OperatorError, List<String>> targets(DrainRequest request) {
+  private Either<OperatorError, List<String>> drainTargets(DrainRequest request) {
     PlatformDocument document = control.status().document();
-    List<PlatformDocument.BackendAddress> known =
+    List<PlatformDocument.BackendAddress> listed =
         document.services().values().stream().flatMap(List::stream).toList();
     return switch (request.getTargetCase()) {
       case BACKEND_ID -> {
         String id = request.getBackendId();
-        boolean exists = known.stream().anyMatch(backend -> backend.id().equals(id));
+        boolean exists = listed.stream().anyMatch(backend -> backend.id().equals(id));
         yield exists || !request.getDraining()
             ? Either.right(List.of(id))
             : Either.left(unknownTarget("backend_id", id, document));
       }
       case NODE -> {
         String node = request.getNode();
-        List<String> beside =
-            known.stream()
-                .filter(backend -> isBeside(backend, node))
+        List<String> local =
+            listed.stream()
+                .filter(backend -> isLocalTo(backend, node))
                 .map(PlatformDocument.BackendAddress::id)
                 .distinct()
                 .toList();
-        yield beside.isEmpty()
+        yield local.isEmpty()
             ? Either.left(unknownTarget("node", node, document))
-            : Either.right(beside);
+            : Either.right(local);
       }
       case TARGET_NOT_SET ->
           Either.left(OperatorError.invalid("target", "", "must name a back end or a node"));
     };
   }
 
-  private static boolean isBeside(PlatformDocument.BackendAddress backend, String node) {
+  private static boolean isLocalTo(PlatformDocument.BackendAddress backend, String node) {
     return node.equals(backend.nodeHost())
         || node.equals(backend.nodeHost() + ":" + backend.nodeHopPort());
   }
@@ -177,44 +177,45 @@
         field, value, "has no back end in platform document " + document.revision());
   }
 
-  private static OperatorError needsAdministrator(String action) {
+  private static OperatorError administratorRequired(String action) {
     return OperatorError.forbidden("only a fleet administrator's token may " + action, List.of());
   }
 
   private <T> CompletableFuture<Either<OperatorError, T>> submit(
-      ChangeSet change, Function<Version, T> answer) {
-    return outcome(timeout -> control.submit(change, timeout))
+      ChangeSet change, Function<Version, T> toResponse) {
+    return execute(timeout -> control.submit(change, timeout))
         .thenApply(
             result -> {
               result.peek(version -> logAccepted(change, version));
               result.peekLeft(error -> recordRefusal(change.tenant(), change.requestId(), error));
-              return result.map(answer);
+              return result.map(toResponse);
             });
   }
 
   /** Runs a change and turns every way it can end into a version or an error. */
-  private static CompletableFuture<Either<OperatorError, Version>> outcome(
+  private static CompletableFuture<Either<OperatorError, Version>> execute(
       Function<Duration, CompletionStage<ChangeResult>> run) {
-    Duration timeout = CallDeadline.remaining(DEFAULT_TIMEOUT, LONGEST_TIMEOUT);
+    Duration timeout = CallDeadline.remaining(DEFAULT_TIMEOUT, MAX_TIMEOUT);
     if (timeout.isNegative() || timeout.isZero()) {
       return CompletableFuture.completedFuture(
-          Either.left(OperatorError.deadline("no time left before the change was handed over")));
+          Either.left(
+              OperatorError.deadlineExceeded("no time left before the change was handed over")));
     }
     Supplier<CompletableFuture<ChangeResult>> guarded =
         () ->
             run.apply(timeout)
                 .toCompletableFuture()
                 .copy()
-                .orTimeout(timeout.plus(GRACE).toMillis(), TimeUnit.MILLISECONDS);
-    return safely(guarded)
+                .orTimeout(timeout.plus(TIMEOUT_GRACE).toMillis(), TimeUnit.MILLISECONDS);
+    return invoke(guarded)
         .handle(
             (result, failure) ->
                 failure == null
-                    ? either(result)
+                    ? toEither(result)
                     : Either.left(OperatorError.unknown("no answer from the register")));
   }
 
-  private static CompletableFuture<ChangeResult> safely(
+  private static CompletableFuture<ChangeResult> invoke(
       Supplier<CompletableFuture<ChangeResult>> run) {
     try {
       return run.get();
@@ -228,7 +229,7 @@
     }
   }
 
-  private static Either<OperatorError, Version> either(ChangeResult result) {
+  private static Either<OperatorError, Version> toEither(ChangeResult result) {
     if (result instanceof ChangeResult.Accepted accepted) {
       return Either.right(accepted.version());
     }
--- a/umberpath-node/src/main/java/io/umberpath/node/operator/ChangeSetReader.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/ChangeSetReader.java
@@ -78,7 +78,7 @@
       resource(path, request.getUpserts(index), changeTier)
           .ifPresent(
               resource -> {
-                once(path, resource.key());
+                checkUnique(path, resource.key());
                 upserts.add(resource);
               });
     }
@@ -95,7 +95,7 @@
         invalid.add(new Violation(path + ".kind", kindName(key), "must be a known kind"));
       } else {
         ResourceKey deleted = new ResourceKey(kind.get(), key.getName());
-        once(path, deleted);
+        checkUnique(path, deleted);
         deletes.add(deleted);
       }
     }
@@ -106,7 +106,7 @@
     return Integer.toString(key.getKindValue());
   }
 
-  private void once(String path, ResourceKey key) {
+  private void checkUnique(String path, ResourceKey key) {
     if (!seen.add(key)) {
       invalid.add(new Violation(path + ".name", key.name(), "is named twice in this change"));
     }
--- a/umberpath-node/src/main/java/io/umberpath/node/operator/CompositionCauses.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/CompositionViolations.java
@@ -11,23 +11,23 @@
 import java.util.regex.Pattern;
 
 /** Why the newest version is not in force, as far as a caller may see it. */
-final class CompositionCauses {
+final class CompositionViolations {
   private static final Pattern FIELD = Pattern.compile("(pools|routes)\\[([^]]*)].*");
 
-  private CompositionCauses() {}
+  private CompositionViolations() {}
 
   /** All causes for a fleet administrator; for others those in their own resources. */
   static List<Violation> visibleTo(Principal principal, ControlStatus status) {
     return status.compositionViolations().stream()
         .filter(
-            cause ->
+            violation ->
                 principal.fleetAdmin()
-                    || owner(cause, status.committed()).equals(principal.tenant()))
+                    || owner(violation, status.committed()).equals(principal.tenant()))
         .toList();
   }
 
-  private static String owner(Violation cause, FleetState state) {
-    Matcher matcher = FIELD.matcher(cause.field());
+  private static String owner(Violation violation, FleetState state) {
+    Matcher matcher = FIELD.matcher(violation.field());
     if (!matcher.matches()) {
       return "";
     }
--- a/umberpath-node/src/main/java/io/umberpath/node/operator/ConfigurationService.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/ConfigurationService.java
@@ -38,7 +38,7 @@
   private final ExplainHandler explanations;
 
   ConfigurationService(ControlService control, ScheduledExecutorService scheduler) {
-    RefusalMemory refusals = new RefusalMemory();
+    RecentRefusals refusals = new RecentRefusals();
     this.changes = new ChangeHandler(control, refusals);
     this.reads = new ReadHandler(control);
     this.fleet = new FleetHandler(control, scheduler);
@@ -47,28 +47,28 @@
 
   @Override
   public void apply(ApplyRequest request, StreamObserver<ApplyResponse> observer) {
-    later(observer, changes.apply(Principal.KEY.get(), request));
+    respondAsync(observer, changes.apply(Principal.KEY.get(), request));
   }
 
   @Override
   public void wait(WaitRequest request, StreamObserver<WaitResponse> observer) {
-    later(observer, fleet.waitFor(request));
+    respondAsync(observer, fleet.waitFor(request));
   }
 
   @Override
   public void get(GetRequest request, StreamObserver<GetResponse> observer) {
-    now(observer, () -> reads.get(Principal.KEY.get(), request));
+    respond(observer, () -> reads.get(Principal.KEY.get(), request));
   }
 
   @Override
   public void list(ListRequest request, StreamObserver<ListResponse> observer) {
-    now(observer, () -> reads.list(Principal.KEY.get(), request));
+    respond(observer, () -> reads.list(Principal.KEY.get(), request));
   }
 
   @Override
   public void fleetStatus(
       FleetStatusRequest request, StreamObserver<FleetStatusResponse> observer) {
-    later(observer, fleet.status(Principal.KEY.get()));
+    respondAsync(observer, fleet.status(Principal.KEY.get()));
   }
 
   @Override
@@ -80,40 +80,40 @@
 
   @Override
   public void explain(ExplainRequest request, StreamObserver<ExplainResponse> observer) {
-    now(observer, () -> explanations.explain(Principal.KEY.get(), request));
+    respond(observer, () -> explanations.explain(Principal.KEY.get(), request));
   }
 
   @Override
   public void drain(DrainRequest request, StreamObserver<DrainResponse> observer) {
-    later(observer, changes.drain(Principal.KEY.get(), request));
+    respondAsync(observer, changes.drain(Principal.KEY.get(), request));
   }
 
   @Override
   public void reform(ReformRequest request, StreamObserver<ReformResponse> observer) {
-    later(observer, changes.reform(Principal.KEY.get(), request));
+    respondAsync(observer, changes.reform(Principal.KEY.get(), request));
   }
 
-  private static <T> void now(
+  private static <T> void respond(
       StreamObserver<T> observer, Supplier<Either<OperatorError, T>> handler) {
-    Either<OperatorError, T> answer;
+    Either<OperatorError, T> result;
     try {
-      answer = handler.get();
+      result = handler.get();
     } catch (RuntimeException failure) {
-      answer = Either.left(failed(failure));
+      result = Either.left(internalError(failure));
     }
-    send(observer, answer);
+    send(observer, result);
   }
 
-  private static <T> void later(
-      StreamObserver<T> observer, CompletableFuture<Either<OperatorError, T>> answer) {
+  private static <T> void respondAsync(
+      StreamObserver<T> observer, CompletableFuture<Either<OperatorError, T>> response) {
     // A cancelled call must not make the late answer throw.
     ((ServerCallStreamObserver<T>) observer).setOnCancelHandler(() -> {});
-    answer.whenComplete(
+    response.whenComplete(
         (result, failure) ->
-            send(observer, failure == null ? result : Either.left(failed(failure))));
+            send(observer, failure == null ? result : Either.left(internalError(failure))));
   }
 
-  private static OperatorError failed(Throwable failure) {
+  private static OperatorError internalError(Throwable failure) {
     logger
         .atSevere()
         .withCause(failure)
@@ -122,12 +122,12 @@
     return OperatorError.internal();
   }
 
-  private static <T> void send(StreamObserver<T> observer, Either<OperatorError, T> answer) {
-    if (answer.isLeft()) {
-      observer.onError(answer.getLeft().toException());
+  private static <T> void send(StreamObserver<T> observer, Either<OperatorError, T> result) {
+    if (result.isLeft()) {
+      observer.onError(result.getLeft().toException());
       return;
     }
-    observer.onNext(answer.get());
+    observer.onNext(result.get());
     observer.onCompleted();
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/operator/ExplainHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/ExplainHandler.java
@@ -25,9 +25,9 @@
 /** Says where a request goes and what became of a change. Thread-safe. */
 final class ExplainHandler {
   private final ControlService control;
-  private final RefusalMemory refusals;
+  private final RecentRefusals refusals;
 
-  ExplainHandler(ControlService control, RefusalMemory refusals) {
+  ExplainHandler(ControlService control, RecentRefusals refusals) {
     this.control = control;
     this.refusals = refusals;
   }
@@ -38,37 +38,38 @@
    */
   Either<OperatorError, ExplainResponse> explain(Principal principal, ExplainRequest request) {
     return switch (request.getSubjectCase()) {
-      case REQUEST -> route(principal, request.getRequest());
-      case REQUEST_ID -> change(principal, request.getRequestId());
+      case REQUEST -> explainRoute(principal, request.getRequest());
+      case REQUEST_ID -> explainChange(principal, request.getRequestId());
       case SUBJECT_NOT_SET ->
           Either.left(
               OperatorError.invalid("subject", "", "must be a request or a change's request id"));
     };
   }
 
-  private Either<OperatorError, ExplainResponse> change(Principal principal, String requestId) {
+  private Either<OperatorError, ExplainResponse> explainChange(
+      Principal principal, String requestId) {
     FleetState state = control.status().committed();
     Optional<FleetState.AnsweredChange> accepted =
         state.answered().get(StateDeltas.answerKey(principal.tenant(), requestId)).toJavaOptional();
     if (accepted.isPresent()) {
       return Either.right(
-          answer(
+          response(
               ChangeExplanation.newBuilder()
                   .setAccepted(ResourceCodec.version(accepted.get().version()))));
     }
     Optional<ErrorDetail> refusal = refusals.find(principal.tenant(), requestId);
     if (refusal.isPresent()) {
-      return Either.right(answer(ChangeExplanation.newBuilder().setRefused(refusal.get())));
+      return Either.right(response(ChangeExplanation.newBuilder().setRefused(refusal.get())));
     }
     return Either.left(
         OperatorError.notFound("neither accepted of late nor refused by this node: " + requestId));
   }
 
-  private static ExplainResponse answer(ChangeExplanation.Builder explanation) {
+  private static ExplainResponse response(ChangeExplanation.Builder explanation) {
     return ExplainResponse.newBuilder().setChange(explanation).build();
   }
 
-  private Either<OperatorError, ExplainResponse> route(
+  private Either<OperatorError, ExplainResponse> explainRoute(
       Principal principal, RequestSubject subject) {
     if (subject.getHost().isEmpty() || !subject.getPath().startsWith("/")) {
       return Either.left(
@@ -90,24 +91,25 @@
     if (visible.isPresent()) {
       describe(explanation, visible.get(), snapshot);
     } else {
-      explanation.setReason(noRoute(snapshot));
+      explanation.setReason(noRouteReason(snapshot));
     }
-    explanation.setReason(explanation.getReason() + notInForce(principal));
+    explanation.setReason(explanation.getReason() + heldBackNote(principal));
     return Either.right(ExplainResponse.newBuilder().setRoute(explanation).build());
   }
 
   /** Says so if a newer configuration is held back. */
-  private String notInForce(Principal principal) {
+  private String heldBackNote(Principal principal) {
     ControlStatus status = control.status();
     if (status.compositionViolations().isEmpty()) {
       return "";
     }
-    List<Violation> causes = CompositionCauses.visibleTo(principal, status);
-    String cause = causes.isEmpty() ? "resources of other tenants" : causes.get(0).toString();
+    List<Violation> violations = CompositionViolations.visibleTo(principal, status);
+    String cause =
+        violations.isEmpty() ? "resources of other tenants" : violations.get(0).toString();
     return "; a newer configuration is not in force, because of " + cause;
   }
 
-  private static String noRoute(ProxySnapshot snapshot) {
+  private static String noRouteReason(ProxySnapshot snapshot) {
     return snapshot == ProxySnapshot.EMPTY
         ? "this node has no configuration in force yet; it refuses every request as not run"
         : "no route of this tenant matches host and path";
@@ -121,7 +123,7 @@
     for (ProxySnapshot.BackendView backend : view.backends()) {
       explanation.addBackends(backend(backend, observed.get(backend.address().id())));
     }
-    long usable = explanation.getBackendsList().stream().filter(ExplainHandler::usable).count();
+    long usable = explanation.getBackendsList().stream().filter(ExplainHandler::isUsable).count();
     explanation.setReason(
         String.format(
             Locale.ROOT,
@@ -136,12 +138,12 @@
             usable));
   }
 
-  private static boolean usable(Backend backend) {
+  private static boolean isUsable(Backend backend) {
     String phase = backend.getPhase();
-    boolean leaving =
+    boolean unavailable =
         phase.equals(ObservedBackend.Phase.DOWN.name())
             || phase.equals(ObservedBackend.Phase.DRAINING.name());
-    return !backend.getDrained() && !leaving;
+    return !backend.getDrained() && !unavailable;
   }
 
   private static Backend backend(ProxySnapshot.BackendView view, ObservedBackend observed) {
--- a/umberpath-node/src/main/java/io/umberpath/node/operator/FleetHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/FleetHandler.java
@@ -21,9 +21,9 @@
 
 /** Calls about the whole fleet: wait, status, status stream. Thread-safe; never blocks. */
 final class FleetHandler {
-  private static final Duration LONGEST_WAIT = Duration.ofMinutes(10);
-  private static final long FIRST_POLL_MILLIS = 20;
-  private static final long SLOWEST_POLL_MILLIS = 250;
+  private static final Duration MAX_WAIT = Duration.ofMinutes(10);
+  private static final long INITIAL_POLL_MILLIS = 20;
+  private static final long MAX_POLL_MILLIS = 250;
   private static final long DEFAULT_WATCH_MILLIS = 1_000;
   private static final long MIN_WATCH_MILLIS = 100;
   private static final long MAX_WATCH_MILLIS = 60_000;
@@ -40,7 +40,7 @@
 
   /**
    * Completes when every member runs the version or a newer one, or with a deadline error that says
-   * how many are behind; a call without a deadline waits for {@link #LONGEST_WAIT}.
+   * how many are behind; a call without a deadline waits for {@link #MAX_WAIT}.
    */
   CompletableFuture<Either<OperatorError, WaitResponse>> waitFor(WaitRequest request) {
     Version version = ResourceCodec.version(request.getVersion());
@@ -49,21 +49,21 @@
           Either.left(
               OperatorError.invalid("version", version.toString(), "must be an accepted version")));
     }
-    Duration timeout = CallDeadline.remaining(LONGEST_WAIT, LONGEST_WAIT);
-    Wait wait = new Wait(version, System.nanoTime() + timeout.toNanos());
-    wait.poll(FIRST_POLL_MILLIS);
+    Duration timeout = CallDeadline.remaining(MAX_WAIT, MAX_WAIT);
+    PendingWait wait = new PendingWait(version, System.nanoTime() + timeout.toNanos());
+    wait.poll(INITIAL_POLL_MILLIS);
     return wait.result;
   }
 
   /** One waiting call; asks again at growing intervals. */
-  private final class Wait {
+  private final class PendingWait {
     private final CompletableFuture<Either<OperatorError, WaitResponse>> result =
         new CompletableFuture<>();
     private final Context context = Context.current();
     private final Version version;
     private final long deadlineNanos;
 
-    Wait(Version version, long deadlineNanos) {
+    PendingWait(Version version, long deadlineNanos) {
       this.version = version;
       this.deadlineNanos = deadlineNanos;
     }
@@ -75,28 +75,28 @@
     private void check(List<ControlStatus.NodeView> nodes, long pauseMillis) {
       long behind = nodes.stream().filter(node -> version.isAfter(node.active())).count();
       if (!nodes.isEmpty() && behind == 0) {
-        result.complete(Either.right(inForce(nodes)));
+        result.complete(Either.right(waitResponse(nodes)));
         return;
       }
       long leftMillis = TimeUnit.NANOSECONDS.toMillis(deadlineNanos - System.nanoTime());
       if (leftMillis <= 0 || context.isCancelled()) {
-        result.complete(Either.left(notYet(nodes, behind)));
+        result.complete(Either.left(timeoutError(nodes, behind)));
         return;
       }
-      long next = Math.min(2 * pauseMillis, SLOWEST_POLL_MILLIS);
+      long next = Math.min(2 * pauseMillis, MAX_POLL_MILLIS);
       long pause = Math.min(pauseMillis, leftMillis);
       scheduler.schedule(() -> poll(next), pause, TimeUnit.MILLISECONDS);
     }
 
-    private OperatorError notYet(List<ControlStatus.NodeView> nodes, long behind) {
-      return OperatorError.deadline(
+    private OperatorError timeoutError(List<ControlStatus.NodeView> nodes, long behind) {
+      return OperatorError.deadlineExceeded(
           nodes.isEmpty()
               ? "no leader answered; whether " + version + " is in force is not known"
               : version + " is not yet in force in " + behind + " of " + nodes.size() + " members");
     }
   }
 
-  private static WaitResponse inForce(List<ControlStatus.NodeView> nodes) {
+  private static WaitResponse waitResponse(List<ControlStatus.NodeView> nodes) {
     Version oldest =
         nodes.stream()
             .map(ControlStatus.NodeView::active)
@@ -128,14 +128,14 @@
             .setCurrentNodes(
                 (int) nodes.stream().filter(node -> !committed.isAfter(node.active())).count());
     if (principal.fleetAdmin()) {
-      nodes.forEach(node -> report.addNodes(node(node, committed)));
+      nodes.forEach(node -> report.addNodes(nodeStatus(node, committed)));
     }
-    CompositionCauses.visibleTo(principal, status)
+    CompositionViolations.visibleTo(principal, status)
         .forEach(cause -> report.addCompositionViolations(ResourceCodec.violation(cause)));
     return report.build();
   }
 
-  private static NodeStatus node(ControlStatus.NodeView node, Version committed) {
+  private static NodeStatus nodeStatus(ControlStatus.NodeView node, Version committed) {
     long lag = Math.max(0, committed.sequence() - node.active().sequence());
     return NodeStatus.newBuilder()
         .setAddress(node.member().address().toString())
--- a/umberpath-node/src/main/java/io/umberpath/node/operator/OperatorError.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/OperatorError.java
@@ -57,7 +57,7 @@
   }
 
   /** The deadline passed and nothing ran. */
-  static OperatorError deadline(String message) {
+  static OperatorError deadlineExceeded(String message) {
     return notRun(
         Status.Code.DEADLINE_EXCEEDED, ErrorReason.ERROR_REASON_DEADLINE, message, List.of());
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/operator/PageToken.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/PageToken.java
@@ -17,7 +17,7 @@
 record PageToken(Optional<ResourceKind> listed, ResourceKey after) {
   private static final String ALL = "ALL";
   private static final String SEPARATOR = "|";
-  private static final int PARTS = 4;
+  private static final int PART_COUNT = 4;
 
   String encode() {
     String body =
@@ -36,9 +36,9 @@
   static Optional<PageToken> decode(String text) {
     try {
       String decoded = new String(Base64.getUrlDecoder().decode(text), StandardCharsets.UTF_8);
-      String[] parts = decoded.split("\\" + SEPARATOR, PARTS);
+      String[] parts = decoded.split("\\" + SEPARATOR, PART_COUNT);
       String body = decoded.substring(decoded.indexOf(SEPARATOR) + 1);
-      if (parts.length != PARTS || !parts[0].equals(checksum(body))) {
+      if (parts.length != PART_COUNT || !parts[0].equals(checksum(body))) {
         return Optional.empty();
       }
       Optional<ResourceKind> listed =
--- a/umberpath-node/src/main/java/io/umberpath/node/operator/RefusalMemory.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/RecentRefusals.java
@@ -10,7 +10,7 @@
  * Remembers why this node refused recent changes, a bounded number for each tenant. Thread-safe.
  * Lost when the process ends.
  */
-final class RefusalMemory {
+final class RecentRefusals {
   private static final int MAX_PER_TENANT = 1_000;
 
   private final Map<String, Map<String, ErrorDetail>> byTenant = new ConcurrentHashMap<>();
--- a/umberpath-node/src/main/java/io/umberpath/node/operator/SharedFleetView.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/SharedFleetView.java
@@ -17,7 +17,7 @@
   private static final Duration TIMEOUT = Duration.ofSeconds(2);
 
   private final ControlService control;
-  private final AtomicReference<CompletableFuture<List<ControlStatus.NodeView>>> underWay =
+  private final AtomicReference<CompletableFuture<List<ControlStatus.NodeView>>> inFlight =
       new AtomicReference<>();
 
   SharedFleetView(ControlService control) {
@@ -26,21 +26,22 @@
 
   /** One entry per roster member; empty if no leader answered. Never completes exceptionally. */
   CompletableFuture<List<ControlStatus.NodeView>> get() {
-    CompletableFuture<List<ControlStatus.NodeView>> mine = new CompletableFuture<>();
-    CompletableFuture<List<ControlStatus.NodeView>> other = underWay.compareAndExchange(null, mine);
-    if (other != null) {
-      return other;
+    CompletableFuture<List<ControlStatus.NodeView>> started = new CompletableFuture<>();
+    CompletableFuture<List<ControlStatus.NodeView>> existing =
+        inFlight.compareAndExchange(null, started);
+    if (existing != null) {
+      return existing;
     }
-    ask()
+    requestView()
         .whenComplete(
             (nodes, failure) -> {
-              underWay.set(null);
-              mine.complete(failure == null ? nodes : List.of());
+              inFlight.set(null);
+              started.complete(failure == null ? nodes : List.of());
             });
-    return mine;
+    return started;
   }
 
-  private CompletableFuture<List<ControlStatus.NodeView>> ask() {
+  private CompletableFuture<List<ControlStatus.NodeView>> requestView() {
     try {
       return control
           .fleetView(TIMEOUT)
--- a/umberpath-node/src/main/java/io/umberpath/node/operator/TokenAuthenticator.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/TokenAuthenticator.java
@@ -24,13 +24,13 @@
 final class TokenAuthenticator implements ServerInterceptor {
   private static final int MAX_TOKEN_LENGTH = 1_024;
 
-  private final List<Known> known = new ArrayList<>();
+  private final List<KnownToken> knownTokens = new ArrayList<>();
 
-  private record Known(byte[] sha256, Principal principal) {}
+  private record KnownToken(byte[] sha256, Principal principal) {}
 
   TokenAuthenticator(List<NodeSettings.Token> tokens) {
     for (NodeSettings.Token token : tokens) {
-      known.add(new Known(HexFormat.of().parseHex(token.sha256()), Principal.of(token)));
+      knownTokens.add(new KnownToken(HexFormat.of().parseHex(token.sha256()), Principal.of(token)));
     }
   }
 
@@ -70,7 +70,7 @@
   /** Compares with every known hash, so that the time does not tell which one matched. */
   private Optional<Principal> find(byte[] sha256) {
     Principal found = null;
-    for (Known candidate : known) {
+    for (KnownToken candidate : knownTokens) {
       if (MessageDigest.isEqual(candidate.sha256(), sha256)) {
         found = candidate.principal();
       }
--- a/umberpath-node/src/main/java/io/umberpath/node/settings/MappingReader.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/settings/MappingReader.java
@@ -25,7 +25,7 @@
   private final String path;
   private final YamlValue.Mapping mapping;
   private final List<SettingsProblem> problems;
-  private final Set<String> known = new HashSet<>();
+  private final Set<String> knownKeys = new HashSet<>();
   private boolean sensitive = false;
   private boolean lenient = false;
 
@@ -60,7 +60,7 @@
 
   /** A required text. */
   public String text(String key) {
-    return optionalText(key).orElseGet(() -> missing(key, "is required"));
+    return optionalText(key).orElseGet(() -> addMissing(key, "is required"));
   }
 
   /** A text with a default. */
@@ -81,7 +81,7 @@
   /** A required whole number within bounds, both included. */
   public long integer(String key, long minimum, long maximum) {
     if (!present(key)) {
-      missing(key, "is required");
+      addMissing(key, "is required");
       return minimum;
     }
     return integer(key, minimum, maximum, minimum);
@@ -169,7 +169,7 @@
   private <T> List<T> groups(String key, Function<MappingReader, T> read, boolean redact) {
     List<T> groups = new ArrayList<>();
     for (YamlValue item : items(key)) {
-      String itemPath = field(key) + "[" + groups.size() + "]";
+      String itemPath = fieldPath(key) + "[" + groups.size() + "]";
       YamlValue shown =
           redact && item instanceof YamlValue.Scalar
               ? new YamlValue.Scalar(item.line(), REDACTED, false)
@@ -185,12 +185,12 @@
 
   /** A group that may be absent, read by the function. */
   public <T> Optional<T> optionalGroup(String key, Function<MappingReader, T> read) {
-    known.add(key);
+    knownKeys.add(key);
     YamlValue value = mapping.entries().get(key);
     if (value == null) {
       return Optional.empty();
     }
-    MappingReader reader = of(field(key), value, problems);
+    MappingReader reader = of(fieldPath(key), value, problems);
     reader.lenient = lenient;
     T result = read.apply(reader);
     reader.refuseUnknown();
@@ -204,7 +204,7 @@
         () ->
             read.apply(
                 new MappingReader(
-                    field(key),
+                    fieldPath(key),
                     new YamlValue.Mapping(mapping.line(), new LinkedHashMap<>()),
                     problems)));
   }
@@ -218,7 +218,7 @@
   public void problem(String key, String message) {
     YamlValue value = mapping.entries().get(key);
     if (value == null) {
-      missing(key, message);
+      addMissing(key, message);
     } else {
       problem(key, value, message);
     }
@@ -235,7 +235,7 @@
   public void redactedProblem(String key, String message) {
     YamlValue value = mapping.entries().get(key);
     int line = value == null ? mapping.line() : value.line();
-    problems.add(new SettingsProblem(line, field(key), REDACTED, message));
+    problems.add(new SettingsProblem(line, fieldPath(key), REDACTED, message));
   }
 
   /** Adds a problem for every key that was not asked for. */
@@ -243,9 +243,9 @@
     if (lenient) {
       return;
     }
-    String message = "unknown field; known here: " + known.stream().sorted().toList();
+    String message = "unknown field; known here: " + knownKeys.stream().sorted().toList();
     for (String key : mapping.entries().keySet()) {
-      if (known.contains(key)) {
+      if (knownKeys.contains(key)) {
         continue;
       }
       if (sensitive) {
@@ -257,7 +257,7 @@
   }
 
   private List<YamlValue> items(String key) {
-    known.add(key);
+    knownKeys.add(key);
     YamlValue value = mapping.entries().get(key);
     if (value == null) {
       return List.of();
@@ -270,7 +270,7 @@
   }
 
   private Optional<YamlValue.Scalar> scalar(String key) {
-    known.add(key);
+    knownKeys.add(key);
     YamlValue value = mapping.entries().get(key);
     if (value == null) {
       return Optional.empty();
@@ -283,9 +283,9 @@
   }
 
   private long integer(String key, YamlValue.Scalar found, long minimum, long maximum) {
-    boolean number = INTEGER.matcher(found.text()).matches();
-    long value = number ? Long.parseLong(found.text()) : minimum;
-    if (!number || value < minimum || value > maximum) {
+    boolean isInteger = INTEGER.matcher(found.text()).matches();
+    long value = isInteger ? Long.parseLong(found.text()) : minimum;
+    if (!isInteger || value < minimum || value > maximum) {
       problem(key, found, "must be a whole number, " + minimum + " to " + maximum);
       return minimum;
     }
@@ -293,9 +293,9 @@
   }
 
   private <E extends Enum<E>> E choice(String key, YamlValue.Scalar found, Class<E> type) {
-    String wanted = found.text().toUpperCase(Locale.ROOT).replace('-', '_');
+    String constantName = found.text().toUpperCase(Locale.ROOT).replace('-', '_');
     for (E constant : type.getEnumConstants()) {
-      if (constant.name().equals(wanted)) {
+      if (constant.name().equals(constantName)) {
         return constant;
       }
     }
@@ -308,7 +308,7 @@
   public <T> T parsed(String key, T placeholder, Function<String, Either<String, T>> parse) {
     Optional<YamlValue.Scalar> found = scalar(key);
     if (found.isEmpty()) {
-      missing(key, "is required");
+      addMissing(key, "is required");
       return placeholder;
     }
     Either<String, T> value = parse.apply(found.get().text());
@@ -320,15 +320,15 @@
   }
 
   private void problem(String key, YamlValue value, String message) {
-    problems.add(new SettingsProblem(value.line(), field(key), value.describe(), message));
+    problems.add(new SettingsProblem(value.line(), fieldPath(key), value.describe(), message));
   }
 
-  private String missing(String key, String message) {
-    problems.add(new SettingsProblem(mapping.line(), field(key), "", message));
+  private String addMissing(String key, String message) {
+    problems.add(new SettingsProblem(mapping.line(), fieldPath(key), "", message));
     return "";
   }
 
-  private String field(String key) {
+  private String fieldPath(String key) {
     return path.isEmpty() ? key : path + "." + key;
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/settings/SettingsReader.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/settings/SettingsReader.java
@@ -19,16 +19,17 @@
   private static final String LOOPBACK = "127.0.0.1";
   private static final int NO_PORT = -1;
   private static final int MAX_MEMBERS = 100_000;
-  private static final int MAX_FAN = 1_024;
+  private static final int MAX_TREE_FANOUT = 1_024;
   private static final int MAX_SLOTS = 100_000;
   private static final String ADDRESS_RULE =
       "must be IP:PORT with a port between 1 and " + PeerAddress.MAX_PORT;
   private static final long MINUTE_MILLIS = 60_000;
   private static final long HOUR_MILLIS = 60 * MINUTE_MILLIS;
   private static final long GIBIBYTE = 1L << 30;
-  private static final PeerAddress PLACEHOLDER = new PeerAddress(LOOPBACK, 1);
-  private static final Pattern NAME = Pattern.compile("[a-z0-9]([a-z0-9._-]{0,62}[a-z0-9])?");
-  private static final Pattern SHA256 = Pattern.compile("[0-9a-f]{64}");
+  private static final PeerAddress PLACEHOLDER_ADDRESS = new PeerAddress(LOOPBACK, 1);
+  private static final Pattern NAME_PATTERN =
+      Pattern.compile("[a-z0-9]([a-z0-9._-]{0,62}[a-z0-9])?");
+  private static final Pattern SHA256_PATTERN = Pattern.compile("[0-9a-f]{64}");
 
   private final long incarnation;
 
@@ -37,22 +38,22 @@
   }
 
   NodeSettings read(MappingReader root) {
-    Identity identity = root.group("node", this::identity);
+    Identity identity = root.group("node", this::readIdentity);
     return new NodeSettings(
-        root.group("fleet", fleet -> control(fleet, identity)),
-        root.group("proxy", proxy -> proxy(proxy, identity.self().address().host())),
-        root.group("platform", SettingsReader::platform),
-        root.group("operator", SettingsReader::operator),
-        root.group("admin", SettingsReader::admin),
+        root.group("fleet", fleet -> readControl(fleet, identity)),
+        root.group("proxy", proxy -> readProxy(proxy, identity.self().address().host())),
+        root.group("platform", SettingsReader::readPlatform),
+        root.group("operator", SettingsReader::readOperator),
+        root.group("admin", SettingsReader::readAdmin),
         TransportSecurityReader.read(root, identity.self().address()));
   }
 
   private record Identity(Member self, List<PeerAddress> seeds) {}
 
-  private Identity identity(MappingReader node) {
-    PeerAddress address = address(node, "address");
-    String zone = name(node, "zone");
-    String region = name(node, "region");
+  private Identity readIdentity(MappingReader node) {
+    PeerAddress address = readAddress(node, "address");
+    String zone = readName(node, "zone");
+    String region = readName(node, "region");
     List<PeerAddress> seeds = new ArrayList<>();
     List<String> texts = node.texts("seeds");
     for (int index = 0; index < texts.size(); index++) {
@@ -65,12 +66,12 @@
     return new Identity(new Member(Member.NO_SLOT, address, incarnation, zone, region), seeds);
   }
 
-  private static ControlSettings control(MappingReader fleet, Identity identity) {
+  private static ControlSettings readControl(MappingReader fleet, Identity identity) {
     long heartbeat = fleet.durationMillis("heartbeat", 10, MINUTE_MILLIS, 200);
     long parentStall = fleet.durationMillis("parentStall", 20, HOUR_MILLIS, 1_000);
     long election = fleet.durationMillis("election", 50, HOUR_MILLIS, 3_000);
-    int fanout = fleet.smallInteger("fanout", 1, MAX_FAN, 8);
-    int maxChildren = fleet.smallInteger("maxChildren", 1, MAX_FAN, 32);
+    int fanout = fleet.smallInteger("fanout", 1, MAX_TREE_FANOUT, 8);
+    int maxChildren = fleet.smallInteger("maxChildren", 1, MAX_TREE_FANOUT, 32);
     if (parentStall < 2 * heartbeat) {
       fleet.problem("parentStall", "must be at least twice the heartbeat");
     }
@@ -108,27 +109,27 @@
     return identity.seeds().stream().anyMatch(seed -> !seed.equals(self));
   }
 
-  private static NodeSettings.Proxy proxy(MappingReader proxy, String nodeHost) {
+  private static NodeSettings.Proxy readProxy(MappingReader proxy, String nodeHost) {
     return new NodeSettings.Proxy(
-        host(proxy, nodeHost),
+        readHost(proxy, nodeHost),
         proxy.smallInteger("edgePort", NO_PORT, PeerAddress.MAX_PORT, NO_PORT),
         proxy.smallInteger("hopPort", NO_PORT, PeerAddress.MAX_PORT, NO_PORT),
-        proxy.optionalGroup("backend", SettingsReader::backend),
+        proxy.optionalGroup("backend", SettingsReader::readBackend),
         proxy.durationMillis("drain", 0, HOUR_MILLIS, MINUTE_MILLIS),
         proxy.smallInteger("maxHeaderBytes", 1_024, 1 << 20, 16_384),
         proxy.integer("maxBodyBytes", 1, 64 * GIBIBYTE, 64L << 20),
         proxy.smallInteger("queuePerBackend", 0, MAX_SLOTS, 12));
   }
 
-  private static NodeSettings.Backend backend(MappingReader backend) {
-    PeerAddress address = address(backend, "address");
+  private static NodeSettings.Backend readBackend(MappingReader backend) {
+    PeerAddress address = readAddress(backend, "address");
     int slots = backend.smallInteger("slots", 1, MAX_SLOTS, 6);
     int connections = backend.smallInteger("connections", 1, MAX_SLOTS, 130);
     if (connections < slots) {
       backend.problem("connections", "must be at least slots");
     }
     return new NodeSettings.Backend(
-        name(backend, "id"),
+        readName(backend, "id"),
         address.host(),
         address.port(),
         slots,
@@ -136,7 +137,7 @@
         backend.durationMillis("probeInterval", 10, MINUTE_MILLIS, 500));
   }
 
-  private static NodeSettings.Platform platform(MappingReader platform) {
+  private static NodeSettings.Platform readPlatform(MappingReader platform) {
     String url = platform.text("url");
     if (!url.isEmpty() && !isHttpUrl(url)) {
       platform.problem("url", "must be http://IP:PORT/PATH");
@@ -145,8 +146,8 @@
         url, platform.durationMillis("timeout", 10, MINUTE_MILLIS, 2_000));
   }
 
-  private static NodeSettings.Operator operator(MappingReader operator) {
-    List<NodeSettings.Token> tokens = operator.sensitiveGroups("tokens", SettingsReader::token);
+  private static NodeSettings.Operator readOperator(MappingReader operator) {
+    List<NodeSettings.Token> tokens = operator.sensitiveGroups("tokens", SettingsReader::readToken);
     Set<String> hashes = new HashSet<>();
     for (NodeSettings.Token token : tokens) {
       if (!hashes.add(token.sha256())) {
@@ -154,14 +155,14 @@
       }
     }
     return new NodeSettings.Operator(
-        host(operator, LOOPBACK),
+        readHost(operator, LOOPBACK),
         operator.smallInteger("port", 0, PeerAddress.MAX_PORT, 0),
         tokens);
   }
 
-  private static NodeSettings.Token token(MappingReader token) {
+  private static NodeSettings.Token readToken(MappingReader token) {
     String sha256 = token.text("sha256");
-    if (!SHA256.matcher(sha256).matches()) {
+    if (!SHA256_PATTERN.matcher(sha256).matches()) {
       token.redactedProblem("sha256", "must be the lower-case hex SHA-256 of the token");
     }
     List<Tier> tiers = token.choices("tiers", Tier.class);
@@ -169,15 +170,15 @@
       token.problem("tiers", "must name at least one tier");
     }
     return new NodeSettings.Token(
-        sha256, name(token, "tenant"), List.copyOf(tiers), token.flag("fleetAdmin", false));
+        sha256, readName(token, "tenant"), List.copyOf(tiers), token.flag("fleetAdmin", false));
   }
 
-  private static NodeSettings.Admin admin(MappingReader admin) {
+  private static NodeSettings.Admin readAdmin(MappingReader admin) {
     return new NodeSettings.Admin(
-        host(admin, LOOPBACK), admin.smallInteger("port", 0, PeerAddress.MAX_PORT, 0));
+        readHost(admin, LOOPBACK), admin.smallInteger("port", 0, PeerAddress.MAX_PORT, 0));
   }
 
-  private static String host(MappingReader reader, String defaultHost) {
+  private static String readHost(MappingReader reader, String defaultHost) {
     String host = reader.text("host", defaultHost);
     if (!InetAddresses.isInetAddress(host)) {
       reader.problem("host", "must be an IP address");
@@ -185,20 +186,20 @@
     return host;
   }
 
-  private static String name(MappingReader reader, String key) {
+  private static String readName(MappingReader reader, String key) {
     String name = reader.text(key);
-    if (reader.present(key) && !NAME.matcher(name).matches()) {
-      reader.problem(key, "must match " + NAME.pattern());
+    if (reader.present(key) && !NAME_PATTERN.matcher(name).matches()) {
+      reader.problem(key, "must match " + NAME_PATTERN.pattern());
     }
     return name;
   }
 
-  private static PeerAddress address(MappingReader reader, String key) {
+  private static PeerAddress readAddress(MappingReader reader, String key) {
     Optional<PeerAddress> address = parseAddress(reader.text(key));
     if (address.isEmpty() && reader.present(key)) {
       reader.problem(key, ADDRESS_RULE);
     }
-    return address.orElse(PLACEHOLDER);
+    return address.orElse(PLACEHOLDER_ADDRESS);
   }
 
   private static Optional<PeerAddress> parseAddress(String text) {
--- a/umberpath-node/src/main/java/io/umberpath/node/settings/TransportSecurityReader.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/settings/TransportSecurityReader.java
@@ -24,7 +24,7 @@
   static TransportSecurity read(MappingReader root, PeerAddress address) {
     boolean given = root.present(GROUP);
     TransportSecurity security =
-        root.<TransportSecurity>optionalGroup(GROUP, TransportSecurityReader::mutualTls)
+        root.<TransportSecurity>optionalGroup(GROUP, TransportSecurityReader::readMutualTls)
             .orElse(new PlainTextLoopback());
     if (!given && !InetAddresses.forString(address.host()).isLoopbackAddress()) {
       root.problem(GROUP, "is required because node.address is not on loopback");
@@ -32,7 +32,7 @@
     return security;
   }
 
-  private static MutualTls mutualTls(MappingReader transport) {
+  private static MutualTls readMutualTls(MappingReader transport) {
     boolean pem = transport.present(CERTIFICATES) || transport.present(PRIVATE_KEY);
     boolean pkcs12 = transport.present(KEY_STORE) || transport.present(PASSWORD_FILE);
     if (pem && pkcs12) {
@@ -40,20 +40,20 @@
           transport.present(CERTIFICATES) ? CERTIFICATES : PRIVATE_KEY,
           "give either certificates and privateKey or keyStore and passwordFile");
     }
-    Identity identity = pkcs12 ? pkcs12(transport) : pem(transport);
-    return new MutualTls(identity, path(transport, AUTHORITIES));
+    Identity identity = pkcs12 ? readPkcs12(transport) : readPem(transport);
+    return new MutualTls(identity, readPath(transport, AUTHORITIES));
   }
 
-  private static Identity pem(MappingReader transport) {
-    return new PemIdentity(path(transport, CERTIFICATES), path(transport, PRIVATE_KEY));
+  private static Identity readPem(MappingReader transport) {
+    return new PemIdentity(readPath(transport, CERTIFICATES), readPath(transport, PRIVATE_KEY));
   }
 
-  private static Identity pkcs12(MappingReader transport) {
+  private static Identity readPkcs12(MappingReader transport) {
     return new TransportSecurity.Pkcs12Identity(
-        path(transport, KEY_STORE), path(transport, PASSWORD_FILE));
+        readPath(transport, KEY_STORE), readPath(transport, PASSWORD_FILE));
   }
 
-  private static Path path(MappingReader transport, String key) {
+  private static Path readPath(MappingReader transport, String key) {
     return Path.of(transport.text(key));
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/settings/YamlTreeParser.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/settings/YamlTreeParser.java
@@ -43,7 +43,7 @@
       if (parser.nextToken() == null) {
         return Either.right(new YamlValue.Mapping(tree.line(), new LinkedHashMap<>()));
       }
-      YamlValue value = tree.value("", 0);
+      YamlValue value = tree.parseValue("", 0);
       if (parser.nextToken() != null) {
         return Either.left(
             tree.problem("(document)", "more than one document", "must be one document"));
@@ -62,43 +62,43 @@
     }
   }
 
-  private YamlValue value(String path, int depth) throws IOException {
+  private YamlValue parseValue(String path, int depth) throws IOException {
     if (depth > MAX_DEPTH) {
-      throw refuse(path, "deeper than " + MAX_DEPTH, "must be nested less deeply");
+      throw rejection(path, "deeper than " + MAX_DEPTH, "must be nested less deeply");
     }
     if (parser.isCurrentAlias()) {
-      throw refuse(path, parser.getText(), "aliases are not supported");
+      throw rejection(path, parser.getText(), "aliases are not supported");
     }
     JsonToken token = parser.currentToken();
     if (token == JsonToken.START_OBJECT) {
-      return mapping(path, depth);
+      return parseMapping(path, depth);
     }
     if (token == JsonToken.START_ARRAY) {
-      return sequence(path, depth);
+      return parseSequence(path, depth);
     }
     return new YamlValue.Scalar(line(), parser.getText(), token == JsonToken.VALUE_NULL);
   }
 
-  private YamlValue.Mapping mapping(String path, int depth) throws IOException {
+  private YamlValue.Mapping parseMapping(String path, int depth) throws IOException {
     int line = line();
     Map<String, YamlValue> entries = new LinkedHashMap<>();
     while (parser.nextToken() != JsonToken.END_OBJECT) {
       String key = parser.currentName();
       String field = path.isEmpty() ? key : path + "." + key;
       if (entries.containsKey(key)) {
-        throw refuse(field, key, "is given twice");
+        throw rejection(field, key, "is given twice");
       }
       parser.nextToken();
-      entries.put(key, value(field, depth + 1));
+      entries.put(key, parseValue(field, depth + 1));
     }
     return new YamlValue.Mapping(line, entries);
   }
 
-  private YamlValue.Sequence sequence(String path, int depth) throws IOException {
+  private YamlValue.Sequence parseSequence(String path, int depth) throws IOException {
     int line = line();
     List<YamlValue> items = new ArrayList<>();
     while (parser.nextToken() != JsonToken.END_ARRAY) {
-      items.add(value(path + "[" + items.size() + "]", depth + 1));
+      items.add(parseValue(path + "[" + items.size() + "]", depth + 1));
     }
     return new YamlValue.Sequence(line, items);
   }
@@ -111,7 +111,7 @@
     return new SettingsProblem(line(), field, value, message);
   }
 
-  private UnacceptableYamlException refuse(String field, String value, String message) {
+  private UnacceptableYamlException rejection(String field, String value, String message) {
     return new UnacceptableYamlException(problem(field, value, message));
   }
 
--- a/umberpath-node/src/test/java/io/umberpath/node/PlannedStopTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/GracefulShutdownTest.java
@@ -16,11 +16,11 @@
 
 /** A process of its own that is told to stop. */
 @Timeout(120)
-class PlannedStopTest {
+class GracefulShutdownTest {
   private static final Path SAMPLE = Path.of("..", "config", "klang-valley.yaml");
 
   @Test
-  void signalDrainsTheProxyAndEndsWithZero() throws Exception {
+  void signalDrainsTheProxyAndExitsWithZero() throws Exception {
     Process process = start();
     try (BufferedReader log = process.errorReader(StandardCharsets.UTF_8)) {
       readUntil(log, "node-started");
--- a/umberpath-node/src/test/java/io/umberpath/node/NodeProcessTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/NodeProcessTest.java
@@ -32,7 +32,7 @@
 
 /** A whole node of a fleet of one, over real sockets. */
 class NodeProcessTest {
-  private static final long PATIENCE_SECONDS = 60;
+  private static final long TIMEOUT_SECONDS = 60;
   private static final Path SAMPLE = Path.of("..", "config", "western-sri-lanka.yaml");
   private static final String CHANGE =
       """
@@ -48,7 +48,7 @@
   private HttpServer backend;
 
   @BeforeEach
-  void startStandIns() throws IOException {
+  void startFakeServers() throws IOException {
     backend = server("/", "from the back end");
     platform = server("/document", "");
   }
@@ -110,7 +110,7 @@
   }
 
   @Test
-  void changeAppliedThroughTheCommandLineCarriesCalls() throws Exception {
+  void changeAppliedByTheCommandLineRoutesRequests() throws Exception {
     int hopPort = freePort();
     platform.removeContext("/document");
     answer(platform, "/document", document(hopPort));
@@ -132,7 +132,7 @@
                 change.toString(),
                 "--wait",
                 "--timeout",
-                PATIENCE_SECONDS + "s",
+                TIMEOUT_SECONDS + "s",
                 "--server",
                 "127.0.0.1:" + node.operatorPort(),
                 "--token-file",
@@ -153,7 +153,7 @@
   }
 
   @Test
-  void takenPortIsAnErrorAndNothingStaysOpen() throws Exception {
+  void failedStartReleasesItsPorts() throws Exception {
     int controlPort = freePort();
     try (ServerSocket taken = new ServerSocket(0)) {
       NodeSettings settings = settings(controlPort, 0);
@@ -175,7 +175,7 @@
   }
 
   private static void awaitBody(int port, String path, String text) throws Exception {
-    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS);
+    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
     String body = get(port, path).body();
     while (!body.contains(text) && System.nanoTime() < end) {
       Thread.sleep(20);
--- a/umberpath-node/src/test/java/io/umberpath/node/admin/AdminServerTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/admin/AdminServerTest.java
@@ -24,14 +24,14 @@
   private final FakeControlService control = new FakeControlService();
   private final PrometheusMeterRegistry metrics =
       new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-  private final AtomicReference<Optional<String>> obstacle =
+  private final AtomicReference<Optional<String>> notReadyReason =
       new AtomicReference<>(Optional.empty());
   private AdminServer server;
 
   @BeforeEach
   void start() throws Exception {
     NodeMetrics.register(metrics, control);
-    Readiness readiness = Readiness.of(control).and(obstacle::get);
+    Readiness readiness = Readiness.of(control).and(notReadyReason::get);
     server = new AdminServer(new NodeSettings.Admin("127.0.0.1", 0), control, metrics, readiness);
     server.start();
   }
@@ -61,15 +61,16 @@
     "POST, /healthz, 405, only GET",
     "DELETE, /status, 405, only GET"
   })
-  void pageAnswers(String method, String path, int status, String text) throws Exception {
+  void endpointReturnsStatusAndBody(String method, String path, int status, String text)
+      throws Exception {
     HttpResponse<String> response = send(method, path);
     assertThat(response.statusCode()).isEqualTo(status);
     assertThat(response.body()).contains(text);
   }
 
   @Test
-  void nodeIsNotReadyWhileSomethingIsInTheWay() throws Exception {
-    obstacle.set(Optional.of("draining"));
+  void nodeWithNotReadyReasonIsNotReady() throws Exception {
+    notReadyReason.set(Optional.of("draining"));
     HttpResponse<String> response = send("GET", "/readyz");
     assertThat(response.statusCode()).isEqualTo(503);
     assertThat(response.body()).isEqualTo("draining\n");
--- a/umberpath-node/src/test/java/io/umberpath/node/cli/CommandLineTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/cli/CommandLineTest.java
@@ -86,7 +86,7 @@
   }
 
   @Test
-  void anAcceptedChangeIsNeverCalledNotRunBecauseTheWaitEnded() throws Exception {
+  void acceptedChangeIsNotReportedAsNotRunWhenTheWaitTimesOut() throws Exception {
     String file = write("change.yaml", CHANGE);
     fixture.control.nodes = List.of(FakeControlService.node(1, new Version(0, 1)));
     assertThat(call("apply", "-f", file, "--wait", "--timeout", "2s"))
@@ -136,7 +136,7 @@
   }
 
   @Test
-  void registerThatNeverAnswersMayHaveRun() throws Exception {
+  void missingResponseIsReportedAsMayHaveRun() throws Exception {
     fixture.control.nextOutcome = Optional.of(new CompletableFuture<>());
     String file = write("change.yaml", CHANGE);
     assertThat(call("apply", "-f", file, "--timeout", "1s", "--request-id", "lost"))
@@ -152,7 +152,7 @@
   }
 
   @Test
-  void nextServerIsTriedAndNoServerIsNotRun() throws Exception {
+  void nextServerIsTriedAndNoReachableServerIsReportedAsNotRun() throws Exception {
     String file = write("change.yaml", CHANGE);
     String closed;
     try (ServerSocket socket = new ServerSocket(0)) {
@@ -178,7 +178,7 @@
         "tenant: market | expectedVersion: x | must be a version such as 3.17",
         "tenant: market | tenant: [ | (syntax)",
       })
-  void mistakeInAChangeFileIsNamed(String before, String after, String text) throws Exception {
+  void invalidChangeFileFieldIsReported(String before, String after, String text) throws Exception {
     String file = write("change.yaml", CHANGE.replace(before, after));
     assertThat(call("apply", "-f", file)).isEqualTo(ExitCode.USAGE);
     assertThat(printed()).contains(text).doesNotContain("hunter2");
@@ -208,7 +208,7 @@
         "check-config no-such-file",
         "check-config x --backend y",
       })
-  void wrongUsageIsSaid(String line) {
+  void usageErrorIsReported(String line) {
     String[] arguments = line.isEmpty() ? new String[0] : line.split(" ");
     ExitCode exitCode = line.contains("--server") ? run(arguments) : callIfOperator(arguments);
     assertThat(exitCode).isEqualTo(ExitCode.USAGE);
--- a/umberpath-node/src/test/java/io/umberpath/node/cli/LogCommandsTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/cli/LogCommandsTest.java
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void traceTellsARequestInOrderOverAllNodes() throws IOException {
+  void traceOrdersLinesOfARequestAcrossNodes() throws IOException {
     String edge = write("edge.log", EDGE);
     String gate = write("gate.log", GATE);
 
@@ -53,19 +53,19 @@
   }
 
   @Test
-  void traceOfAnUnknownRequestSaysSo() throws IOException {
+  void traceOfUnknownRequestIsReported() throws IOException {
     assertThat(run("trace", "xy", write("edge.log", EDGE))).isEqualTo(ExitCode.REFUSED);
     assertThat(err.toString()).contains("xy");
   }
 
   @Test
-  void aFileThatIsNotThereIsNamed() {
+  void missingFileIsReported() {
     assertThat(run("trace", "ab", "missing.log")).isEqualTo(ExitCode.USAGE);
     assertThat(err.toString()).contains("FILE missing.log");
   }
 
   @Test
-  void lossesCountsRequestsBySecondRouteAndEnd() throws IOException {
+  void lossesAreCountedBySecondRouteAndOutcome() throws IOException {
     assertThat(run("losses", write("edge.log", EDGE))).isEqualTo(ExitCode.OK);
 
     String[] lines = out.toString().split("\n");
--- a/umberpath-node/src/test/java/io/umberpath/node/logs/FullPipeTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/logs/BlockedLogReaderTest.java
@@ -14,13 +14,13 @@
 import org.junit.jupiter.api.Test;
 
 /** Whoever reads the log may stop reading; the process must not notice. */
-final class FullPipeTest {
-  private static final long PATIENCE_SECONDS = 60;
+final class BlockedLogReaderTest {
+  private static final long TIMEOUT_SECONDS = 60;
   private static final String SYSTEM_BACKEND =
       "com.google.common.flogger.backend.system.SimpleBackendFactory";
 
   @Test
-  void whoeverLogsNeverWaitsAndWhatIsDroppedIsCounted() throws Exception {
+  void loggingNeverBlocksAndDroppedLinesAreCounted() throws Exception {
     Process process =
         new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -28,29 +28,29 @@
                 "-Dflogger.backend_factory=" + SYSTEM_BACKEND,
                 "-cp",
                 System.getProperty("java.class.path"),
-                FullPipeMain.class.getName())
+                LogFloodMain.class.getName())
             .start();
     try {
       // Nobody reads standard output, and yet the process gets to its end.
       CompletableFuture<String> done = CompletableFuture.supplyAsync(() -> firstLine(process));
-      assertThat(done.get(PATIENCE_SECONDS, TimeUnit.SECONDS)).isEqualTo(FullPipeMain.DONE);
+      assertThat(done.get(TIMEOUT_SECONDS, TimeUnit.SECONDS)).isEqualTo(LogFloodMain.DONE);
 
       CompletableFuture<List<String>> read =
           CompletableFuture.supplyAsync(() -> lines(process.inputReader(StandardCharsets.UTF_8)));
-      letItEnd(process);
-      List<String> written = read.get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+      signalEnd(process);
+      List<String> written = read.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
 
       assertThat(written).allSatisfy(line -> assertThat(line).startsWith("{").endsWith("}"));
-      long dropped = written.stream().mapToLong(FullPipeTest::droppedCount).sum();
+      long dropped = written.stream().mapToLong(BlockedLogReaderTest::droppedCount).sum();
       long logged = written.stream().filter(line -> droppedCount(line) == 0).count();
       assertThat(dropped).isPositive();
-      assertThat(logged + dropped).isEqualTo(FullPipeMain.LINES + 1);
+      assertThat(logged + dropped).isEqualTo(LogFloodMain.LINES + 1);
     } finally {
       process.destroyForcibly();
     }
   }
 
-  private static void letItEnd(Process process) throws IOException {
+  private static void signalEnd(Process process) throws IOException {
     try (OutputStream input = process.getOutputStream()) {
       input.write('\n');
     }
--- a/umberpath-node/src/test/java/io/umberpath/node/logs/FullPipeMain.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/logs/LogFloodMain.java
@@ -3,11 +3,11 @@
 import com.google.common.flogger.FluentLogger;
 
 /** A process that logs more than a pipe and the buffer hold, then says so on standard error. */
-public final class FullPipeMain {
+public final class LogFloodMain {
   static final int LINES = 20_000;
   static final String DONE = "every line was handed over";
 
-  private FullPipeMain() {}
+  private LogFloodMain() {}
 
   /** Logs; ends when its standard input does. */
   public static void main(String[] arguments) throws Exception {
--- a/umberpath-node/src/test/java/io/umberpath/node/operator/ChangeContractTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/operator/ChangeContractTest.java
@@ -65,7 +65,7 @@
 
   @ParameterizedTest
   @MethodSource("badAuthorizations")
-  void callWithoutKnownTokenIsRefused(String[] authorization) {
+  void callWithoutKnownTokenIsUnauthenticated(String[] authorization) {
     var client = fixture.withAuthorization(authorization);
     ErrorDetail detail =
         failure(Status.Code.UNAUTHENTICATED, () -> client.apply(change("r", pool("p")).build()));
@@ -106,7 +106,7 @@
   }
 
   @Test
-  void poolOfAServiceThePlatformDoesNotHaveIsRefused() {
+  void poolOfUnknownServiceIsRejected() {
     Resource pool = pool("p");
     Resource unknown =
         pool.toBuilder().setPool(pool.getPool().toBuilder().setService("no-such")).build();
@@ -120,7 +120,7 @@
   }
 
   @Test
-  void errorOfALargeChangeStillArrives() {
+  void errorDetailOfALargeChangeIsBounded() {
     ApplyRequest.Builder request = change("r".repeat(10_000));
     for (int index = 0; index < 300; index++) {
       request.addUpserts(pool("A" + "b".repeat(500) + index));
@@ -132,7 +132,7 @@
   }
 
   @Test
-  void secretValueIsInNoError() {
+  void errorsDoNotContainSecretValues() {
     ErrorDetail detail =
         failure(
             Status.Code.INVALID_ARGUMENT,
@@ -146,7 +146,8 @@
     "TIER_STANDARD, TIER_PREMIUM, market",
     "TIER_UNSPECIFIED, TIER_UNSPECIFIED, dealer"
   })
-  void unpaidTierAndOtherTenantAreForbidden(Tier changeTier, Tier resourceTier, String tenant) {
+  void tierWithoutEntitlementAndOtherTenantAreForbidden(
+      Tier changeTier, Tier resourceTier, String tenant) {
     Resource resource = pool("p").toBuilder().setTier(resourceTier).build();
     ApplyRequest request = change("r", resource).setTier(changeTier).setTenant(tenant).build();
     ErrorDetail detail =
@@ -187,7 +188,7 @@
 
   @ParameterizedTest
   @MethodSource("hiddenOutcomes")
-  void hiddenOutcomeMayHaveRun(CompletableFuture<ChangeResult> outcome) {
+  void unknownOutcomeIsReportedAsMayHaveRun(CompletableFuture<ChangeResult> outcome) {
     fixture.control.nextOutcome = Optional.of(outcome);
     ErrorDetail detail =
         failure(
@@ -196,7 +197,7 @@
   }
 
   @Test
-  void callWithTooLittleTimeIsNotHandedOver() {
+  void callWithoutEnoughTimeIsNotSubmitted() {
     var client = fixture.as(MARKET).withDeadlineAfter(30, TimeUnit.MILLISECONDS);
     org.assertj.core.api.Assertions.assertThatThrownBy(
             () -> client.apply(change("r", pool("p")).build()))
@@ -205,7 +206,7 @@
   }
 
   @Test
-  void repeatIsAnsweredLikeTheFirstAndReuseIsRefused() {
+  void retryReturnsTheFirstResultAndReusedRequestIdIsRejected() {
     var client = fixture.as(MARKET);
     ApplyRequest first = change("r", pool("p")).build();
     assertThat(client.apply(first)).isEqualTo(client.apply(first));
@@ -222,7 +223,7 @@
     "token-of-administrator, '', 127.0.0.9, INVALID_ARGUMENT",
     "token-of-administrator, '', '', INVALID_ARGUMENT"
   })
-  void drainIsCheckedFirst(String token, String backend, String node, Status.Code code) {
+  void invalidDrainIsRejected(String token, String backend, String node, Status.Code code) {
     DrainRequest.Builder request = DrainRequest.newBuilder().setRequestId("d").setDraining(true);
     if (!backend.isEmpty()) {
       request.setBackendId(backend);
@@ -234,7 +235,7 @@
   }
 
   @Test
-  void drainOfNodeDrainsTheBackendBesideIt() {
+  void drainOfNodeDrainsItsLocalBackend() {
     DrainRequest.Builder request = DrainRequest.newBuilder().setDraining(true);
     var answer =
         fixture
--- a/umberpath-node/src/test/java/io/umberpath/node/operator/ReadContractTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/operator/ReadContractTest.java
@@ -118,7 +118,7 @@
     "KIND_UNSPECIFIED, 1, GOOD, page_token",
     "KIND_POOL, 1, DAMAGED, page_token"
   })
-  void badPageIsRefused(Kind kind, int size, String token, String field) {
+  void invalidPageRequestIsRejected(Kind kind, int size, String token, String field) {
     fixture.as(MARKET).apply(change("r", pool("p0"), pool("p1")).build());
     ListRequest first = ListRequest.newBuilder().setKind(Kind.KIND_POOL).setPageSize(1).build();
     String good = fixture.as(MARKET).list(first).getNextPageToken();
@@ -149,7 +149,7 @@
 
   @ParameterizedTest
   @CsvSource({"true, 1.2 is not yet in force in 1 of 2 members", "false, no leader answered"})
-  void waitSaysAtItsDeadlineWhatIsMissing(boolean leader, String message) throws Exception {
+  void waitReportsMissingMembersAtItsDeadline(boolean leader, String message) throws Exception {
     ScheduledExecutorService scheduler = Executors.newSingleThreadScheduledExecutor();
     fixture.control.nodes =
         leader
@@ -167,7 +167,7 @@
   }
 
   @Test
-  void waitingCallsAreBoundedAndCancellingFreesThem() throws Exception {
+  void waitCallsAreLimitedAndCancellationReleasesPermits() throws Exception {
     int bound = 128;
     CompletableFuture<Throwable> refused = new CompletableFuture<>();
     Context.CancellableContext waiting = Context.current().withCancellation();
@@ -245,7 +245,7 @@
   }
 
   @Test
-  void explainSaysWhereARequestGoes() {
+  void explainReportsTheMatchingRoute() {
     fixture.as(MARKET).apply(change("r", pool("p"), route("q", "/booking", "p")).build());
     fixture.control.observe(
         new ObservedBackend("booking-1", 1, 1, ObservedBackend.Phase.DRAINING, 50));
@@ -264,7 +264,7 @@
     "token-of-dealer, 0, resources of other tenants",
     "token-of-administrator, 1, pools[p].service"
   })
-  void causeOfAVersionHeldBackIsShownToItsOwner(String token, int causes, String text) {
+  void compositionViolationIsShownToItsOwner(String token, int causes, String text) {
     fixture.as(MARKET).apply(change("r", pool("p"), route("q", "/", "p")).build());
     fixture.control.compositionViolations =
         List.of(new Violation("pools[p].service", "booking", "not in platform document 6"));
--- a/umberpath-node/src/test/java/io/umberpath/node/settings/SettingsLoaderTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/settings/SettingsLoaderTest.java
@@ -38,7 +38,7 @@
 
   @ParameterizedTest
   @CsvSource({"127.0.0.1:7100, true", "127.0.0.1:7101, false"})
-  void aFleetOfOneHasNoOtherSeed(String seed, boolean accepted) {
+  void singleMemberFleetRejectsOtherSeeds(String seed, boolean accepted) {
     String alone = MINIMAL.replace("initialMembers: 3", "initialMembers: 1");
     String text = alone.replace("region:", "seeds: ['" + seed + "']\n  region:");
     var result = parse(text);
@@ -58,7 +58,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"klang-valley", "western-sri-lanka"})
-  void sampleIsAcceptedWithEitherBackend(String name) {
+  void sampleFileIsValidWithBackendOverride(String name) {
     Path sample = Path.of("..", "config", name + ".yaml");
     var backend =
         new SettingsOverrides.Override("proxy.backend", "{id: b-1, address: 127.0.0.1:9001}");
@@ -96,13 +96,14 @@
   }
 
   @Test
-  void klangValleyGathersLongerThanWesternSriLanka() {
+  void klangValleyHasALongerBatchWindowThanWesternSriLanka() {
     var config = Path.of("..", "config");
-    var bytes = SettingsLoader.load(config.resolve("klang-valley.yaml"), SettingsOverrides.NONE);
-    var time =
+    var klangValley =
+        SettingsLoader.load(config.resolve("klang-valley.yaml"), SettingsOverrides.NONE);
+    var westernSriLanka =
         SettingsLoader.load(config.resolve("western-sri-lanka.yaml"), SettingsOverrides.NONE);
-    assertThat(bytes.get().control().batchWindowMillis())
-        .isGreaterThan(time.get().control().batchWindowMillis());
+    assertThat(klangValley.get().control().batchWindowMillis())
+        .isGreaterThan(westernSriLanka.get().control().batchWindowMillis());
   }
 
   @ParameterizedTest
@@ -147,7 +148,7 @@
         "node.zone.name | 5 | zone is not a group",
         "node.zone | '[' | while parsing",
       })
-  void wrongValueIsNamed(String field, String value, String message) {
+  void invalidValueIsReportedWithItsField(String field, String value, String message) {
     var result = parseWith(field, value);
     assertThat(result.isLeft()).isTrue();
     assertThat(result.getLeft())
@@ -181,7 +182,7 @@
         "'- 1' | 1 | must be a group of fields",
         "'' | 1 | is required",
       })
-  void unacceptableDocumentIsRefused(String text, int line, String message) {
+  void invalidDocumentIsRejected(String text, int line, String message) {
     assertThat(parse(text).getLeft())
         .anySatisfy(
             problem -> {
@@ -191,7 +192,7 @@
   }
 
   @Test
-  void tokenIsNeverQuoted() {
+  void tokenIsRedactedInProblems() {
     String secret = "a-token-pasted-by-mistake";
     var result =
         parseWith("operator.tokens", "[{sha256: " + secret + ", tenant: a, tiers: [basic]}]");
@@ -199,14 +200,14 @@
   }
 
   @Test
-  void repeatedTokenIsRefused() {
+  void duplicateTokenIsRejected() {
     String token = "{sha256: " + TOKEN_HASH + ", tenant: a, tiers: [basic]}";
     var result = parseWith("operator.tokens", "[" + token + "," + token + "]");
     assertThat(result.getLeft().toString()).contains("given twice").doesNotContain(TOKEN_HASH);
   }
 
   @Test
-  void missingFileIsAProblem() {
+  void missingFileIsReported() {
     var result = SettingsLoader.load(Path.of("no-such-file.yaml"), SettingsOverrides.NONE);
     assertThat(result.getLeft())
         .singleElement()
