--- a/umberpath-node/src/main/java/io/umberpath/node/settings/Durations.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/settings/Durations.java
@@ -4,7 +4,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Durations as they are written in settings: a whole number and one of ms, s, m, h. */
+/** Parses and formats durations in settings: a whole number followed by ms, s, m or h. */
 public final class Durations {
   private static final Pattern DURATION = Pattern.compile("([0-9]{1,9})(ms|s|m|h)");
   private static final long SECOND_MILLIS = 1_000;
@@ -13,7 +13,7 @@
 
   private Durations() {}
 
-  /** The duration in milliseconds, or empty if the text is not one. */
+  /** Returns the duration in milliseconds; empty if the text is not a valid duration. */
   public static Optional<Long> parseMillis(String text) {
     Matcher matcher = DURATION.matcher(text);
     if (!matcher.matches()) {
@@ -22,7 +22,7 @@
     return Optional.of(Long.parseLong(matcher.group(1)) * unitMillis(matcher.group(2)));
   }
 
-  /** Writes a duration with the largest unit that keeps it whole. */
+  /** Formats a duration in the largest unit that yields a whole number. */
   public static String format(long millis) {
     for (String unit : new String[] {"h", "m", "s"}) {
       if (millis != 0 && millis % unitMillis(unit) == 0) {
--- a/umberpath-node/src/main/java/io/umberpath/node/settings/MappingReader.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/settings/MappingReader.java
@@ -13,9 +13,9 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads the fields of one group, typed and bounds-checked. A wrong or missing field adds a problem
- * and yields a placeholder, so that all problems are found at once; the caller must look at the
- * problems before it uses any value. Not thread-safe.
+ * Reads the fields of one mapping with type and range checks. An invalid or missing field adds a
+ * problem and yields a placeholder, so that one pass finds all problems; callers must check the
+ * problems before using any value. Not thread-safe.
  */
 public final class MappingReader {
   private static final Pattern INTEGER = Pattern.compile("-?[0-9]{1,18}");
@@ -35,12 +35,12 @@
     this.problems = problems;
   }
 
-  /** Reads the root of a document; the problems found are added to the list. */
+  /** Creates a reader for the root of a document that adds problems to the given list. */
   public static MappingReader root(YamlValue root, List<SettingsProblem> problems) {
     return of("", root, problems);
   }
 
-  /** Reads the root of a document whose unknown fields, at any depth, are passed over. */
+  /** Creates a reader for the root of a document; unknown fields at any depth are ignored. */
   public static MappingReader lenientRoot(YamlValue root, List<SettingsProblem> problems) {
     MappingReader reader = of("", root, problems);
     reader.lenient = true;
@@ -58,27 +58,27 @@
         path, new YamlValue.Mapping(value.line(), new LinkedHashMap<>()), problems);
   }
 
-  /** A required text. */
+  /** Reads a required string. */
   public String text(String key) {
     return optionalText(key).orElseGet(() -> addMissing(key, "is required"));
   }
 
-  /** A text with a default. */
+  /** Reads a string with a default. */
   public String text(String key, String defaultText) {
     return optionalText(key).orElse(defaultText);
   }
 
-  /** A text that may be absent; null and a group are refused. */
+  /** Reads an optional string; null, lists and mappings are rejected. */
   public Optional<String> optionalText(String key) {
     return scalar(key).map(YamlValue.Scalar::text);
   }
 
-  /** A whole number within bounds, both included. */
+  /** Reads an integer with a default; both bounds are inclusive. */
   public long integer(String key, long minimum, long maximum, long defaultValue) {
     return scalar(key).map(found -> integer(key, found, minimum, maximum)).orElse(defaultValue);
   }
 
-  /** A required whole number within bounds, both included. */
+  /** Reads a required integer; both bounds are inclusive. */
   public long integer(String key, long minimum, long maximum) {
     if (!present(key)) {
       addMissing(key, "is required");
@@ -97,7 +97,7 @@
     return Math.toIntExact(integer(key, minimum, maximum, defaultValue));
   }
 
-  /** A duration such as {@code 20ms}, within bounds, in milliseconds. */
+  /** Reads a duration such as {@code 20ms}; result and inclusive bounds are in milliseconds. */
   public long durationMillis(String key, long minimum, long maximum, long defaultValue) {
     Optional<YamlValue.Scalar> found = scalar(key);
     if (found.isEmpty()) {
@@ -112,7 +112,7 @@
     return millis.get();
   }
 
-  /** True or false. */
+  /** Reads a boolean, {@code true} or {@code false}. */
   public boolean flag(String key, boolean defaultValue) {
     Optional<YamlValue.Scalar> found = scalar(key);
     if (found.isEmpty()) {
@@ -125,12 +125,12 @@
     return text.equals("true");
   }
 
-  /** One of an enum's constants; case and {@code -} for {@code _} do not matter. */
+  /** Reads an enum constant; case-insensitive, with {@code -} accepted for {@code _}. */
   public <E extends Enum<E>> E choice(String key, Class<E> type, E defaultValue) {
     return scalar(key).map(found -> choice(key, found, type)).orElse(defaultValue);
   }
 
-  /** A list of texts; empty if absent. */
+  /** Reads a list of strings; empty if absent. */
   public List<String> texts(String key) {
     List<String> texts = new ArrayList<>();
     for (YamlValue item : items(key)) {
@@ -143,7 +143,7 @@
     return texts;
   }
 
-  /** A list of enum constants; empty if absent. */
+  /** Reads a list of enum constants; empty if absent. */
   public <E extends Enum<E>> List<E> choices(String key, Class<E> type) {
     List<E> choices = new ArrayList<>();
     for (YamlValue item : items(key)) {
@@ -156,12 +156,12 @@
     return choices;
   }
 
-  /** A list of groups, each read by the function; empty if absent. */
+  /** Reads a list of mappings, each with the given function; empty if absent. */
   public <T> List<T> groups(String key, Function<MappingReader, T> read) {
     return groups(key, read, false);
   }
 
-  /** As {@link #groups}, for groups whose unknown fields may hold a secret and are not quoted. */
+  /** As {@link #groups}, but redacts unknown fields in problems because they may hold a secret. */
   public <T> List<T> sensitiveGroups(String key, Function<MappingReader, T> read) {
     return groups(key, read, true);
   }
@@ -183,7 +183,7 @@
     return groups;
   }
 
-  /** A group that may be absent, read by the function. */
+  /** Reads an optional mapping with the given function. */
   public <T> Optional<T> optionalGroup(String key, Function<MappingReader, T> read) {
     knownKeys.add(key);
     YamlValue value = mapping.entries().get(key);
@@ -197,7 +197,7 @@
     return Optional.of(result);
   }
 
-  /** A group whose fields all have defaults or report that they are missing. */
+  /** Reads a mapping; if it is absent, its fields take their defaults or are reported missing. */
   public <T> T group(String key, Function<MappingReader, T> read) {
     Optional<T> found = optionalGroup(key, read);
     return found.orElseGet(
@@ -209,12 +209,12 @@
                     problems)));
   }
 
-  /** Whether the key is given. */
+  /** Returns whether the mapping contains the key. */
   public boolean present(String key) {
     return mapping.entries().containsKey(key);
   }
 
-  /** Adds a problem about a field that was read; the value is quoted as written. */
+  /** Adds a problem for a field; the value is quoted as written. */
   public void problem(String key, String message) {
     YamlValue value = mapping.entries().get(key);
     if (value == null) {
@@ -224,21 +224,21 @@
     }
   }
 
-  /** Adds a problem about one item of a list that was read. */
+  /** Adds a problem for one item of a list. */
   public void itemProblem(String key, int index, String message) {
     if (mapping.entries().get(key) instanceof YamlValue.Sequence sequence) {
       problem(key + "[" + index + "]", sequence.items().get(index), message);
     }
   }
 
-  /** Adds a problem about a field whose value must not be shown. */
+  /** Adds a problem for a field without showing its value. */
   public void redactedProblem(String key, String message) {
     YamlValue value = mapping.entries().get(key);
     int line = value == null ? mapping.line() : value.line();
     problems.add(new SettingsProblem(line, fieldPath(key), REDACTED, message));
   }
 
-  /** Adds a problem for every key that was not asked for. */
+  /** Adds a problem for every key that was not read. */
   public void refuseUnknown() {
     if (lenient) {
       return;
@@ -304,7 +304,7 @@
     return type.getEnumConstants()[0];
   }
 
-  /** A text that a function reads; a problem names the field if the function finds one. */
+  /** Reads a required string and parses it; a parse error is added as a problem of the field. */
   public <T> T parsed(String key, T placeholder, Function<String, Either<String, T>> parse) {
     Optional<YamlValue.Scalar> found = scalar(key);
     if (found.isEmpty()) {
--- a/umberpath-node/src/main/java/io/umberpath/node/settings/NodeSettings.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/settings/NodeSettings.java
@@ -7,14 +7,14 @@
 import java.util.Optional;
 
 /**
- * Everything one node process is told, from its settings file and flags.
+ * Settings of a node process, from its settings file and flags.
  *
- * @param control agreement and delivery
- * @param proxy request path
+ * @param control consensus and distribution of configuration
+ * @param proxy data plane
  * @param platform the platform's read-only service
  * @param operator operators' gRPC port
  * @param admin metrics and health port
- * @param security protection of the connections between nodes' control sides
+ * @param security security of control connections between nodes
  */
 public record NodeSettings(
     ControlSettings control,
@@ -24,16 +24,16 @@
     Admin admin,
     TransportSecurity security) {
   /**
-   * Request path.
+   * Settings of the proxy.
    *
    * @param host IP address to listen on
-   * @param edgePort port for callers; 0 picks a free one, -1 serves none
-   * @param hopPort port for calls from other nodes; 0 picks a free one, -1 serves none
-   * @param backend the back end beside this node, if any
-   * @param drainMillis longest time a planned stop waits for requests in flight
-   * @param maxHeaderBytes largest request or answer header
-   * @param maxBodyBytes largest request body
-   * @param queuePerBackend requests that may wait for a slot
+   * @param edgePort port for clients; 0 picks a free port, -1 disables it
+   * @param hopPort port for requests from other nodes; 0 picks a free port, -1 disables it
+   * @param backend the node's local backend, if any
+   * @param drainMillis maximum time a graceful shutdown waits for requests in flight
+   * @param maxHeaderBytes maximum size of a request or response header
+   * @param maxBodyBytes maximum size of a request body
+   * @param queuePerBackend maximum number of requests queued for a slot
    */
   public record Proxy(
       String host,
@@ -46,13 +46,13 @@
       int queuePerBackend) {}
 
   /**
-   * The back end beside this node.
+   * The node's local backend.
    *
    * @param id its id in the platform's document
    * @param host its IP address
    * @param port its port
-   * @param slots requests it runs at a time
-   * @param connections connections it accepts
+   * @param slots number of requests it processes concurrently
+   * @param connections number of connections it accepts
    * @param probeMillis interval between health probes
    */
   public record Backend(
@@ -62,7 +62,7 @@
    * The platform's service.
    *
    * @param url URL of the document
-   * @param timeoutMillis longest time one read may take
+   * @param timeoutMillis timeout of one read
    */
   public record Platform(String url, long timeoutMillis) {}
 
@@ -70,8 +70,8 @@
    * Operators' port.
    *
    * @param host IP address to listen on
-   * @param port gRPC port; 0 picks a free one
-   * @param tokens who may call
+   * @param port gRPC port; 0 picks a free port
+   * @param tokens accepted tokens
    */
   public record Operator(String host, int port, List<Token> tokens) {}
 
@@ -80,8 +80,8 @@
    *
    * @param sha256 lower-case hex SHA-256 of the token
    * @param tenant the tenant it acts for
-   * @param tiers tiers the tenant pays for, by name
-   * @param fleetAdmin whether it may see the whole fleet, drain and re-form
+   * @param tiers tiers the tenant is entitled to
+   * @param fleetAdmin whether it may view the whole fleet, drain backends and re-form the fleet
    */
   public record Token(String sha256, String tenant, List<Tier> tiers, boolean fleetAdmin) {}
 
@@ -89,7 +89,7 @@
    * Admin port.
    *
    * @param host IP address to listen on
-   * @param port HTTP port; 0 picks a free one
+   * @param port HTTP port; 0 picks a free port
    */
   public record Admin(String host, int port) {}
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/settings/SettingsLoader.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/settings/SettingsLoader.java
@@ -18,7 +18,7 @@
   private SettingsLoader() {}
 
   /**
-   * Loads and checks settings whole.
+   * Loads and validates settings.
    *
    * @param file the settings file
    * @param overrides values from flags
@@ -30,11 +30,11 @@
   }
 
   /**
-   * Checks the text of a settings file.
+   * Parses and validates the text of a settings file.
    *
    * @param text YAML
    * @param overrides values from flags
-   * @param incarnation distinguishes this process from others at its address
+   * @param incarnation distinguishes this process from earlier ones at the same address
    * @return the settings, or every problem found
    */
   public static Either<List<SettingsProblem>, NodeSettings> parse(
@@ -53,7 +53,7 @@
     return problems.isEmpty() ? Either.right(settings) : Either.left(List.copyOf(problems));
   }
 
-  /** Reads a small UTF-8 file. */
+  /** Reads a UTF-8 file of at most 1 MiB. */
   public static Either<SettingsProblem, String> read(Path file) {
     try {
       if (Files.size(file) > MAX_FILE_BYTES) {
@@ -73,7 +73,7 @@
     return new SettingsProblem(SettingsProblem.FLAG_LINE, "file", file.toString(), message);
   }
 
-  /** Rises with the clock; the random part tells apart processes of one millisecond. */
+  /** Increases with the clock; random bits distinguish processes started in one millisecond. */
   private static long newIncarnation() {
     long random = ThreadLocalRandom.current().nextLong(1L << INCARNATION_RANDOM_BITS);
     return (System.currentTimeMillis() << INCARNATION_RANDOM_BITS) | random;
--- a/umberpath-node/src/main/java/io/umberpath/node/settings/SettingsOverrides.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/settings/SettingsOverrides.java
@@ -6,9 +6,9 @@
 import java.util.List;
 
 /**
- * Values from flags that go before those of the settings file.
+ * Values from flags that take precedence over the settings file.
  *
- * @param overrides in order; the last one of a field wins
+ * @param overrides overrides in order; the last one for a field wins
  */
 public record SettingsOverrides(List<Override> overrides) {
   /** No overrides. */
@@ -27,7 +27,7 @@
    */
   public record Override(String field, String value) {}
 
-  /** Puts the overrides into the tree of a settings file. */
+  /** Applies the overrides to the parsed settings file. */
   void applyTo(YamlValue.Mapping root, List<SettingsProblem> problems) {
     for (Override override : overrides) {
       Either<SettingsProblem, YamlValue> value = YamlTreeParser.parseFlag(override.value());
--- a/umberpath-node/src/main/java/io/umberpath/node/settings/SettingsReader.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/settings/SettingsReader.java
@@ -14,7 +14,7 @@
 import java.util.Set;
 import java.util.regex.Pattern;
 
-/** Turns the groups of a settings file into {@link NodeSettings}. */
+/** Converts a parsed settings file into {@link NodeSettings}. */
 final class SettingsReader {
   private static final String LOOPBACK = "127.0.0.1";
   private static final int NO_PORT = -1;
--- a/umberpath-node/src/main/java/io/umberpath/node/settings/TransportSecurityReader.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/settings/TransportSecurityReader.java
@@ -9,7 +9,7 @@
 import io.umberpath.transport.TransportSecurity.PlainTextLoopback;
 import java.nio.file.Path;
 
-/** Reads the group {@code transport}: how connections between nodes are protected. */
+/** Reads the {@code transport} mapping: security of connections between nodes. */
 final class TransportSecurityReader {
   private static final String GROUP = "transport";
   private static final String AUTHORITIES = "authorities";
@@ -20,7 +20,7 @@
 
   private TransportSecurityReader() {}
 
-  /** Plain text without the group, which only a node on loopback may do. */
+  /** Defaults to plain text if the mapping is absent, which is allowed only on loopback. */
   static TransportSecurity read(MappingReader root, PeerAddress address) {
     boolean given = root.present(GROUP);
     TransportSecurity security =
--- a/umberpath-node/src/main/java/io/umberpath/node/settings/YamlTreeParser.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/settings/YamlTreeParser.java
@@ -11,10 +11,7 @@
 import java.util.List;
 import java.util.Map;
 
-/**
- * Parses one YAML document into a tree that keeps line numbers. Duplicate keys and aliases are
- * refused.
- */
+/** Parses one YAML document into a tree with line numbers. Rejects duplicate keys and aliases. */
 public final class YamlTreeParser {
   private static final int MAX_DEPTH = 32;
   private static final YAMLFactory FACTORY = new YAMLFactory();
@@ -27,12 +24,12 @@
     this.fromFlag = fromFlag;
   }
 
-  /** Parses the text of a file; an empty text is an empty mapping. */
+  /** Parses the text of a file; empty text yields an empty mapping. */
   public static Either<SettingsProblem, YamlValue> parse(String text) {
     return parse(text, false);
   }
 
-  /** Parses the value of a flag, whose lines mean nothing. */
+  /** Parses the value of a flag; its values get {@link SettingsProblem#FLAG_LINE}. */
   static Either<SettingsProblem, YamlValue> parseFlag(String text) {
     return parse(text, true);
   }
@@ -115,7 +112,7 @@
     return new UnacceptableYamlException(problem(field, value, message));
   }
 
-  /** Carries a problem out of the recursion. */
+  /** Propagates a problem out of the recursive descent. */
   private static final class UnacceptableYamlException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/umberpath-node/src/main/java/io/umberpath/node/settings/YamlValue.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/settings/YamlValue.java
@@ -3,20 +3,20 @@
 import java.util.List;
 import java.util.Map;
 
-/** A YAML value that remembers the line it was written on. */
+/** A YAML value with its line number. */
 public sealed interface YamlValue {
   /** Line in the file, counted from 1; {@link SettingsProblem#FLAG_LINE} for a flag's value. */
   int line();
 
-  /** How the value is quoted in a problem. */
+  /** Returns the text that represents the value in a problem. */
   String describe();
 
   /**
-   * A single value.
+   * A scalar.
    *
    * @param line where it is
-   * @param text its text as written, without quotes
-   * @param isNull whether it is YAML's null
+   * @param text its text without quotes
+   * @param isNull whether it is the YAML null value
    */
   record Scalar(int line, String text, boolean isNull) implements YamlValue {
     @Override
@@ -39,10 +39,10 @@
   }
 
   /**
-   * A group of named values.
+   * A mapping.
    *
    * @param line where it begins
-   * @param entries its entries in order; the parser and the overrides fill this map
+   * @param entries its entries in order; mutable, because overrides are added to it
    */
   record Mapping(int line, Map<String, YamlValue> entries) implements YamlValue {
     @Override
