--- a/umberpath-node/src/main/java/io/umberpath/node/operator/BearerToken.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/BearerToken.java
@@ -5,7 +5,7 @@
 import io.grpc.stub.MetadataUtils;
 import java.util.Optional;
 
-/** How an operator's token travels: the metadata entry {@code authorization: Bearer TOKEN}. */
+/** Encodes an operator's token as the metadata entry {@code authorization: Bearer TOKEN}. */
 public final class BearerToken {
   static final Metadata.Key<String> AUTHORIZATION =
       Metadata.Key.of("authorization", Metadata.ASCII_STRING_MARSHALLER);
@@ -14,14 +14,14 @@
 
   private BearerToken() {}
 
-  /** For clients: sends the token with every call. */
+  /** Returns a client interceptor that sends the token with every call. */
   public static ClientInterceptor attach(String token) {
     Metadata headers = new Metadata();
     headers.put(AUTHORIZATION, SCHEME + token);
     return MetadataUtils.newAttachHeadersInterceptor(headers);
   }
 
-  /** For servers: the token in an entry's value; empty if the scheme is another one. */
+  /** Extracts the token from an entry's value; empty if the scheme is not Bearer. */
   static Optional<String> parse(String value) {
     return value.regionMatches(true, 0, SCHEME, 0, SCHEME.length())
         ? Optional.of(value.substring(SCHEME.length()).strip())
--- a/umberpath-node/src/main/java/io/umberpath/node/operator/CallDeadline.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/CallDeadline.java
@@ -5,7 +5,7 @@
 import java.time.Duration;
 import java.util.concurrent.TimeUnit;
 
-/** How long the current call may take, kept short enough that the answer still arrives. */
+/** Time budget of the current call, with a margin so that the response arrives in time. */
 final class CallDeadline {
   private static final long MIN_MARGIN_MILLIS = 50;
   private static final long MAX_MARGIN_MILLIS = 500;
@@ -14,7 +14,7 @@
   private CallDeadline() {}
 
   /**
-   * Time left for the current call.
+   * Returns the time left for the current call, minus the margin.
    *
    * @param defaultTimeout returned if the client set no deadline
    * @param maxTimeout upper bound
--- a/umberpath-node/src/main/java/io/umberpath/node/operator/CallLimiter.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/CallLimiter.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * Bounds the calls in flight, and each tenant's share of them. Calls that wait for long are counted
- * apart, so that they cannot keep out the short ones. Thread-safe.
+ * Limits the calls in flight, in total and per tenant. Long-running calls have a separate limit so
+ * that they cannot starve short ones. Thread-safe.
  */
 final class CallLimiter implements ServerInterceptor {
   private static final Set<String> LONG_CALLS = Set.of("Wait", "WatchStatus");
@@ -26,16 +26,16 @@
   /**
    * Creates a limiter.
    *
-   * @param maxShort calls in flight that answer at once
-   * @param maxLong calls in flight that wait or stream
-   * @param maxPerTenant of either kind, for one tenant
+   * @param maxShort maximum number of short calls in flight
+   * @param maxLong maximum number of waiting or streaming calls in flight
+   * @param maxPerTenant maximum number of calls of either kind per tenant
    */
   CallLimiter(int maxShort, int maxLong, int maxPerTenant) {
     this.shortCalls = new CallLimit(maxShort, maxPerTenant);
     this.longCalls = new CallLimit(maxLong, maxPerTenant);
   }
 
-  /** One bound over all tenants and one for each. */
+  /** A total limit and a limit per tenant. */
   private static final class CallLimit {
     private final Semaphore totalPermits;
     private final int perTenant;
@@ -105,7 +105,7 @@
     };
   }
 
-  /** Released once, by whichever end of the call comes first. */
+  /** Released once, by close or cancellation, whichever comes first. */
   private static final class Permit {
     private final AtomicBoolean released = new AtomicBoolean();
     private final CallLimit bound;
--- a/umberpath-node/src/main/java/io/umberpath/node/operator/CallMetrics.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/CallMetrics.java
@@ -9,7 +9,7 @@
 import io.micrometer.core.instrument.MeterRegistry;
 import io.micrometer.core.instrument.Timer;
 
-/** Times every call by method and status code. Thread-safe. */
+/** Records the duration of every call by method and status code. Thread-safe. */
 final class CallMetrics implements ServerInterceptor {
   static final String NAME = "umberpath.operator.calls";
 
--- a/umberpath-node/src/main/java/io/umberpath/node/operator/ChangeHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/ChangeHandler.java
@@ -30,14 +30,14 @@
 import java.util.function.Function;
 import java.util.function.Supplier;
 
-/** Calls that change something: apply, drain, re-form. Thread-safe. */
+/** Handles mutating calls: apply, drain, re-form. Thread-safe. */
 final class ChangeHandler {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
   private static final Duration DEFAULT_TIMEOUT = Duration.ofSeconds(10);
   private static final Duration MAX_TIMEOUT = Duration.ofSeconds(60);
   private static final int MAX_REQUEST_ID_LENGTH = 64;
 
-  /** How much later than its own timeout the control side may answer. */
+  /** Extra time that the control plane gets to respond after the timeout passed to it. */
   private static final Duration TIMEOUT_GRACE = Duration.ofSeconds(1);
 
   private final ControlService control;
@@ -49,8 +49,8 @@
   }
 
   /**
-   * Submits a change that is well formed, permitted and names services the platform has. The error
-   * says whether the change may have run; a refusal is remembered for explanations.
+   * Submits a change after checking that it is well formed, permitted and refers only to services
+   * of the platform. An error tells whether the change may have run; refusals are kept for explain.
    */
   CompletableFuture<Either<OperatorError, ApplyResponse>> apply(
       Principal principal, ApplyRequest request) {
@@ -67,7 +67,7 @@
         version -> ApplyResponse.newBuilder().setVersion(ResourceCodec.version(version)).build());
   }
 
-  /** Starts or ends the draining of a back end, or of all beside a node; for administrators. */
+  /** Starts or ends draining a backend or all local backends of a node; administrators only. */
   CompletableFuture<Either<OperatorError, DrainResponse>> drain(
       Principal principal, DrainRequest request) {
     if (!principal.fleetAdmin()) {
@@ -103,7 +103,7 @@
                 .build());
   }
 
-  /** Re-forms the fleet without the members named as lost; for administrators. */
+  /** Re-forms the fleet without the members declared lost; administrators only. */
   CompletableFuture<Either<OperatorError, ReformResponse>> reform(
       Principal principal, ReformRequest request) {
     if (!principal.fleetAdmin()) {
@@ -192,7 +192,7 @@
             });
   }
 
-  /** Runs a change and turns every way it can end into a version or an error. */
+  /** Executes a change and converts every outcome into a version or an error. */
   private static CompletableFuture<Either<OperatorError, Version>> execute(
       Function<Duration, CompletionStage<ChangeResult>> run) {
     Duration timeout = CallDeadline.remaining(DEFAULT_TIMEOUT, MAX_TIMEOUT);
--- a/umberpath-node/src/main/java/io/umberpath/node/operator/ChangeSetReader.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/ChangeSetReader.java
@@ -18,9 +18,9 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Turns an apply request into a change set that is well formed and permitted. */
+/** Converts an apply request into a validated and authorized change set. */
 final class ChangeSetReader {
-  /** Most items of one change. */
+  /** Maximum number of items in a change. */
   static final int MAX_ITEMS = 10_000;
 
   private final Principal principal;
@@ -34,7 +34,7 @@
     this.request = request;
   }
 
-  /** The change set, or why it is refused. */
+  /** Returns the change set, or the reason for its rejection. */
   static Either<OperatorError, ChangeSet> read(Principal principal, ApplyRequest request) {
     return new ChangeSetReader(principal, request).read();
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/operator/CompositionViolations.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/CompositionViolations.java
@@ -10,13 +10,13 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Why the newest version is not in force, as far as a caller may see it. */
+/** Filters the reasons why the newest version is not active by what a principal may see. */
 final class CompositionViolations {
   private static final Pattern FIELD = Pattern.compile("(pools|routes)\\[([^]]*)].*");
 
   private CompositionViolations() {}
 
-  /** All causes for a fleet administrator; for others those in their own resources. */
+  /** Returns all violations to fleet administrators, and those of own resources to others. */
   static List<Violation> visibleTo(Principal principal, ControlStatus status) {
     return status.compositionViolations().stream()
         .filter(
--- a/umberpath-node/src/main/java/io/umberpath/node/operator/ConfigurationService.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/ConfigurationService.java
@@ -28,7 +28,7 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.function.Supplier;
 
-/** The service of the schema file: hands each call to its handler and sends the answer. */
+/** The gRPC service: dispatches each call to its handler and sends the response. */
 final class ConfigurationService extends ConfigurationGrpc.ConfigurationImplBase {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
@@ -106,7 +106,7 @@
 
   private static <T> void respondAsync(
       StreamObserver<T> observer, CompletableFuture<Either<OperatorError, T>> response) {
-    // A cancelled call must not make the late answer throw.
+    // With a cancel handler, sending a response to a cancelled call does not throw.
     ((ServerCallStreamObserver<T>) observer).setOnCancelHandler(() -> {});
     response.whenComplete(
         (result, failure) ->
--- a/umberpath-node/src/main/java/io/umberpath/node/operator/ExplainHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/ExplainHandler.java
@@ -22,7 +22,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Says where a request goes and what became of a change. Thread-safe. */
+/** Explains how a request is routed and what the result of a change was. Thread-safe. */
 final class ExplainHandler {
   private final ControlService control;
   private final RecentRefusals refusals;
@@ -33,8 +33,9 @@
   }
 
   /**
-   * Explains a request by the snapshot in force here, or a change by what this node remembers.
-   * Routes of other tenants are shown to fleet administrators only, changes of others to nobody.
+   * Explains a request from this node's active snapshot, or a change from this node's recent
+   * results. Routes of other tenants are visible only to fleet administrators; changes of other
+   * tenants are never visible.
    */
   Either<OperatorError, ExplainResponse> explain(Principal principal, ExplainRequest request) {
     return switch (request.getSubjectCase()) {
@@ -97,7 +98,7 @@
     return Either.right(ExplainResponse.newBuilder().setRoute(explanation).build());
   }
 
-  /** Says so if a newer configuration is held back. */
+  /** Returns a note if a newer configuration is not active, or an empty string. */
   private String heldBackNote(Principal principal) {
     ControlStatus status = control.status();
     if (status.compositionViolations().isEmpty()) {
--- a/umberpath-node/src/main/java/io/umberpath/node/operator/FleetHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/FleetHandler.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 
-/** Calls about the whole fleet: wait, status, status stream. Thread-safe; never blocks. */
+/** Handles fleet-wide calls: wait, status and the status stream. Thread-safe; never blocks. */
 final class FleetHandler {
   private static final Duration MAX_WAIT = Duration.ofMinutes(10);
   private static final long INITIAL_POLL_MILLIS = 20;
@@ -39,8 +39,9 @@
   }
 
   /**
-   * Completes when every member runs the version or a newer one, or with a deadline error that says
-   * how many are behind; a call without a deadline waits for {@link #MAX_WAIT}.
+   * Completes when the version or a newer one is active on every member, or with a deadline error
+   * that gives the number of lagging members; a call without a deadline waits for {@link
+   * #MAX_WAIT}.
    */
   CompletableFuture<Either<OperatorError, WaitResponse>> waitFor(WaitRequest request) {
     Version version = ResourceCodec.version(request.getVersion());
@@ -55,7 +56,7 @@
     return wait.result;
   }
 
-  /** One waiting call; asks again at growing intervals. */
+  /** A pending wait call; polls at increasing intervals. */
   private final class PendingWait {
     private final CompletableFuture<Either<OperatorError, WaitResponse>> result =
         new CompletableFuture<>();
@@ -108,7 +109,7 @@
         .build();
   }
 
-  /** One report; the list of nodes is for fleet administrators only. */
+  /** Returns the fleet status; only fleet administrators get the list of nodes. */
   CompletableFuture<Either<OperatorError, FleetStatusResponse>> status(Principal principal) {
     return fleetView.get().thenApply(nodes -> Either.right(report(principal, nodes)));
   }
@@ -149,7 +150,7 @@
         .build();
   }
 
-  /** Sends reports until the caller cancels; a slow caller misses reports instead of queueing. */
+  /** Streams status reports until the client cancels; reports to a slow client are skipped. */
   void watch(
       Principal principal,
       WatchStatusRequest request,
@@ -162,12 +163,12 @@
           OperatorError.invalid("interval_millis", Long.toString(interval), range).toException());
       return;
     }
-    // A cancelled call must not make a late report throw.
+    // With a cancel handler, sending a report to a cancelled call does not throw.
     observer.setOnCancelHandler(() -> {});
     new Watch(() -> status(principal), interval, observer).next();
   }
 
-  /** One watching call. Reports follow one another, so its fields need no lock. */
+  /** A watch call. Reports are sent sequentially, so its fields need no lock. */
   private final class Watch {
     private final Supplier<CompletableFuture<Either<OperatorError, FleetStatusResponse>>> status;
     private final long intervalMillis;
--- a/umberpath-node/src/main/java/io/umberpath/node/operator/OperatorError.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/OperatorError.java
@@ -13,19 +13,19 @@
 import java.util.List;
 
 /**
- * Why a call failed, as it is sent: a status code and one {@link ErrorDetail}.
+ * The error of a failed call: a status code and one {@link ErrorDetail}.
  *
  * @param code gRPC status code
  * @param detail reason, outcome and violations; free of secrets
  */
 record OperatorError(Status.Code code, ErrorDetail detail) {
-  /** Bounds that keep the trailers below the 8 KiB that clients accept by default. */
+  /** These limits keep the trailers below the 8 KiB that clients accept by default. */
   private static final int MAX_VIOLATIONS = 16;
 
   private static final int MAX_FIELD_LENGTH = 64;
   private static final int MAX_MESSAGE_LENGTH = 160;
 
-  /** Fields were wrong; nothing ran. */
+  /** Invalid fields; nothing ran. */
   static OperatorError invalid(List<Violation> violations) {
     return notRun(
         Status.Code.INVALID_ARGUMENT,
@@ -34,23 +34,23 @@
         violations);
   }
 
-  /** One field was wrong; nothing ran. */
+  /** One invalid field; nothing ran. */
   static OperatorError invalid(String field, String value, String message) {
     return invalid(List.of(new Violation(field, value, message)));
   }
 
-  /** The token may not do this; nothing ran. */
+  /** The token lacks the permission; nothing ran. */
   static OperatorError forbidden(String message, List<Violation> violations) {
     return notRun(
         Status.Code.PERMISSION_DENIED, ErrorReason.ERROR_REASON_FORBIDDEN, message, violations);
   }
 
-  /** The caller's tenant has no such thing. */
+  /** The principal's tenant has no such object. */
   static OperatorError notFound(String message) {
     return notRun(Status.Code.NOT_FOUND, ErrorReason.ERROR_REASON_NOT_FOUND, message, List.of());
   }
 
-  /** Too much at once; nothing ran. */
+  /** A limit was exceeded; nothing ran. */
   static OperatorError overloaded(String message) {
     return notRun(
         Status.Code.RESOURCE_EXHAUSTED, ErrorReason.ERROR_REASON_OVERLOADED, message, List.of());
@@ -62,7 +62,7 @@
         Status.Code.DEADLINE_EXCEEDED, ErrorReason.ERROR_REASON_DEADLINE, message, List.of());
   }
 
-  /** Something that should not happen, in a call that changes nothing. */
+  /** An unexpected failure in a read-only call. */
   static OperatorError internal() {
     return notRun(
         Status.Code.INTERNAL, ErrorReason.ERROR_REASON_INTERNAL, "internal error", List.of());
@@ -78,7 +78,7 @@
         List.of());
   }
 
-  /** A change the register refused. */
+  /** The control plane refused the change. */
   static OperatorError refused(ChangeResult.Refused refused) {
     return switch (refused.code()) {
       case INVALID ->
@@ -145,12 +145,12 @@
         shorten(violation.message(), MAX_MESSAGE_LENGTH));
   }
 
-  /** The text, or its beginning if it is longer than the bound. */
+  /** Truncates the text if it is longer than the bound. */
   static String shorten(String text, int bound) {
     return text.length() <= bound ? text : text.substring(0, bound) + "...";
   }
 
-  /** The exception that carries the detail in the trailers. */
+  /** Converts to an exception with the detail in its trailers. */
   StatusRuntimeException toException() {
     return StatusProto.toStatusRuntimeException(
         com.google.rpc.Status.newBuilder()
@@ -160,12 +160,12 @@
             .build());
   }
 
-  /** The status without details. */
+  /** Converts to a status without details. */
   Status toStatus() {
     return toException().getStatus();
   }
 
-  /** The trailers with details. */
+  /** Returns the trailers, which contain the details. */
   Metadata toTrailers() {
     return toException().getTrailers();
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/operator/OperatorServer.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/OperatorServer.java
@@ -25,8 +25,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The operators' gRPC server, with the health and reflection services. Plain text: it belongs on a
- * loopback or otherwise trusted address.
+ * The operators' gRPC server, with the health and reflection services. Uses plain text, so it must
+ * listen on a loopback address or in a trusted network.
  */
 public final class OperatorServer implements NodeComponent {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -48,11 +48,11 @@
   private final ExecutorService executor;
 
   /**
-   * Creates a server that does not listen yet.
+   * Creates a server; call {@link #start} to listen.
    *
    * @param settings address and tokens
-   * @param control the node's control side
-   * @param metrics where calls are counted
+   * @param control the node's control plane
+   * @param metrics registry for call metrics
    */
   public OperatorServer(
       NodeSettings.Operator settings, ControlService control, MeterRegistry metrics) {
@@ -97,12 +97,12 @@
     }
   }
 
-  /** The port it listens on; -1 before it is started. */
+  /** Returns the port it listens on; -1 before it is started. */
   public int port() {
     return server.getPort();
   }
 
-  /** Refuses new calls, lets those in flight end for a few seconds, and stops. */
+  /** Rejects new calls, waits up to {@link #STOP_SECONDS} for calls in flight, and stops. */
   @Override
   public void close() {
     health.enterTerminalState();
--- a/umberpath-node/src/main/java/io/umberpath/node/operator/PageToken.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/PageToken.java
@@ -8,11 +8,11 @@
 import java.util.Optional;
 
 /**
- * Where the next page of a list begins. The text form carries a checksum, so that a damaged token
- * is refused; it grants nothing, since each page is filtered by the caller's tenant again.
+ * The start of the next page of a list. The encoded form has a checksum so that corrupted tokens
+ * are rejected. A token grants no access: each page is filtered by the principal's tenant.
  *
- * @param listed the kind that is listed, empty for all
- * @param after the last resource of the page before
+ * @param listed the listed kind; empty for all kinds
+ * @param after the last resource of the previous page
  */
 record PageToken(Optional<ResourceKind> listed, ResourceKey after) {
   private static final String ALL = "ALL";
@@ -32,7 +32,7 @@
         .encodeToString(text.getBytes(StandardCharsets.UTF_8));
   }
 
-  /** The token, or empty if the text is not one. */
+  /** Decodes a token; empty if the text is not a valid one. */
   static Optional<PageToken> decode(String text) {
     try {
       String decoded = new String(Base64.getUrlDecoder().decode(text), StandardCharsets.UTF_8);
--- a/umberpath-node/src/main/java/io/umberpath/node/operator/PlatformCheck.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/PlatformCheck.java
@@ -9,16 +9,16 @@
 import java.util.List;
 
 /**
- * Refuses pools of services that the platform does not have. Such a pool would be agreed on and
- * then keep every newer version of every tenant from coming into force.
+ * Rejects pools whose service is not in the platform document. Once committed, such a pool would
+ * block the activation of every newer version for all tenants.
  */
 final class PlatformCheck {
   private PlatformCheck() {}
 
   /**
-   * Pools whose service is missing.
+   * Returns a violation for each pool whose service is missing.
    *
-   * @param document what this node holds; nothing is checked while it holds none
+   * @param document this node's platform document; nothing is checked while there is none
    */
   static List<Violation> violations(ChangeSet change, PlatformDocument document) {
     List<Violation> violations = new ArrayList<>();
--- a/umberpath-node/src/main/java/io/umberpath/node/operator/Principal.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/Principal.java
@@ -8,11 +8,11 @@
 import java.util.Set;
 
 /**
- * Who calls: what a valid token stands for.
+ * The authenticated identity of a call.
  *
- * @param tenant the tenant whose resources it may touch
- * @param tiers tiers the tenant pays for; never empty
- * @param fleetAdmin whether it may see the whole fleet, drain and re-form
+ * @param tenant the tenant whose resources it may access
+ * @param tiers tiers the tenant is entitled to; never empty
+ * @param fleetAdmin whether it may view the whole fleet, drain backends and re-form the fleet
  */
 public record Principal(String tenant, Set<Tier> tiers, boolean fleetAdmin) {
   /** The principal of the current call; set by {@link TokenAuthenticator}. */
@@ -27,7 +27,7 @@
     return new Principal(token.tenant(), EnumSet.copyOf(token.tiers()), token.fleetAdmin());
   }
 
-  /** The highest tier it pays for. */
+  /** Returns the highest tier that the tenant is entitled to. */
   Tier highestTier() {
     return tiers.stream().min(Comparator.naturalOrder()).orElse(Tier.BASIC);
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/operator/ReadHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/ReadHandler.java
@@ -16,7 +16,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Calls that read resources of the caller's tenant from the committed state. Thread-safe. */
+/** Handles reads of the tenant's resources from the committed state. Thread-safe. */
 final class ReadHandler {
   static final int DEFAULT_PAGE_SIZE = 100;
   static final int MAX_PAGE_SIZE = 1_000;
@@ -27,7 +27,7 @@
     this.control = control;
   }
 
-  /** One resource, a secret without its value; not found if it is another tenant's. */
+  /** Returns one resource, secrets without value; not found if it belongs to another tenant. */
   Either<OperatorError, GetResponse> get(Principal principal, GetRequest request) {
     Optional<ResourceKind> kind = ResourceCodec.kind(request.getKey().getKind());
     if (kind.isEmpty()) {
@@ -52,7 +52,7 @@
                     .build());
   }
 
-  /** One page of the tenant's resources in order of their keys; every wrong field is named. */
+  /** Returns one page of the tenant's resources by key order; reports every invalid field. */
   Either<OperatorError, ListResponse> list(Principal principal, ListRequest request) {
     Optional<ResourceKind> kind = ResourceCodec.kind(request.getKind());
     List<Violation> violations = new ArrayList<>();
--- a/umberpath-node/src/main/java/io/umberpath/node/operator/RecentRefusals.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/RecentRefusals.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Remembers why this node refused recent changes, a bounded number for each tenant. Thread-safe.
- * Lost when the process ends.
+ * Keeps the reasons why this node refused recent changes, at most {@link #MAX_PER_TENANT} per
+ * tenant, in memory only. Thread-safe.
  */
 final class RecentRefusals {
   private static final int MAX_PER_TENANT = 1_000;
--- a/umberpath-node/src/main/java/io/umberpath/node/operator/ResourceCodec.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/ResourceCodec.java
@@ -10,7 +10,7 @@
 import io.umberpath.model.Violation;
 import java.util.Optional;
 
-/** Translates between the model and the schema. Secrets lose their value on the way out. */
+/** Converts between the model and protobuf messages. Secret values are never written out. */
 final class ResourceCodec {
   private ResourceCodec() {}
 
@@ -41,7 +41,7 @@
     };
   }
 
-  /** The tier, or empty for one that this version does not know. */
+  /** Returns the tier; empty if this version of the program does not know it. */
   static Optional<Tier> tier(io.umberpath.api.v1.Tier tier, Tier unspecified) {
     return switch (tier) {
       case TIER_UNSPECIFIED -> Optional.of(unspecified);
@@ -52,7 +52,7 @@
     };
   }
 
-  /** The kind, or empty if unspecified or one that this version does not know. */
+  /** Returns the kind; empty if unspecified or unknown to this version of the program. */
   static Optional<ResourceKind> kind(Kind kind) {
     return switch (kind) {
       case KIND_ROUTE -> Optional.of(ResourceKind.ROUTE);
--- a/umberpath-node/src/main/java/io/umberpath/node/operator/SharedFleetView.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/SharedFleetView.java
@@ -9,8 +9,8 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * Asks the leader for its view of the fleet, one question at a time: callers that come while one is
- * under way share its answer. Active versions never fall, so a shared answer errs on the safe side.
+ * Requests the leader's view of the fleet, with at most one request in flight: concurrent callers
+ * share its result. Active versions never decrease, so a shared result can only understate them.
  * Thread-safe.
  */
 final class SharedFleetView {
@@ -24,7 +24,7 @@
     this.control = control;
   }
 
-  /** One entry per roster member; empty if no leader answered. Never completes exceptionally. */
+  /** One entry per roster member; empty if no leader responds. Never completes exceptionally. */
   CompletableFuture<List<ControlStatus.NodeView>> get() {
     CompletableFuture<List<ControlStatus.NodeView>> started = new CompletableFuture<>();
     CompletableFuture<List<ControlStatus.NodeView>> existing =
--- a/umberpath-node/src/main/java/io/umberpath/node/operator/TokenAuthenticator.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/TokenAuthenticator.java
@@ -18,8 +18,8 @@
 import java.util.Optional;
 
 /**
- * Admits calls whose metadata holds {@code authorization: Bearer TOKEN} with a known token. Only
- * hashes are kept; each call compares with all of them in constant time. Thread-safe.
+ * Authenticates calls by the metadata entry {@code authorization: Bearer TOKEN}. Stores only token
+ * hashes; each call is compared with all of them in constant time. Thread-safe.
  */
 final class TokenAuthenticator implements ServerInterceptor {
   private static final int MAX_TOKEN_LENGTH = 1_024;
@@ -67,7 +67,7 @@
     return BearerToken.parse(values.get(0)).flatMap(token -> find(sha256(token)));
   }
 
-  /** Compares with every known hash, so that the time does not tell which one matched. */
+  /** Compares with every known hash so that timing does not reveal which one matched. */
   private Optional<Principal> find(byte[] sha256) {
     Principal found = null;
     for (KnownToken candidate : knownTokens) {
--- a/umberpath-node/src/main/java/io/umberpath/node/operator/package-info.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The operators' gRPC port: authentication, limits, and one handler per kind of call over {@link
- * io.umberpath.node.control.ControlService}.
+ * The operators' gRPC API: authentication, call limits and one handler per group of calls, on top
+ * of {@link io.umberpath.node.control.ControlService}.
  */
 package io.umberpath.node.operator;
--- a/umberpath-node/src/test/java/io/umberpath/node/operator/FakeControlService.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/operator/FakeControlService.java
@@ -26,7 +26,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A register of one process; faults and the members' versions are set by the test. */
+/** An in-memory control service; the test sets its failures and the members' versions. */
 public final class FakeControlService implements ControlService {
   static final Member SELF = new Member(0, PeerAddress.parse("127.0.0.1:7100"), 1, "kepong", "kv");
 
--- a/umberpath-node/src/test/java/io/umberpath/node/operator/OperatorFixture.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/operator/OperatorFixture.java
@@ -30,7 +30,7 @@
 import java.util.List;
 import org.assertj.core.api.ThrowableAssert.ThrowingCallable;
 
-/** A server on an ephemeral port over a fake register, and a client for it. */
+/** An operator server on an ephemeral port with a fake control service, and a client for it. */
 public final class OperatorFixture implements AutoCloseable {
   public static final String MARKET = "token-of-market";
   public static final String ADMINISTRATOR = "token-of-administrator";
@@ -66,14 +66,14 @@
     for (String value : values) {
       headers.put(BearerToken.AUTHORIZATION, value);
     }
-    // The client's library gives up connecting after a second of its own, which a busy machine may
-    // take to start its threads; nothing has been sent then, and it connects again.
+    // The client library's connect timeout is one second, which a busy machine may exceed while it
+    // starts threads. Nothing has been sent by then, so it can safely reconnect.
     return ConfigurationGrpc.newBlockingStub(channel)
         .withWaitForReady()
         .withInterceptors(MetadataUtils.newAttachHeadersInterceptor(headers));
   }
 
-  /** Runs a call that must fail with the code, and returns its detail. */
+  /** Asserts that a call fails with the given code and returns its error detail. */
   static ErrorDetail failure(Status.Code code, ThrowingCallable call) {
     StatusRuntimeException thrown = catchThrowableOfType(StatusRuntimeException.class, call);
     assertThat(thrown).as("the call must fail").isNotNull();
--- a/umberpath-node/src/test/java/io/umberpath/node/operator/ReadContractTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/operator/ReadContractTest.java
@@ -302,7 +302,7 @@
     reflection.onCompleted();
   }
 
-  /** Hands on the first error. */
+  /** Completes a future with the first error. */
   private static class ErrorObserver<T> implements StreamObserver<T> {
     private final CompletableFuture<Throwable> firstError;
 
