--- a/umberpath-node/src/main/java/io/umberpath/node/admin/AdminServer.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/admin/AdminServer.java
@@ -19,7 +19,7 @@
 
 /**
  * Serves {@code /metrics}, {@code /healthz}, {@code /readyz} and {@code /status} over plain HTTP.
- * Needs no token: it shows no resource.
+ * Requires no authentication because it exposes no resources.
  */
 public final class AdminServer implements NodeComponent {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -42,12 +42,12 @@
   private final NetworkListener listener;
 
   /**
-   * Creates a server that does not listen yet.
+   * Creates a server; call {@link #start} to listen.
    *
    * @param settings address
-   * @param control the node's control side
-   * @param metrics what {@code /metrics} shows
-   * @param readiness what {@code /readyz} answers
+   * @param control the node's control plane
+   * @param metrics registry exposed at {@code /metrics}
+   * @param readiness readiness reported at {@code /readyz}
    */
   public AdminServer(
       NodeSettings.Admin settings,
--- a/umberpath-node/src/main/java/io/umberpath/node/admin/NodeMetrics.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/admin/NodeMetrics.java
@@ -9,11 +9,11 @@
 import io.umberpath.node.control.ControlService;
 import java.util.function.ToDoubleFunction;
 
-/** Metrics of a node's control side and of its process. Names are stable. */
+/** Metrics of a node's control plane and process. Metric names are stable. */
 public final class NodeMetrics {
   private NodeMetrics() {}
 
-  /** Registers the gauges; each is read when the registry is scraped. */
+  /** Registers the gauges; values are read when the registry is scraped. */
   public static void register(MeterRegistry registry, ControlService control) {
     new JvmMemoryMetrics().bindTo(registry);
     new JvmThreadMetrics().bindTo(registry);
@@ -66,7 +66,7 @@
     return status.role() == role ? 1 : 0;
   }
 
-  /** Gauges over one control service. */
+  /** Registers gauges that read the status of a control service. */
   private record ControlGauges(MeterRegistry registry, ControlService control) {
     void add(String name, String description, ToDoubleFunction<ControlStatus> value) {
       Gauge.builder(
--- a/umberpath-node/src/main/java/io/umberpath/node/admin/NodeStatusReport.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/admin/NodeStatusReport.java
@@ -6,26 +6,26 @@
 import java.util.List;
 
 /**
- * What {@code /status} answers. Holds no resources, so no secrets.
+ * The response of {@code /status}. Contains no resources and therefore no secrets.
  *
  * @param address where the node listens for other nodes
  * @param incarnation this process at that address
  * @param slot its slot in the roster; -1 if it is not a member
  * @param zone its zone
  * @param region its region
- * @param role its part in agreement
+ * @param role its role in the consensus protocol
  * @param epoch highest epoch it promised
- * @param leader address of the leader it last heard of, or empty
- * @param parent address it gets its deliveries from, or empty
- * @param children nodes that get theirs from it
+ * @param leader address of the last known leader, or empty
+ * @param parent address of its parent in the distribution tree, or empty
+ * @param children number of its children in the distribution tree
  * @param committed newest committed version
  * @param held newest version held
- * @param active version in force
- * @param activeRevision platform revision in force
+ * @param active active version
+ * @param activeRevision active platform revision
  * @param documentRevision newest platform revision held
  * @param reader whether it reads the platform
- * @param members members of the committed roster
- * @param compositionViolations why the newest pair does not compose
+ * @param members number of members in the committed roster
+ * @param compositionViolations why the newest version and platform revision do not compose
  */
 record NodeStatusReport(
     String address,
--- a/umberpath-node/src/main/java/io/umberpath/node/admin/Readiness.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/admin/Readiness.java
@@ -5,13 +5,13 @@
 import io.umberpath.node.control.ControlService;
 import java.util.Optional;
 
-/** Whether a node should be sent calls. Implementations are thread-safe and cheap. */
+/** Tells whether a node may receive requests. Implementations are thread-safe and cheap. */
 @FunctionalInterface
 public interface Readiness {
-  /** Why the node should not be sent calls; empty if it should. */
+  /** Returns why the node is not ready for requests; empty if it is ready. */
   Optional<String> notReadyReason();
 
-  /** A node that is a member and has a configuration in force. */
+  /** Ready when the node is a member of the fleet and has an active configuration. */
   static Readiness of(ControlService control) {
     return () -> {
       if (control.status().role() == ControlStatus.Role.JOINING) {
@@ -23,7 +23,7 @@
     };
   }
 
-  /** Ready when both are; this one's obstacle goes first. */
+  /** Ready when both are; the reason of this one takes precedence. */
   default Readiness and(Readiness other) {
     return () -> {
       Optional<String> ownReason = notReadyReason();
--- a/umberpath-node/src/main/java/io/umberpath/node/admin/TransportMetrics.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/admin/TransportMetrics.java
@@ -10,13 +10,13 @@
 import java.util.Locale;
 import java.util.function.ToDoubleFunction;
 
-/** Metrics of the connections between nodes: the control bytes are counted here. */
+/** Metrics of control connections between nodes, including the control traffic in bytes. */
 public final class TransportMetrics {
   private static final String PREFIX = "umberpath.transport.";
 
   private TransportMetrics() {}
 
-  /** Registers the meters; each is read when the registry is scraped. */
+  /** Registers the meters; values are read when the registry is scraped. */
   public static void register(
       MeterRegistry registry, GrizzlyTransport transport, ControlRuntime control) {
     registerTraffic(registry, transport, "bytes", "sent", Transport.Traffic::sentBytes);
