--- a/umberpath-node/src/main/java/io/umberpath/node/cli/LogFilesCommand.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/LogFilesCommand.java
@@ -19,8 +19,8 @@
       try (BufferedReader lines =
           Files.newBufferedReader(Path.of(file), StandardCharsets.ISO_8859_1)) {
         for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-          Optional<LogLine> read = LogLine.read(line);
-          read.map(each -> withSource(each, file)).ifPresent(onLine);
+          Optional<LogLine> parsed = LogLine.read(line);
+          parsed.map(each -> withSource(each, file)).ifPresent(onLine);
         }
       } catch (IOException unreadable) {
         throw new UsageException("FILE " + file + " cannot be read");
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/LossesCommand.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/LossesCommand.java
@@ -30,7 +30,7 @@
 
   @Override
   ExitCode run(Output output) throws UsageException {
-    read(files, this::count);
+    read(files, this::countLoss);
     output.out().printf("%-20s %-20s %7s  %s%n", "second", "route", "count", "how they ended");
     losses.forEach(
         (loss, count) ->
@@ -42,7 +42,7 @@
     return ExitCode.OK;
   }
 
-  private void count(LogLine line) {
+  private void countLoss(LogLine line) {
     long second = line.time().getEpochSecond();
     switch (line.event()) {
       case "request-failed" ->
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/SettingsCommand.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/SettingsCommand.java
@@ -63,10 +63,10 @@
   final ExitCode run(Output output) throws UsageException {
     Either<List<SettingsProblem>, NodeSettings> settings =
         SettingsLoader.load(Path.of(file()), new SettingsOverrides(overrides()));
-    return settings.fold(problems -> refuse(problems, output), found -> run(found, output));
+    return settings.fold(problems -> reportProblems(problems, output), found -> run(found, output));
   }
 
-  private ExitCode refuse(List<SettingsProblem> problems, Output output) {
+  private ExitCode reportProblems(List<SettingsProblem> problems, Output output) {
     output.err().println(file() + ": " + problems.size() + " problem(s)");
     problems.forEach(problem -> output.err().println("  " + problem));
     return ExitCode.USAGE;
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/StatusCommand.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/StatusCommand.java
@@ -23,12 +23,12 @@
           read(server -> server.fleetStatus(FleetStatusRequest.getDefaultInstance())),
           ResponseFormatter::status);
     }
-    Either<CallFailure, FleetStatusResponse> last = read(server -> follow(server, output));
+    Either<CallFailure, FleetStatusResponse> last = read(server -> watchStatus(server, output));
     return last.isLeft() ? print(output, last, ResponseFormatter::status) : ExitCode.OK;
   }
 
   /** Prints report after report until the deadline, which is the way a watch ends. */
-  private FleetStatusResponse follow(ConfigurationBlockingStub server, Output output) {
+  private FleetStatusResponse watchStatus(ConfigurationBlockingStub server, Output output) {
     Iterator<FleetStatusResponse> reports =
         server.watchStatus(WatchStatusRequest.getDefaultInstance());
     FleetStatusResponse last = reports.next();
@@ -37,9 +37,9 @@
         print(output, Either.right(last), ResponseFormatter::status);
         last = reports.next();
       }
-    } catch (StatusRuntimeException ended) {
-      if (ended.getStatus().getCode() != Status.Code.DEADLINE_EXCEEDED) {
-        throw ended;
+    } catch (StatusRuntimeException failure) {
+      if (failure.getStatus().getCode() != Status.Code.DEADLINE_EXCEEDED) {
+        throw failure;
       }
       return last;
     }
--- a/umberpath-node/src/test/java/io/umberpath/node/cli/CommandLineTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/cli/CommandLineTest.java
@@ -217,11 +217,11 @@
 
   /** Adds the connection's options where the subcommand knows them. */
   private ExitCode callIfOperator(String... arguments) {
-    boolean known =
+    boolean isOperatorCommand =
         arguments.length > 0
             && List.of("apply", "get", "list", "wait", "explain", "drain", "reform")
                 .contains(arguments[0]);
-    return known ? call(arguments) : run(arguments);
+    return isOperatorCommand ? call(arguments) : run(arguments);
   }
 
   @ParameterizedTest
@@ -248,7 +248,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"klang-valley", "western-sri-lanka"})
-  void sampleIsInOrderWithFlags(String name) {
+  void sampleFileIsValidWithFlags(String name) {
     String file = Path.of("..", "config", name + ".yaml").toString();
     assertThat(
             run(
--- a/umberpath-node/src/test/java/io/umberpath/node/operator/ChangeContractTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/operator/ChangeContractTest.java
@@ -120,7 +120,7 @@
   }
 
   @Test
-  void errorDetailOfALargeChangeIsBounded() {
+  void errorOfALargeChangeFitsInTheTrailers() {
     ApplyRequest.Builder request = change("r".repeat(10_000));
     for (int index = 0; index < 300; index++) {
       request.addUpserts(pool("A" + "b".repeat(500) + index));
@@ -180,14 +180,14 @@
         () -> fixture.as(DEALER).explain(ExplainRequest.newBuilder().setRequestId("r").build()));
   }
 
-  static Stream<CompletableFuture<ChangeResult>> hiddenOutcomes() {
+  static Stream<CompletableFuture<ChangeResult>> unknownOutcomes() {
     return Stream.of(
         CompletableFuture.completedFuture(new ChangeResult.Unknown("leader lost")),
         CompletableFuture.failedFuture(new IllegalStateException("broken")));
   }
 
   @ParameterizedTest
-  @MethodSource("hiddenOutcomes")
+  @MethodSource("unknownOutcomes")
   void unknownOutcomeIsReportedAsMayHaveRun(CompletableFuture<ChangeResult> outcome) {
     fixture.control.nextOutcome = Optional.of(outcome);
     ErrorDetail detail =
@@ -237,11 +237,11 @@
   @Test
   void drainOfNodeDrainsItsLocalBackend() {
     DrainRequest.Builder request = DrainRequest.newBuilder().setDraining(true);
-    var answer =
+    var response =
         fixture
             .as(ADMINISTRATOR)
             .drain(request.setRequestId("d-1").setNode("127.0.0.3:7201").build());
-    assertThat(answer.getBackendIdsList()).containsExactly("booking-2");
+    assertThat(response.getBackendIdsList()).containsExactly("booking-2");
     assertThat(fixture.control.status().committed().drained()).containsExactly("booking-2");
   }
 
--- a/umberpath-node/src/test/java/io/umberpath/node/operator/ReadContractTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/operator/ReadContractTest.java
@@ -53,7 +53,7 @@
 class ReadContractTest {
   private static final Version OLD = new Version(1, 1);
   private static final Version NEW = new Version(1, 2);
-  private static final long PATIENCE_SECONDS = 30;
+  private static final long TIMEOUT_SECONDS = 30;
 
   private OperatorFixture fixture;
 
@@ -138,10 +138,10 @@
   void waitReturnsOnceTheLastMemberIsCurrent() throws Exception {
     fixture.control.nodes =
         List.of(FakeControlService.node(1, NEW), FakeControlService.node(2, OLD));
-    var answer = CompletableFuture.supplyAsync(() -> fixture.as(MARKET).wait(waitFor(NEW)));
+    var response = CompletableFuture.supplyAsync(() -> fixture.as(MARKET).wait(waitFor(NEW)));
     fixture.control.nodes =
         List.of(FakeControlService.node(1, NEW), FakeControlService.node(2, NEW));
-    assertThat(answer.get(PATIENCE_SECONDS, TimeUnit.SECONDS).getNodes()).isEqualTo(2);
+    assertThat(response.get(TIMEOUT_SECONDS, TimeUnit.SECONDS).getNodes()).isEqualTo(2);
     failure(
         Status.Code.INVALID_ARGUMENT,
         () -> fixture.as(MARKET).wait(WaitRequest.getDefaultInstance()));
@@ -160,7 +160,7 @@
         Context.current()
             .withDeadlineAfter(200, TimeUnit.MILLISECONDS, scheduler)
             .call(() -> handler.waitFor(waitFor(NEW)))
-            .get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+            .get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     scheduler.shutdownNow();
     assertThat(result.getLeft().code()).isEqualTo(Status.Code.DEADLINE_EXCEEDED);
     assertThat(result.getLeft().detail().getMessage()).contains(message);
@@ -168,12 +168,12 @@
 
   @Test
   void waitCallsAreLimitedAndCancellationReleasesPermits() throws Exception {
-    int bound = 128;
+    int maxCalls = 128;
     CompletableFuture<Throwable> refused = new CompletableFuture<>();
     Context.CancellableContext waiting = Context.current().withCancellation();
     Context before = waiting.attach();
     try {
-      for (int call = 0; call <= bound; call++) {
+      for (int call = 0; call <= maxCalls; call++) {
         ConfigurationGrpc.newStub(fixture.channel)
             .withInterceptors(MetadataUtils.newAttachHeadersInterceptor(headers(MARKET)))
             .wait(waitFor(NEW), new ErrorObserver<>(refused));
@@ -181,7 +181,7 @@
     } finally {
       waiting.detach(before);
     }
-    assertThat(Status.fromThrowable(refused.get(PATIENCE_SECONDS, TimeUnit.SECONDS)).getCode())
+    assertThat(Status.fromThrowable(refused.get(TIMEOUT_SECONDS, TimeUnit.SECONDS)).getCode())
         .isEqualTo(Status.Code.RESOURCE_EXHAUSTED);
     var client = fixture.as(MARKET);
     assertThat(client.list(ListRequest.getDefaultInstance()).getResourcesCount()).isZero();
@@ -197,7 +197,7 @@
   }
 
   private static void awaitSuccess(Runnable call) {
-    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS);
+    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
     Status.Code code;
     do {
       code = Status.Code.OK;
@@ -230,7 +230,7 @@
     Iterator<FleetStatusResponse> reports =
         fixture
             .as(MARKET)
-            .withDeadlineAfter(PATIENCE_SECONDS, TimeUnit.SECONDS)
+            .withDeadlineAfter(TIMEOUT_SECONDS, TimeUnit.SECONDS)
             .watchStatus(WatchStatusRequest.newBuilder().setIntervalMillis(100).build());
     assertThat(reports.next().getCommitted().getSequence()).isZero();
     fixture.as(MARKET).apply(change("r", pool("p")).build());
@@ -264,13 +264,13 @@
     "token-of-dealer, 0, resources of other tenants",
     "token-of-administrator, 1, pools[p].service"
   })
-  void compositionViolationIsShownToItsOwner(String token, int causes, String text) {
+  void compositionViolationIsShownToItsOwner(String token, int violationCount, String text) {
     fixture.as(MARKET).apply(change("r", pool("p"), route("q", "/", "p")).build());
     fixture.control.compositionViolations =
         List.of(new Violation("pools[p].service", "booking", "not in platform document 6"));
     FleetStatusResponse status =
         fixture.as(token).fleetStatus(FleetStatusRequest.getDefaultInstance());
-    assertThat(status.getCompositionViolationsCount()).isEqualTo(causes);
+    assertThat(status.getCompositionViolationsCount()).isEqualTo(violationCount);
     assertThat(explain(token, "/x").getReason()).contains("not in force", text);
   }
 
@@ -286,18 +286,18 @@
         HealthCheckRequest.newBuilder().setService(ConfigurationGrpc.SERVICE_NAME).build();
     assertThat(HealthGrpc.newBlockingStub(fixture.channel).check(check).getStatus())
         .isEqualTo(ServingStatus.SERVING);
-    CompletableFuture<ServerReflectionResponse> answer = new CompletableFuture<>();
+    CompletableFuture<ServerReflectionResponse> response = new CompletableFuture<>();
     var reflection =
         ServerReflectionGrpc.newStub(fixture.channel)
             .serverReflectionInfo(
                 new ErrorObserver<ServerReflectionResponse>(new CompletableFuture<>()) {
                   @Override
                   public void onNext(ServerReflectionResponse value) {
-                    answer.complete(value);
+                    response.complete(value);
                   }
                 });
     reflection.onNext(ServerReflectionRequest.newBuilder().setListServices("*").build());
-    assertThat(answer.get(PATIENCE_SECONDS, TimeUnit.SECONDS).toString())
+    assertThat(response.get(TIMEOUT_SECONDS, TimeUnit.SECONDS).toString())
         .contains(ConfigurationGrpc.SERVICE_NAME);
     reflection.onCompleted();
   }
