--- a/umberpath-node/src/main/java/io/umberpath/node/logs/JsonLines.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/logs/JsonLines.java
@@ -19,9 +19,9 @@
 import java.util.logging.Logger;
 
 /**
- * Writes log records to standard output, a JSON object a line, from a thread of its own. Whoever
- * logs never waits: when the bounded buffer is full a line is dropped and counted, and the count is
- * a line itself.
+ * Writes log records to standard output, one JSON object per line, from a dedicated thread. Logging
+ * never blocks: when the bounded buffer is full, the line is dropped and counted, and the count of
+ * dropped lines is written as a line of its own.
  */
 public final class JsonLines extends Handler {
   private static final int MAX_BUFFERED_LINES = 2_048;
@@ -37,7 +37,7 @@
 
   private JsonLines() {}
 
-  /** Makes all log records of the process JSON lines; to be called before anything is logged. */
+  /** Replaces the handlers of the root logger; must be called before anything is logged. */
   public static void install() {
     System.setProperty(NonResettingLogManager.PROPERTY, NonResettingLogManager.class.getName());
     JsonLines handler = new JsonLines();
@@ -53,7 +53,7 @@
     installed = handler;
   }
 
-  /** Waits a little for the lines so far to be written. */
+  /** Waits up to {@link #FLUSH_MILLIS} for buffered lines to be written. */
   public static void awaitWritten() {
     JsonLines handler = installed;
     if (handler != null) {
@@ -82,7 +82,7 @@
     return line.append("}\n").toString();
   }
 
-  /** The message alone: Flogger repeats the fields behind it. */
+  /** Strips the context that Flogger appends to the message, since it repeats the fields. */
   private static String withoutContext(String message) {
     int context = message.indexOf(CONTEXT);
     return context < 0 ? message : message.substring(0, context);
--- a/umberpath-node/src/main/java/io/umberpath/node/logs/JsonText.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/logs/JsonText.java
@@ -1,12 +1,12 @@
 package io.umberpath.node.logs;
 
-/** Writes JSON fields of log lines. */
+/** Formats the JSON fields of log lines. */
 final class JsonText {
   private static final int FIRST_PRINTABLE = 0x20;
 
   private JsonText() {}
 
-  /** Appends a comma, the name and the value; numbers plain, all else as a text. */
+  /** Appends a comma, the name and the value; numbers as numbers, other values as strings. */
   static void appendField(StringBuilder line, String name, Object value) {
     line.append(",\"").append(name).append("\":");
     if (value instanceof Number) {
--- a/umberpath-node/src/main/java/io/umberpath/node/logs/LogLine.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/logs/LogLine.java
@@ -11,13 +11,13 @@
 import java.util.Optional;
 
 /**
- * One line that a node wrote.
+ * A log line written by a node.
  *
- * @param node what stood before the line, such as the node's name added by a log collector; may be
+ * @param node text before the JSON object, such as the node name added by a log collector; may be
  *     empty
- * @param time when it was written
- * @param event its kind
- * @param fields all its fields as text
+ * @param time time of the event
+ * @param event event name
+ * @param fields all fields as text
  */
 public record LogLine(String node, Instant time, String event, Map<String, String> fields) {
   private static final JsonFactory JSON = new JsonFactory();
@@ -27,7 +27,7 @@
     fields = Map.copyOf(fields);
   }
 
-  /** Reads a line; empty if it holds none of a node's. */
+  /** Parses a line; empty if it is not a node's log line with a time and an event. */
   public static Optional<LogLine> read(String text) {
     int start = text.indexOf('{');
     if (start < 0) {
@@ -57,7 +57,7 @@
     }
   }
 
-  /** A field's text; empty text if it has none. */
+  /** Returns the text of a field, or an empty string if it is absent. */
   public String field(String name) {
     return fields.getOrDefault(name, "");
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/logs/Logs.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/logs/Logs.java
@@ -2,13 +2,13 @@
 
 import org.apache.logging.log4j.jul.Log4jBridgeHandler;
 
-/** Sets up the process's log lines. */
+/** Configures logging of the process. */
 public final class Logs {
   private static final String ROOT_SUFFIX = "";
 
   private Logs() {}
 
-  /** Sends what libraries log through {@code java.util.logging} the same way as the rest. */
+  /** Routes {@code java.util.logging} records of libraries to Log4j. */
   public static void bridgeLibraries() {
     Log4jBridgeHandler.install(true, ROOT_SUFFIX, true);
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/logs/ThrowableFormatter.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/logs/ThrowableFormatter.java
@@ -1,19 +1,19 @@
 package io.umberpath.node.logs;
 
-/** What a log line says of an exception: where it was thrown, how that was reached, and why. */
+/** Formats an exception with its stack trace and causes for a log line. */
 final class ThrowableFormatter {
   /**
-   * Most frames of a stack. A failure that a library reports from within a write lies some 40
-   * frames above the event that began it.
+   * Maximum number of frames per stack trace. A failure that a library reports from within a write
+   * can be about 40 frames away from the event that triggered it.
    */
   static final int MAX_FRAMES = 48;
 
-  /** Most exceptions of a chain of causes. */
+  /** Maximum number of causes. */
   static final int MAX_CAUSES = 3;
 
   private ThrowableFormatter() {}
 
-  /** The exception with its stack, then its causes with theirs, in one line. */
+  /** Formats the exception and its causes, each with its stack trace, on one line. */
   static String format(Throwable thrown) {
     StringBuilder text = new StringBuilder();
     append(text, thrown);
--- a/umberpath-node/src/main/java/io/umberpath/node/logs/package-info.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/logs/package-info.java
@@ -1,2 +1,2 @@
-/** Names of the structured fields in log lines. */
+/** Structured logging: field names, JSON output and parsing of log lines. */
 package io.umberpath.node.logs;
--- a/umberpath-node/src/test/java/io/umberpath/node/logs/BlockedLogReaderTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/logs/BlockedLogReaderTest.java
@@ -13,7 +13,7 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** Whoever reads the log may stop reading; the process must not notice. */
+/** The process must not block when the reader of its log output stops reading. */
 final class BlockedLogReaderTest {
   private static final long TIMEOUT_SECONDS = 60;
   private static final String SYSTEM_BACKEND =
@@ -24,14 +24,14 @@
     Process process =
         new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                // The backend that the platform's jar has; the tests have another one as well.
+                // The backend in the platform's jar; the test class path has another one as well.
                 "-Dflogger.backend_factory=" + SYSTEM_BACKEND,
                 "-cp",
                 System.getProperty("java.class.path"),
                 LogFloodMain.class.getName())
             .start();
     try {
-      // Nobody reads standard output, and yet the process gets to its end.
+      // Standard output is not read, but the process must still log all lines.
       CompletableFuture<String> done = CompletableFuture.supplyAsync(() -> firstLine(process));
       assertThat(done.get(TIMEOUT_SECONDS, TimeUnit.SECONDS)).isEqualTo(LogFloodMain.DONE);
 
--- a/umberpath-node/src/test/java/io/umberpath/node/logs/LogFloodMain.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/logs/LogFloodMain.java
@@ -2,14 +2,17 @@
 
 import com.google.common.flogger.FluentLogger;
 
-/** A process that logs more than a pipe and the buffer hold, then says so on standard error. */
+/**
+ * A process that logs more lines than the pipe and the buffer can hold, then reports on standard
+ * error that it did not block.
+ */
 public final class LogFloodMain {
   static final int LINES = 20_000;
   static final String DONE = "every line was handed over";
 
   private LogFloodMain() {}
 
-  /** Logs; ends when its standard input does. */
+  /** Writes the log lines; exits after a byte or the end of its standard input. */
   public static void main(String[] arguments) throws Exception {
     JsonLines.install();
     FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -18,7 +21,7 @@
     }
     System.err.println(DONE);
     System.in.read();
-    // The reader reads again: one more line carries the count of those that were dropped.
+    // The reader has resumed: one more line triggers writing the count of dropped lines.
     logger.atInfo().log("the last line");
     JsonLines.awaitWritten();
   }
