--- a/umberpath-node/src/main/java/io/umberpath/node/cli/ApplyCommand.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/ApplyCommand.java
@@ -66,7 +66,7 @@
     if (waited == ExitCode.OK) {
       return waited;
     }
-    // The change itself ran: an exit code that says "not run" would be untrue.
+    // The change was accepted, so an exit code that means "not run" would be wrong.
     output.err().println("the change was accepted; only the wait for it ended early");
     return ExitCode.MAY_HAVE_RUN;
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/CallFailure.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/CallFailure.java
@@ -10,24 +10,24 @@
 import java.util.Optional;
 
 /**
- * Why a call failed, as far as the client knows.
+ * The reason of a failed call, as known to the client.
  *
- * @param exitCode what the command ends with
- * @param message one sentence
- * @param detail what the server said, if it answered
+ * @param exitCode exit code of the command
+ * @param message one-sentence description
+ * @param detail the server's error detail, if it responded
  */
 record CallFailure(ExitCode exitCode, String message, Optional<ErrorDetail> detail) {
-  /** No server took the call. */
+  /** No server could be reached. */
   static CallFailure unreachable(String servers) {
     return new CallFailure(
         ExitCode.UNAVAILABLE, "not run: cannot connect to " + servers, Optional.empty());
   }
 
   /**
-   * Judges a failed call.
+   * Classifies a failed call.
    *
-   * @param failure what gRPC threw
-   * @param changes whether the call changes something
+   * @param failure the exception thrown by gRPC
+   * @param changes whether the call is mutating
    */
   static CallFailure of(StatusRuntimeException failure, boolean changes) {
     Optional<ErrorDetail> detail = detail(failure);
@@ -62,7 +62,7 @@
     return Optional.empty();
   }
 
-  /** Prints the sentence, and below it each field that the server named. */
+  /** Prints the message, followed by each violation that the server reported. */
   void print(PrintStream stream) {
     stream.println(message);
     detail.ifPresent(
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/ChangeFile.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/ChangeFile.java
@@ -21,8 +21,8 @@
 import java.util.Optional;
 
 /**
- * A change set in YAML. The server checks the fields' values; this checks that the file is well
- * formed, so that a mistake is named with its line.
+ * Parses a change set in YAML. The server validates the field values; this class checks that the
+ * file is well formed so that errors are reported with their line.
  */
 final class ChangeFile {
   private final Path directory;
@@ -44,11 +44,11 @@
   }
 
   /**
-   * Reads a change.
+   * Parses a change file.
    *
    * @param text YAML
-   * @param directory what file names in it are relative to
-   * @return the request, its request id empty if the file names none
+   * @param directory base directory of relative file names in the change
+   * @return the request, with an empty request id if the file has none, or every problem found
    */
   static Either<List<SettingsProblem>, ApplyRequest> parse(String text, Path directory) {
     Either<SettingsProblem, YamlValue> tree = YamlTreeParser.parse(text);
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/CheckConfigCommand.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/CheckConfigCommand.java
@@ -3,7 +3,7 @@
 import io.umberpath.node.settings.NodeSettings;
 import org.kohsuke.args4j.Argument;
 
-/** Checks a settings file without starting anything. */
+/** Validates a settings file without starting a node. */
 final class CheckConfigCommand extends SettingsCommand {
   @Argument(required = true, metaVar = "FILE", usage = "settings file")
   private String file;
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/Command.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/Command.java
@@ -2,7 +2,7 @@
 
 import org.kohsuke.args4j.Option;
 
-/** One subcommand; its options and arguments are args4j fields. An instance runs once. */
+/** A subcommand; its options and arguments are args4j fields. An instance runs only once. */
 abstract class Command {
   @Option(
       name = "--help",
@@ -11,15 +11,15 @@
       usage = "print this help")
   private boolean help;
 
-  /** Whether only help is wanted. */
+  /** Returns whether help was requested. */
   final boolean wantsHelp() {
     return help;
   }
 
   /**
-   * Runs it.
+   * Runs the subcommand.
    *
-   * @throws UsageException if the options contradict each other
+   * @throws UsageException if the options are invalid or contradict each other
    */
   abstract ExitCode run(Output output) throws UsageException;
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/CommandLine.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/CommandLine.java
@@ -8,7 +8,7 @@
 import org.kohsuke.args4j.CmdLineParser;
 import org.kohsuke.args4j.ParserProperties;
 
-/** Finds the subcommand, parses its options and runs it. */
+/** Selects the subcommand, parses its options and runs it. */
 public final class CommandLine {
   private static final int WIDTH = 100;
   private static final List<Entry> ENTRIES =
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/DrainCommand.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/DrainCommand.java
@@ -4,7 +4,7 @@
 import java.util.UUID;
 import org.kohsuke.args4j.Option;
 
-/** Starts or ends the draining of back ends. */
+/** Starts or ends draining of backends. */
 final class DrainCommand extends OperatorCommand {
   @Option(name = "--backend", metaVar = "ID", usage = "back end in the platform's document")
   private String backend;
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/ExitCode.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/ExitCode.java
@@ -1,16 +1,16 @@
 package io.umberpath.node.cli;
 
-/** Exit codes of the command. Their numbers are stable. */
+/** Exit codes of the command line. Their numbers are stable. */
 public enum ExitCode {
-  /** Done. */
+  /** Success. */
   OK(0),
   /** Refused; nothing ran. */
   REFUSED(1),
-  /** Called wrongly, or a file is wrong; nothing ran. */
+  /** Invalid arguments or an invalid file; nothing ran. */
   USAGE(2),
-  /** The change may have run; repeating it with the same request id is safe. */
+  /** The change may have run; it is safe to retry it with the same request id. */
   MAY_HAVE_RUN(3),
-  /** No server, or no leader with a quorum; nothing ran. Worth trying again. */
+  /** No server or no leader with a quorum is available; nothing ran. Can be retried. */
   UNAVAILABLE(4);
 
   private final int number;
@@ -19,7 +19,7 @@
     this.number = number;
   }
 
-  /** The number the process ends with. */
+  /** Returns the exit code of the process. */
   public int number() {
     return number;
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/ExplainCommand.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/ExplainCommand.java
@@ -4,9 +4,9 @@
 import io.umberpath.api.v1.RequestSubject;
 import org.kohsuke.args4j.Option;
 
-/** Says where a request goes or what became of a change. */
+/** Explains how a request is routed or what the result of a change was. */
 final class ExplainCommand extends OperatorCommand {
-  /** Unless a route names it, only routes for any host match it. */
+  /** Default host; matched only by routes for any host unless a route has this host name. */
   private static final String UNNAMED_HOST = "any";
 
   @Option(name = "--host", metaVar = "HOST", usage = "host of a request (default: any)")
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/GracefulShutdown.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/GracefulShutdown.java
@@ -3,8 +3,8 @@
 import io.umberpath.node.NodeProcess;
 
 /**
- * Closes a node when its process is told to end, and ends the process with {@link ExitCode#OK}: a
- * signal that was obeyed is no failure, while the JVM by itself would report the signal's number.
+ * Closes a node on a termination signal and exits with {@link ExitCode#OK}. A handled signal is not
+ * a failure, but the JVM by default would exit with a code derived from the signal number.
  */
 final class GracefulShutdown {
   private final NodeProcess node;
@@ -14,7 +14,7 @@
     this.node = node;
   }
 
-  /** From now on a signal closes the node before the process ends. */
+  /** Registers a shutdown hook that closes the node before the process exits. */
   static GracefulShutdown install(NodeProcess node) {
     GracefulShutdown stop = new GracefulShutdown(node);
     Runtime.getRuntime().addShutdownHook(stop.hook);
@@ -26,7 +26,7 @@
     Runtime.getRuntime().halt(ExitCode.OK.number());
   }
 
-  /** The node has ended by itself: closes what is left of it, unless a signal does that already. */
+  /** Closes a node that ended without a signal, unless the shutdown hook is already doing so. */
   ExitCode closeAfterExit(ExitCode exitCode) {
     try {
       Runtime.getRuntime().removeShutdownHook(hook);
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/ListCommand.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/ListCommand.java
@@ -7,7 +7,7 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** Lists resources, all pages. */
+/** Lists resources, fetching all pages. */
 final class ListCommand extends OperatorCommand {
   @Argument(metaVar = "KIND", usage = "route, pool or secret (default: all)")
   private String kind;
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/LogFilesCommand.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/LogFilesCommand.java
@@ -11,9 +11,9 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** A command that reads the logs of nodes. */
+/** A subcommand that reads log files of nodes. */
 abstract class LogFilesCommand extends Command {
-  /** Hands over each line of the files that a node wrote. */
+  /** Passes each log line of a node in the files to the consumer; other lines are skipped. */
   static void read(List<String> files, Consumer<LogLine> onLine) throws UsageException {
     for (String file : files) {
       try (BufferedReader lines =
@@ -28,14 +28,14 @@
     }
   }
 
-  /** A line that does not say where it is from is from its file. */
+  /** Uses the file name as the node of a line that has none. */
   private static LogLine withSource(LogLine line, String file) {
     return line.node().isEmpty()
         ? new LogLine(file, line.time(), line.event(), line.fields())
         : line;
   }
 
-  /** All lines of the files that a node wrote. */
+  /** Returns all log lines of nodes in the files. */
   static List<LogLine> readAll(List<String> files) throws UsageException {
     List<LogLine> lines = new ArrayList<>();
     read(files, lines::add);
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/LossesCommand.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/LossesCommand.java
@@ -8,12 +8,12 @@
 import java.util.TreeMap;
 import org.kohsuke.args4j.Argument;
 
-/** Counts where requests were lost: for each second and route, how they ended. */
+/** Counts lost requests by second, route and outcome. */
 final class LossesCommand extends LogFilesCommand {
   @Argument(required = true, metaVar = "FILE", usage = "logs of nodes")
   private List<String> files;
 
-  /** Requests that ended alike within one second. */
+  /** Lost requests of one second, route and outcome. */
   private record Loss(long second, String route, String outcome) implements Comparable<Loss> {
     private static final Comparator<Loss> ORDER =
         Comparator.comparingLong(Loss::second)
@@ -54,7 +54,7 @@
         }
       }
       default -> {
-        // Says nothing of a lost request.
+        // Other events do not report lost requests.
       }
     }
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/Names.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/Names.java
@@ -6,9 +6,9 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** How kinds and versions are written on the command line. */
+/** Parses and formats resource kinds and versions on the command line. */
 final class Names {
-  /** What is said of a text that is no version. */
+  /** Error message for an invalid version. */
   static final String VERSION_RULE = "must be a version such as 3.17";
 
   private static final Pattern VERSION = Pattern.compile("([0-9]{1,18})\\.([0-9]{1,18})");
@@ -16,9 +16,9 @@
   private Names() {}
 
   /**
-   * Reads a kind, singular or plural, in any case.
+   * Parses a kind, singular or plural, ignoring case.
    *
-   * @throws UsageException if there is no such kind
+   * @throws UsageException if the kind is unknown
    */
   static Kind kind(String text) throws UsageException {
     return switch (text.toLowerCase(Locale.ROOT)) {
@@ -30,9 +30,9 @@
   }
 
   /**
-   * Reads a version, {@code epoch.sequence}.
+   * Parses a version, {@code epoch.sequence}.
    *
-   * @throws UsageException if the text is no version
+   * @throws UsageException if the text is not a valid version
    */
   static Version version(String text) throws UsageException {
     Matcher matcher = VERSION.matcher(text);
@@ -45,7 +45,7 @@
         .build();
   }
 
-  /** Writes a version, {@code epoch.sequence}. */
+  /** Formats a version as {@code epoch.sequence}. */
   static String version(Version version) {
     return version.getEpoch() + "." + version.getSequence();
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/NodeCommand.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/NodeCommand.java
@@ -6,7 +6,7 @@
 import java.io.IOException;
 import org.kohsuke.args4j.Option;
 
-/** Runs a node until the process is told to stop. */
+/** Runs a node until the process receives a termination signal. */
 final class NodeCommand extends SettingsCommand {
   @Option(name = "--config", metaVar = "FILE", required = true, usage = "settings file")
   private String file;
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/OperatorCommand.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/OperatorCommand.java
@@ -17,7 +17,7 @@
 import java.util.function.Function;
 import org.kohsuke.args4j.Option;
 
-/** A subcommand that calls the operators' port. Servers are tried in order. */
+/** A subcommand that calls the operator API. Servers are tried in order. */
 abstract class OperatorCommand extends Command {
   private static final String SERVER_VARIABLE = "UMBERPATH_SERVER";
   private static final String TOKEN_VARIABLE = "UMBERPATH_TOKEN";
@@ -46,19 +46,19 @@
   @Option(name = "--json", usage = "print the answer as JSON")
   private boolean json;
 
-  /** One call on a server. */
+  /** A call to a server. */
   @FunctionalInterface
   interface Call<T> {
-    /** Runs it; gRPC throws {@link StatusRuntimeException}. */
+    /** Executes the call; throws {@link StatusRuntimeException} on failure. */
     T on(ConfigurationBlockingStub server);
   }
 
-  /** A call that changes nothing. */
+  /** Executes a read-only call. */
   final <T> Either<CallFailure, T> read(Call<T> call) throws UsageException {
     return call(call, false);
   }
 
-  /** A call that changes something; a repeat of it must be harmless. */
+  /** Executes a mutating call, which must be idempotent because other servers may be tried. */
   final <T> Either<CallFailure, T> change(Call<T> call) throws UsageException {
     return call(call, true);
   }
@@ -89,7 +89,7 @@
         mostSevereFailure.orElseGet(() -> CallFailure.unreachable(addresses.toString())));
   }
 
-  /** Prints an answer or a failure, and tells the exit code. */
+  /** Prints a response or a failure and returns the exit code. */
   final <T extends Message> ExitCode print(
       Output output, Either<CallFailure, T> result, Function<T, String> text) {
     if (result.isLeft()) {
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/Output.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/Output.java
@@ -3,13 +3,13 @@
 import java.io.PrintStream;
 
 /**
- * Where a command writes.
+ * Output streams of a command.
  *
  * @param out results
- * @param err problems and help after a mistake
+ * @param err errors, and help after a usage error
  */
 public record Output(PrintStream out, PrintStream err) {
-  /** The process's own streams. */
+  /** Returns the standard streams of the process. */
   public static Output ofProcess() {
     return new Output(System.out, System.err);
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/ResponseFormatter.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/ResponseFormatter.java
@@ -13,7 +13,7 @@
 import io.umberpath.control.store.StorePosition;
 import java.util.Locale;
 
-/** Answers as a reader sees them. */
+/** Formats responses as human-readable text. */
 final class ResponseFormatter {
   private ResponseFormatter() {}
 
@@ -91,7 +91,10 @@
     return response.hasRoute() ? route(response.getRoute()) : change(response.getChange());
   }
 
-  /** A platform's revision, behind its era if it has come back from an older copy. */
+  /**
+   * Formats a platform revision, prefixed with its era if the store was restored from an older
+   * copy.
+   */
   private static String revision(long packed) {
     return StorePosition.describePacked(packed);
   }
@@ -132,7 +135,7 @@
     return text.toString();
   }
 
-  /** One field, its value and what is wrong with it, on one line. */
+  /** Formats a violation as one line with field, value and message. */
   static String violation(Violation violation) {
     return violation.getField() + " = '" + violation.getValue() + "': " + violation.getMessage();
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/ServerConnection.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/ServerConnection.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** A connection to one node's operators' port. */
+/** A connection to the operator API of one node. */
 final class ServerConnection implements AutoCloseable {
   private final ManagedChannel channel;
   private final String token;
@@ -24,7 +24,9 @@
             .build();
   }
 
-  /** Connects, so that a server which cannot be reached certainly received nothing. */
+  /**
+   * Connects before the first call, so that an unreachable server has certainly received nothing.
+   */
   boolean connect(Duration timeout) {
     long end = System.nanoTime() + timeout.toNanos();
     ConnectivityState state = channel.getState(true);
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/SettingsCommand.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/SettingsCommand.java
@@ -11,7 +11,7 @@
 import java.util.stream.Collectors;
 import org.kohsuke.args4j.Option;
 
-/** A subcommand that reads a settings file and the flags that override it. */
+/** A subcommand that reads a settings file and overriding flags. */
 abstract class SettingsCommand extends Command {
   @Option(name = "--address", metaVar = "IP:PORT", usage = "where it listens for other nodes")
   private String address;
@@ -52,13 +52,13 @@
       usage = "any field of the settings file, its value in YAML; may be repeated")
   private List<String> fields = new ArrayList<>();
 
-  /** The settings file it reads. */
+  /** Returns the settings file to read. */
   abstract String file();
 
-  /** Runs with settings that are in order. */
+  /** Runs the subcommand with valid settings. */
   abstract ExitCode run(NodeSettings settings, Output output);
 
-  /** Loads the settings; prints every problem if there is one. */
+  /** Loads the settings and runs the subcommand, or prints every problem. */
   @Override
   final ExitCode run(Output output) throws UsageException {
     Either<List<SettingsProblem>, NodeSettings> settings =
@@ -113,7 +113,7 @@
     }
   }
 
-  /** A YAML scalar that holds exactly the text. */
+  /** Quotes the text as a YAML scalar. */
   private static String quote(String text) {
     return "'" + text.replace("'", "''") + "'";
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/StatusCommand.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/StatusCommand.java
@@ -10,7 +10,7 @@
 import java.util.Iterator;
 import org.kohsuke.args4j.Option;
 
-/** Shows the fleet. */
+/** Shows the status of the fleet. */
 final class StatusCommand extends OperatorCommand {
   @Option(name = "--watch", usage = "print again whenever it changes, until --timeout")
   private boolean watch;
@@ -27,7 +27,7 @@
     return last.isLeft() ? print(output, last, ResponseFormatter::status) : ExitCode.OK;
   }
 
-  /** Prints report after report until the deadline, which is the way a watch ends. */
+  /** Prints each report until the deadline, which is the normal end of a watch. */
   private FleetStatusResponse watchStatus(ConfigurationBlockingStub server, Output output) {
     Iterator<FleetStatusResponse> reports =
         server.watchStatus(WatchStatusRequest.getDefaultInstance());
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/TraceCommand.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/TraceCommand.java
@@ -10,12 +10,12 @@
 import java.util.stream.Collectors;
 import org.kohsuke.args4j.Argument;
 
-/** Tells one request's story from the logs of all nodes, in order. */
+/** Prints the log lines of one request from all nodes in chronological order. */
 final class TraceCommand extends LogFilesCommand {
   private static final String REQUEST_ID = "request_id";
   private static final String BACKEND = "backend";
 
-  /** How long before and after a request what nodes believed of its back ends is shown. */
+  /** Time before and after a request for which state changes of its backends are included. */
   private static final Duration CONTEXT_WINDOW = Duration.ofSeconds(3);
 
   private static final Set<String> CONTEXT_EVENTS =
@@ -52,7 +52,9 @@
     return ExitCode.OK;
   }
 
-  /** What the nodes concerned came to believe of the back ends concerned, and what was dropped. */
+  /**
+   * Selects backend state changes and dropped-line counts of the nodes that handled the request.
+   */
   private static List<LogLine> contextLines(List<LogLine> all, List<LogLine> requestLines) {
     Set<String> backends =
         requestLines.stream().map(line -> line.field(BACKEND)).collect(Collectors.toSet());
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/UsageException.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/UsageException.java
@@ -1,6 +1,6 @@
 package io.umberpath.node.cli;
 
-/** The command was called wrongly. */
+/** Thrown for invalid arguments or options. */
 final class UsageException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/WaitCommand.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/WaitCommand.java
@@ -4,7 +4,7 @@
 import io.umberpath.api.v1.WaitResponse;
 import org.kohsuke.args4j.Argument;
 
-/** Waits until a version is in force everywhere. */
+/** Waits until a version is active on all members. */
 final class WaitCommand extends OperatorCommand {
   @Argument(
       required = true,
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/package-info.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/package-info.java
@@ -1,2 +1,2 @@
-/** The {@code umberpath} command: subcommands, exit codes, the change file. */
+/** The {@code umberpath} command line: subcommands, exit codes and the change file. */
 package io.umberpath.node.cli;
--- a/umberpath-node/src/test/java/io/umberpath/node/cli/CommandLineTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/cli/CommandLineTest.java
@@ -215,7 +215,7 @@
     assertThat(err.size()).isPositive();
   }
 
-  /** Adds the connection's options where the subcommand knows them. */
+  /** Adds the connection options if the subcommand supports them. */
   private ExitCode callIfOperator(String... arguments) {
     boolean isOperatorCommand =
         arguments.length > 0
