--- a/umberpath-node/src/main/java/io/umberpath/node/NodeComponent.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/NodeComponent.java
@@ -2,16 +2,16 @@
 
 import java.io.IOException;
 
-/** A part of a node process that is started once and closed once. */
+/** A component of a node process that is started once and closed once. */
 public interface NodeComponent extends AutoCloseable {
   /**
-   * Starts; returns when the part takes work.
+   * Starts the component; returns when it accepts work.
    *
    * @throws IOException if an address cannot be bound or a file cannot be read
    */
   void start() throws IOException;
 
-  /** Stops; returns when nothing of the part runs any more. */
+  /** Stops the component; returns when none of its tasks run any more. */
   @Override
   void close();
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/NodeProcess.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/NodeProcess.java
@@ -29,8 +29,8 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * One node: the control side, the proxy, the operators' port and the admin port. Started and closed
- * once, from any threads. {@link #close} is a planned stop: it lets requests in flight finish.
+ * A node: control plane, proxy, operator server and admin server. Started and closed once, from any
+ * thread. {@link #close} shuts down gracefully: it lets requests in flight finish.
  */
 public final class NodeProcess implements NodeComponent {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -50,12 +50,12 @@
   private OperatorServer operator;
   private AdminServer admin;
 
-  /** Creates a node that does nothing yet. */
+  /** Creates a node; call {@link #start} to run it. */
   public NodeProcess(NodeSettings settings) {
     this.settings = settings;
   }
 
-  /** Starts every part; if one cannot start, those before it are closed again. */
+  /** Starts every component; if one fails to start, the components started before are closed. */
   @Override
   public synchronized void start() throws IOException {
     if (draining) {
@@ -83,22 +83,22 @@
         .log("node started");
   }
 
-  /** Callers' port, or -1 if it serves none. */
+  /** Returns the port for clients, or -1 if it is disabled. */
   public synchronized int edgePort() {
     return proxy.map(ProxyServer::edgePort).orElse(NO_PORT);
   }
 
-  /** Port for calls from other nodes, or -1 if it serves none. */
+  /** Returns the port for requests from other nodes, or -1 if it is disabled. */
   public synchronized int hopPort() {
     return proxy.map(ProxyServer::hopPort).orElse(NO_PORT);
   }
 
-  /** Operators' port; call it after {@link #start}. */
+  /** Returns the operators' port; valid after {@link #start}. */
   public synchronized int operatorPort() {
     return operator.port();
   }
 
-  /** Admin port; call it after {@link #start}. */
+  /** Returns the admin port; valid after {@link #start}. */
   public synchronized int adminPort() {
     return admin.port();
   }
@@ -146,7 +146,7 @@
     admin.start();
   }
 
-  /** Waits until {@link #close} is done or the control side failed; true if it failed. */
+  /** Waits until {@link #close} completes or the control plane fails; returns true if it failed. */
   public boolean awaitEnd() throws InterruptedException {
     terminated.await();
     return failed;
@@ -158,7 +158,7 @@
     terminated.countDown();
   }
 
-  /** Drains the proxy, then closes every part in the opposite order of its start. */
+  /** Drains the proxy, then closes all components in reverse order of their start. */
   @Override
   public void close() {
     draining = true;
--- a/umberpath-node/src/main/java/io/umberpath/node/diagnostics/OverwritingMemory.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/diagnostics/OverwritingMemory.java
@@ -8,12 +8,12 @@
 import org.glassfish.grizzly.memory.MemoryManager;
 
 /**
- * Memory for tests and soaks that overwrites each buffer when it is given back, so that a use after
- * release shows every time and not only when the memory has been handed out again. Switched on by
- * naming this class in the system property {@link DefaultMemoryManagerFactory#DMMF_PROP_NAME}.
+ * Memory manager for tests and soak runs that overwrites each buffer on release, so that every use
+ * after release is visible, not only one after the memory was reused. Enabled by setting the system
+ * property {@link DefaultMemoryManagerFactory#DMMF_PROP_NAME} to this class.
  */
 public final class OverwritingMemory implements DefaultMemoryManagerFactory {
-  /** What released memory holds. */
+  /** Fill byte of released memory. */
   public static final byte RELEASED = '~';
 
   @Override
@@ -48,7 +48,7 @@
     }
   }
 
-  /** A buffer that owns its part of an array; slices and duplicates of it own nothing. */
+  /** A buffer that owns a range of an array; its slices and duplicates own nothing. */
   private static final class OverwritingBuffer extends HeapBuffer {
     OverwritingBuffer(byte[] heap, int offset, int capacity) {
       super(heap, offset, capacity);
--- a/umberpath-node/src/main/java/io/umberpath/node/package-info.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The process {@code umberpath node}: starts the control side, the proxy, the operators' port and
- * the admin port in this order, and closes them in the opposite one.
+ * The process {@code umberpath node}: starts the control plane, the proxy, the operator server and
+ * the admin server in this order, and closes them in reverse order.
  */
 package io.umberpath.node;
--- a/umberpath-node/src/test/java/io/umberpath/node/GracefulShutdownTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/GracefulShutdownTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A process of its own that is told to stop. */
+/** Sends a termination signal to a node in a separate process. */
 @Timeout(120)
 class GracefulShutdownTest {
   private static final Path SAMPLE = Path.of("..", "config", "klang-valley.yaml");
--- a/umberpath-node/src/test/java/io/umberpath/node/NodeProcessTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/NodeProcessTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A whole node of a fleet of one, over real sockets. */
+/** Runs a complete node as a fleet of one, over real sockets. */
 class NodeProcessTest {
   private static final long TIMEOUT_SECONDS = 60;
   private static final Path SAMPLE = Path.of("..", "config", "western-sri-lanka.yaml");
