--- a/umberpath-node/src/main/java/io/umberpath/node/operator/ChangeHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/ChangeHandler.java
@@ -224,7 +224,7 @@
           .atSevere()
           .withCause(failure)
           .with(LogFields.EVENT, "operator-call-failed")
-          .log("a change failed in the node");
+          .log("submitting a change to the control plane failed");
       return CompletableFuture.failedFuture(failure);
     }
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/operator/ConfigurationService.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/ConfigurationService.java
@@ -118,7 +118,7 @@
         .atSevere()
         .withCause(failure)
         .with(LogFields.EVENT, "operator-call-failed")
-        .log("a call failed in the node");
+        .log("an operator call failed unexpectedly");
     return OperatorError.internal();
   }
 
