--- a/umberpath-node/src/main/java/io/umberpath/node/cli/CommandLine.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/CommandLine.java
@@ -92,8 +92,8 @@
         return ExitCode.OK;
       }
       return command.run(output);
-    } catch (CmdLineException | UsageException wrong) {
-      output.err().println("umberpath " + entry.name() + ": " + wrong.getMessage());
+    } catch (CmdLineException | UsageException invalid) {
+      output.err().println("umberpath " + entry.name() + ": " + invalid.getMessage());
       output.err().println("try: umberpath " + entry.name() + " --help");
       return ExitCode.USAGE;
     }
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/ListCommand.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/ListCommand.java
@@ -24,10 +24,10 @@
     if (kind != null) {
       request.setKind(Names.kind(kind));
     }
-    var all = read(server -> allPages(server::list, request));
+    var resources = read(server -> allPages(server::list, request));
     return print(
         output,
-        all,
+        resources,
         list ->
             list.getResourcesCount() == 0
                 ? "no resources"
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/OperatorCommand.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/OperatorCommand.java
@@ -74,11 +74,11 @@
           continue;
         }
         return Either.right(call.on(connection.stub(callTimeout)));
-      } catch (StatusRuntimeException failed) {
-        CallFailure failure = CallFailure.of(failed, changes);
+      } catch (StatusRuntimeException exception) {
+        CallFailure failure = CallFailure.of(exception, changes);
         mostSevereFailure =
             mostSevereFailure
-                .filter(known -> known.exitCode() == ExitCode.MAY_HAVE_RUN)
+                .filter(previous -> previous.exitCode() == ExitCode.MAY_HAVE_RUN)
                 .or(() -> Optional.of(failure));
         if (failure.exitCode() == ExitCode.REFUSED) {
           break;
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/ServerConnection.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/ServerConnection.java
@@ -28,16 +28,16 @@
    * Connects before the first call, so that an unreachable server has certainly received nothing.
    */
   boolean connect(Duration timeout) {
-    long end = System.nanoTime() + timeout.toNanos();
+    long deadlineNanos = System.nanoTime() + timeout.toNanos();
     ConnectivityState state = channel.getState(true);
-    while (state != ConnectivityState.READY && System.nanoTime() < end) {
+    while (state != ConnectivityState.READY && System.nanoTime() < deadlineNanos) {
       if (state == ConnectivityState.TRANSIENT_FAILURE) {
         return false;
       }
       CountDownLatch changed = new CountDownLatch(1);
       channel.notifyWhenStateChanged(state, changed::countDown);
       try {
-        changed.await(Math.max(0, end - System.nanoTime()), TimeUnit.NANOSECONDS);
+        changed.await(Math.max(0, deadlineNanos - System.nanoTime()), TimeUnit.NANOSECONDS);
       } catch (InterruptedException interrupted) {
         Thread.currentThread().interrupt();
         return false;
--- a/umberpath-node/src/main/java/io/umberpath/node/diagnostics/OverwritingMemory.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/diagnostics/OverwritingMemory.java
@@ -35,9 +35,9 @@
 
     @Override
     public HeapBuffer reallocate(HeapBuffer old, int newSize) {
-      int kept = Math.min(old.position(), newSize);
+      int copiedBytes = Math.min(old.position(), newSize);
       HeapBuffer larger = allocate(newSize);
-      larger.put(old, 0, kept);
+      larger.put(old, 0, copiedBytes);
       old.tryDispose();
       return larger;
     }
@@ -56,11 +56,11 @@
 
     @Override
     public void dispose() {
-      byte[] owned = heap;
+      byte[] array = heap;
       int from = offset;
       int to = offset + cap;
       super.dispose();
-      Arrays.fill(owned, from, to, RELEASED);
+      Arrays.fill(array, from, to, RELEASED);
     }
 
     @Override
--- a/umberpath-node/src/main/java/io/umberpath/node/logs/JsonLines.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/logs/JsonLines.java
@@ -42,8 +42,8 @@
     System.setProperty(NonResettingLogManager.PROPERTY, NonResettingLogManager.class.getName());
     JsonLines handler = new JsonLines();
     Logger root = Logger.getLogger("");
-    for (Handler before : root.getHandlers()) {
-      root.removeHandler(before);
+    for (Handler existing : root.getHandlers()) {
+      root.removeHandler(existing);
     }
     root.setLevel(Level.INFO);
     root.addHandler(handler);
@@ -122,8 +122,8 @@
 
   @Override
   public void flush() {
-    long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(FLUSH_MILLIS);
-    while ((!lines.isEmpty() || writesInProgress.get() > 0) && System.nanoTime() < end) {
+    long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(FLUSH_MILLIS);
+    while ((!lines.isEmpty() || writesInProgress.get() > 0) && System.nanoTime() < deadlineNanos) {
       Thread.yield();
     }
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/operator/FleetHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/FleetHandler.java
@@ -74,26 +74,31 @@
     }
 
     private void check(List<ControlStatus.NodeView> nodes, long pauseMillis) {
-      long behind = nodes.stream().filter(node -> version.isAfter(node.active())).count();
-      if (!nodes.isEmpty() && behind == 0) {
+      long laggingMembers = nodes.stream().filter(node -> version.isAfter(node.active())).count();
+      if (!nodes.isEmpty() && laggingMembers == 0) {
         result.complete(Either.right(waitResponse(nodes)));
         return;
       }
-      long leftMillis = TimeUnit.NANOSECONDS.toMillis(deadlineNanos - System.nanoTime());
-      if (leftMillis <= 0 || context.isCancelled()) {
-        result.complete(Either.left(timeoutError(nodes, behind)));
+      long remainingMillis = TimeUnit.NANOSECONDS.toMillis(deadlineNanos - System.nanoTime());
+      if (remainingMillis <= 0 || context.isCancelled()) {
+        result.complete(Either.left(timeoutError(nodes, laggingMembers)));
         return;
       }
-      long next = Math.min(2 * pauseMillis, MAX_POLL_MILLIS);
-      long pause = Math.min(pauseMillis, leftMillis);
-      scheduler.schedule(() -> poll(next), pause, TimeUnit.MILLISECONDS);
+      long nextPauseMillis = Math.min(2 * pauseMillis, MAX_POLL_MILLIS);
+      long pause = Math.min(pauseMillis, remainingMillis);
+      scheduler.schedule(() -> poll(nextPauseMillis), pause, TimeUnit.MILLISECONDS);
     }
 
-    private OperatorError timeoutError(List<ControlStatus.NodeView> nodes, long behind) {
+    private OperatorError timeoutError(List<ControlStatus.NodeView> nodes, long laggingMembers) {
       return OperatorError.deadlineExceeded(
           nodes.isEmpty()
               ? "no leader answered; whether " + version + " is in force is not known"
-              : version + " is not yet in force in " + behind + " of " + nodes.size() + " members");
+              : version
+                  + " is not yet in force in "
+                  + laggingMembers
+                  + " of "
+                  + nodes.size()
+                  + " members");
     }
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/operator/ReadHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/ReadHandler.java
@@ -87,11 +87,11 @@
         ListResponse.newBuilder().setVersion(ResourceCodec.version(state.version()));
     ResourceKey last = null;
     for (Resource resource : state.resources().values()) {
-      boolean wanted =
+      boolean isIncluded =
           resource.tenant().equals(principal.tenant())
               && kind.map(resource.key().kind()::equals).orElse(true)
               && token.map(from -> resource.key().compareTo(from.after()) > 0).orElse(true);
-      if (!wanted) {
+      if (!isIncluded) {
         continue;
       }
       if (page.getResourcesCount() == size) {
--- a/umberpath-node/src/main/java/io/umberpath/node/settings/SettingsLoader.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/settings/SettingsLoader.java
@@ -62,7 +62,7 @@
       return Either.right(Files.readString(file));
     } catch (NoSuchFileException missing) {
       return Either.left(fileProblem(file, "does not exist"));
-    } catch (CharacterCodingException notText) {
+    } catch (CharacterCodingException malformed) {
       return Either.left(fileProblem(file, "is not UTF-8 text"));
     } catch (IOException unreadable) {
       return Either.left(fileProblem(file, "cannot be read: " + unreadable.getClass().getName()));
--- a/umberpath-node/src/test/java/io/umberpath/node/NodeProcessTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/NodeProcessTest.java
@@ -53,16 +53,16 @@
     platform = server("/document", "");
   }
 
-  private HttpServer server(String path, String answer) throws IOException {
+  private HttpServer server(String path, String responseBody) throws IOException {
     HttpServer server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 0);
-    answer(server, path, answer);
+    answer(server, path, responseBody);
     server.start();
     parts.add(() -> server.stop(0));
     return server;
   }
 
-  private static void answer(HttpServer server, String path, String answer) {
-    byte[] body = answer.getBytes(StandardCharsets.UTF_8);
+  private static void answer(HttpServer server, String path, String responseBody) {
+    byte[] body = responseBody.getBytes(StandardCharsets.UTF_8);
     server.createContext(
         path,
         exchange -> {
--- a/umberpath-node/src/test/java/io/umberpath/node/logs/LogLinesTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/logs/LogLinesTest.java
@@ -16,13 +16,13 @@
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
   private static List<JsonNode> linesOf(Runnable logging) throws Exception {
-    PrintStream before = System.err;
+    PrintStream originalErr = System.err;
     ByteArrayOutputStream captured = new ByteArrayOutputStream();
     System.setErr(new PrintStream(captured, true, StandardCharsets.UTF_8));
     try {
       logging.run();
     } finally {
-      System.setErr(before);
+      System.setErr(originalErr);
     }
     ObjectMapper json = new ObjectMapper();
     List<JsonNode> lines = new ArrayList<>();
--- a/umberpath-node/src/test/java/io/umberpath/node/operator/FakeControlService.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/operator/FakeControlService.java
@@ -68,12 +68,12 @@
     }
     String key = StateDeltas.answerKey(change.tenant(), change.requestId());
     long fingerprint = StateHasher.fingerprint(change);
-    Optional<FleetState.AnsweredChange> before = state.answered().get(key).toJavaOptional();
-    if (before.isPresent()) {
-      boolean repeat = before.get().changeHash() == fingerprint;
+    Optional<FleetState.AnsweredChange> previous = state.answered().get(key).toJavaOptional();
+    if (previous.isPresent()) {
+      boolean isRetry = previous.get().changeHash() == fingerprint;
       return CompletableFuture.completedFuture(
-          repeat
-              ? new ChangeResult.Accepted(before.get().version())
+          isRetry
+              ? new ChangeResult.Accepted(previous.get().version())
               : new ChangeResult.Refused(ChangeResult.RefusalCode.REQUEST_ID_REUSED, List.of()));
     }
     Version target = state.version().next(1);
--- a/umberpath-node/src/test/java/io/umberpath/node/operator/ReadContractTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/operator/ReadContractTest.java
@@ -169,19 +169,19 @@
   @Test
   void waitCallsAreLimitedAndCancellationReleasesPermits() throws Exception {
     int maxCalls = 128;
-    CompletableFuture<Throwable> refused = new CompletableFuture<>();
+    CompletableFuture<Throwable> rejected = new CompletableFuture<>();
     Context.CancellableContext waiting = Context.current().withCancellation();
-    Context before = waiting.attach();
+    Context previous = waiting.attach();
     try {
       for (int call = 0; call <= maxCalls; call++) {
         ConfigurationGrpc.newStub(fixture.channel)
             .withInterceptors(MetadataUtils.newAttachHeadersInterceptor(headers(MARKET)))
-            .wait(waitFor(NEW), new ErrorObserver<>(refused));
+            .wait(waitFor(NEW), new ErrorObserver<>(rejected));
       }
     } finally {
-      waiting.detach(before);
+      waiting.detach(previous);
     }
-    assertThat(Status.fromThrowable(refused.get(TIMEOUT_SECONDS, TimeUnit.SECONDS)).getCode())
+    assertThat(Status.fromThrowable(rejected.get(TIMEOUT_SECONDS, TimeUnit.SECONDS)).getCode())
         .isEqualTo(Status.Code.RESOURCE_EXHAUSTED);
     var client = fixture.as(MARKET);
     assertThat(client.list(ListRequest.getDefaultInstance()).getResourcesCount()).isZero();
