--- a/umberpath-node/src/main/java/io/umberpath/node/admin/TransportMetrics.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/admin/TransportMetrics.java
@@ -10,19 +10,20 @@
 import java.util.Locale;
 import java.util.function.ToDoubleFunction;
 
-/** Metrics of the connections between nodes: the control bytes are counted here. */
+/** Metrics of control connections between nodes, including the control traffic in bytes. */
 public final class TransportMetrics {
   private static final String PREFIX = "umberpath.transport.";
 
   private TransportMetrics() {}
 
-  /** Registers the meters; each is read when the registry is scraped. */
+  /** Registers the meters; values are read when the registry is scraped. */
   public static void register(
       MeterRegistry registry, GrizzlyTransport transport, ControlRuntime control) {
-    traffic(registry, transport, "bytes", "sent", Transport.Traffic::sentBytes);
-    traffic(registry, transport, "bytes", "received", Transport.Traffic::receivedBytes);
-    traffic(registry, transport, "messages", "sent", Transport.Traffic::sentMessages);
-    traffic(registry, transport, "messages", "received", Transport.Traffic::receivedMessages);
+    registerTraffic(registry, transport, "bytes", "sent", Transport.Traffic::sentBytes);
+    registerTraffic(registry, transport, "bytes", "received", Transport.Traffic::receivedBytes);
+    registerTraffic(registry, transport, "messages", "sent", Transport.Traffic::sentMessages);
+    registerTraffic(
+        registry, transport, "messages", "received", Transport.Traffic::receivedMessages);
     Gauge.builder(PREFIX + "connections", transport, GrizzlyTransport::connectionCount)
         .description("connections with other nodes")
         .strongReference(true)
@@ -39,7 +40,7 @@
         .register(registry);
   }
 
-  private static void traffic(
+  private static void registerTraffic(
       MeterRegistry registry,
       GrizzlyTransport transport,
       String unit,
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/CommandLine.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/CommandLine.java
@@ -8,7 +8,7 @@
 import org.kohsuke.args4j.CmdLineParser;
 import org.kohsuke.args4j.ParserProperties;
 
-/** Finds the subcommand, parses its options and runs it. */
+/** Selects the subcommand, parses its options and runs it. */
 public final class CommandLine {
   private static final int WIDTH = 100;
   private static final List<Entry> ENTRIES =
@@ -92,15 +92,15 @@
         return ExitCode.OK;
       }
       return command.run(output);
-    } catch (CmdLineException | UsageException wrong) {
-      output.err().println("umberpath " + entry.name() + ": " + wrong.getMessage());
+    } catch (CmdLineException | UsageException invalid) {
+      output.err().println("umberpath " + entry.name() + ": " + invalid.getMessage());
       output.err().println("try: umberpath " + entry.name() + " --help");
       return ExitCode.USAGE;
     }
   }
 
-  private void printCommands(boolean asked) {
-    var stream = asked ? output.out() : output.err();
+  private void printCommands(boolean helpRequested) {
+    var stream = helpRequested ? output.out() : output.err();
     stream.println("usage: umberpath COMMAND [OPTIONS]");
     stream.println();
     for (Entry entry : ENTRIES) {
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/DrainCommand.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/DrainCommand.java
@@ -4,7 +4,7 @@
 import java.util.UUID;
 import org.kohsuke.args4j.Option;
 
-/** Starts or ends the draining of back ends. */
+/** Starts or ends draining of backends. */
 final class DrainCommand extends OperatorCommand {
   @Option(name = "--backend", metaVar = "ID", usage = "back end in the platform's document")
   private String backend;
@@ -33,10 +33,10 @@
     return print(
         output,
         change(server -> server.drain(request.build())),
-        answer ->
+        response ->
             "accepted version "
-                + Names.version(answer.getVersion())
+                + Names.version(response.getVersion())
                 + (undo ? " returns to service " : " drains ")
-                + String.join(", ", answer.getBackendIdsList()));
+                + String.join(", ", response.getBackendIdsList()));
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/ListCommand.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/ListCommand.java
@@ -7,7 +7,7 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** Lists resources, all pages. */
+/** Lists resources, fetching all pages. */
 final class ListCommand extends OperatorCommand {
   @Argument(metaVar = "KIND", usage = "route, pool or secret (default: all)")
   private String kind;
@@ -24,15 +24,15 @@
     if (kind != null) {
       request.setKind(Names.kind(kind));
     }
-    var all = read(server -> allPages(server::list, request));
+    var resources = read(server -> allPages(server::list, request));
     return print(
         output,
-        all,
+        resources,
         list ->
             list.getResourcesCount() == 0
                 ? "no resources"
                 : list.getResourcesList().stream()
-                    .map(Texts::resource)
+                    .map(ResponseFormatter::resource)
                     .collect(Collectors.joining("\n")));
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/LossesCommand.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/LossesCommand.java
@@ -8,12 +8,12 @@
 import java.util.TreeMap;
 import org.kohsuke.args4j.Argument;
 
-/** Counts where requests were lost: for each second and route, how they ended. */
+/** Counts lost requests by second, route and outcome. */
 final class LossesCommand extends LogFilesCommand {
   @Argument(required = true, metaVar = "FILE", usage = "logs of nodes")
   private List<String> files;
 
-  /** Requests that ended alike within one second. */
+  /** Lost requests of one second, route and outcome. */
   private record Loss(long second, String route, String outcome) implements Comparable<Loss> {
     private static final Comparator<Loss> ORDER =
         Comparator.comparingLong(Loss::second)
@@ -30,7 +30,7 @@
 
   @Override
   ExitCode run(Output output) throws UsageException {
-    read(files, this::count);
+    read(files, this::countLoss);
     output.out().printf("%-20s %-20s %7s  %s%n", "second", "route", "count", "how they ended");
     losses.forEach(
         (loss, count) ->
@@ -42,7 +42,7 @@
     return ExitCode.OK;
   }
 
-  private void count(LogLine line) {
+  private void countLoss(LogLine line) {
     long second = line.time().getEpochSecond();
     switch (line.event()) {
       case "request-failed" ->
@@ -54,7 +54,7 @@
         }
       }
       default -> {
-        // Says nothing of a lost request.
+        // Other events do not report lost requests.
       }
     }
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/NodeCommand.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/NodeCommand.java
@@ -6,7 +6,7 @@
 import java.io.IOException;
 import org.kohsuke.args4j.Option;
 
-/** Runs a node until the process is told to stop. */
+/** Runs a node until the process receives a termination signal. */
 final class NodeCommand extends SettingsCommand {
   @Option(name = "--config", metaVar = "FILE", required = true, usage = "settings file")
   private String file;
@@ -20,8 +20,8 @@
   ExitCode run(NodeSettings settings, Output output) {
     Logs.bridgeLibraries();
     NodeProcess node = new NodeProcess(settings);
-    PlannedStop stop = PlannedStop.install(node);
-    return stop.end(runUntilEnd(node, output));
+    GracefulShutdown stop = GracefulShutdown.install(node);
+    return stop.closeAfterExit(runUntilEnd(node, output));
   }
 
   private static ExitCode runUntilEnd(NodeProcess node, Output output) {
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/StatusCommand.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/StatusCommand.java
@@ -10,7 +10,7 @@
 import java.util.Iterator;
 import org.kohsuke.args4j.Option;
 
-/** Shows the fleet. */
+/** Shows the status of the fleet. */
 final class StatusCommand extends OperatorCommand {
   @Option(name = "--watch", usage = "print again whenever it changes, until --timeout")
   private boolean watch;
@@ -21,25 +21,25 @@
       return print(
           output,
           read(server -> server.fleetStatus(FleetStatusRequest.getDefaultInstance())),
-          Texts::status);
+          ResponseFormatter::status);
     }
-    Either<CallFailure, FleetStatusResponse> last = read(server -> follow(server, output));
-    return last.isLeft() ? print(output, last, Texts::status) : ExitCode.OK;
+    Either<CallFailure, FleetStatusResponse> last = read(server -> watchStatus(server, output));
+    return last.isLeft() ? print(output, last, ResponseFormatter::status) : ExitCode.OK;
   }
 
-  /** Prints report after report until the deadline, which is the way a watch ends. */
-  private FleetStatusResponse follow(ConfigurationBlockingStub server, Output output) {
+  /** Prints each report until the deadline, which is the normal end of a watch. */
+  private FleetStatusResponse watchStatus(ConfigurationBlockingStub server, Output output) {
     Iterator<FleetStatusResponse> reports =
         server.watchStatus(WatchStatusRequest.getDefaultInstance());
     FleetStatusResponse last = reports.next();
     try {
       while (true) {
-        print(output, Either.right(last), Texts::status);
+        print(output, Either.right(last), ResponseFormatter::status);
         last = reports.next();
       }
-    } catch (StatusRuntimeException ended) {
-      if (ended.getStatus().getCode() != Status.Code.DEADLINE_EXCEEDED) {
-        throw ended;
+    } catch (StatusRuntimeException failure) {
+      if (failure.getStatus().getCode() != Status.Code.DEADLINE_EXCEEDED) {
+        throw failure;
       }
       return last;
     }
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/WaitCommand.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/WaitCommand.java
@@ -4,7 +4,7 @@
 import io.umberpath.api.v1.WaitResponse;
 import org.kohsuke.args4j.Argument;
 
-/** Waits until a version is in force everywhere. */
+/** Waits until a version is active on all members. */
 final class WaitCommand extends OperatorCommand {
   @Argument(
       required = true,
@@ -18,10 +18,10 @@
     return print(output, read(server -> server.wait(request)), WaitCommand::text);
   }
 
-  static String text(WaitResponse answer) {
+  static String text(WaitResponse response) {
     return "in force in all "
-        + answer.getNodes()
+        + response.getNodes()
         + " members; the oldest version in force is "
-        + Names.version(answer.getVersion());
+        + Names.version(response.getVersion());
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/operator/ChangeSetReader.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/ChangeSetReader.java
@@ -18,9 +18,9 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Turns an apply request into a change set that is well formed and permitted. */
+/** Converts an apply request into a validated and authorized change set. */
 final class ChangeSetReader {
-  /** Most items of one change. */
+  /** Maximum number of items in a change. */
   static final int MAX_ITEMS = 10_000;
 
   private final Principal principal;
@@ -34,7 +34,7 @@
     this.request = request;
   }
 
-  /** The change set, or why it is refused. */
+  /** Returns the change set, or the reason for its rejection. */
   static Either<OperatorError, ChangeSet> read(Principal principal, ApplyRequest request) {
     return new ChangeSetReader(principal, request).read();
   }
@@ -78,7 +78,7 @@
       resource(path, request.getUpserts(index), changeTier)
           .ifPresent(
               resource -> {
-                once(path, resource.key());
+                checkUnique(path, resource.key());
                 upserts.add(resource);
               });
     }
@@ -95,7 +95,7 @@
         invalid.add(new Violation(path + ".kind", kindName(key), "must be a known kind"));
       } else {
         ResourceKey deleted = new ResourceKey(kind.get(), key.getName());
-        once(path, deleted);
+        checkUnique(path, deleted);
         deletes.add(deleted);
       }
     }
@@ -106,7 +106,7 @@
     return Integer.toString(key.getKindValue());
   }
 
-  private void once(String path, ResourceKey key) {
+  private void checkUnique(String path, ResourceKey key) {
     if (!seen.add(key)) {
       invalid.add(new Violation(path + ".name", key.name(), "is named twice in this change"));
     }
--- a/umberpath-node/src/main/java/io/umberpath/node/operator/FleetHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/FleetHandler.java
@@ -19,11 +19,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 
-/** Calls about the whole fleet: wait, status, status stream. Thread-safe; never blocks. */
+/** Handles fleet-wide calls: wait, status and the status stream. Thread-safe; never blocks. */
 final class FleetHandler {
-  private static final Duration LONGEST_WAIT = Duration.ofMinutes(10);
-  private static final long FIRST_POLL_MILLIS = 20;
-  private static final long SLOWEST_POLL_MILLIS = 250;
+  private static final Duration MAX_WAIT = Duration.ofMinutes(10);
+  private static final long INITIAL_POLL_MILLIS = 20;
+  private static final long MAX_POLL_MILLIS = 250;
   private static final long DEFAULT_WATCH_MILLIS = 1_000;
   private static final long MIN_WATCH_MILLIS = 100;
   private static final long MAX_WATCH_MILLIS = 60_000;
@@ -39,8 +39,9 @@
   }
 
   /**
-   * Completes when every member runs the version or a newer one, or with a deadline error that says
-   * how many are behind; a call without a deadline waits for {@link #LONGEST_WAIT}.
+   * Completes when the version or a newer one is active on every member, or with a deadline error
+   * that gives the number of lagging members; a call without a deadline waits for {@link
+   * #MAX_WAIT}.
    */
   CompletableFuture<Either<OperatorError, WaitResponse>> waitFor(WaitRequest request) {
     Version version = ResourceCodec.version(request.getVersion());
@@ -49,21 +50,21 @@
           Either.left(
               OperatorError.invalid("version", version.toString(), "must be an accepted version")));
     }
-    Duration timeout = CallDeadline.remaining(LONGEST_WAIT, LONGEST_WAIT);
-    Wait wait = new Wait(version, System.nanoTime() + timeout.toNanos());
-    wait.poll(FIRST_POLL_MILLIS);
+    Duration timeout = CallDeadline.remaining(MAX_WAIT, MAX_WAIT);
+    PendingWait wait = new PendingWait(version, System.nanoTime() + timeout.toNanos());
+    wait.poll(INITIAL_POLL_MILLIS);
     return wait.result;
   }
 
-  /** One waiting call; asks again at growing intervals. */
-  private final class Wait {
+  /** A pending wait call; polls at increasing intervals. */
+  private final class PendingWait {
     private final CompletableFuture<Either<OperatorError, WaitResponse>> result =
         new CompletableFuture<>();
     private final Context context = Context.current();
     private final Version version;
     private final long deadlineNanos;
 
-    Wait(Version version, long deadlineNanos) {
+    PendingWait(Version version, long deadlineNanos) {
       this.version = version;
       this.deadlineNanos = deadlineNanos;
     }
@@ -73,30 +74,35 @@
     }
 
     private void check(List<ControlStatus.NodeView> nodes, long pauseMillis) {
-      long behind = nodes.stream().filter(node -> version.isAfter(node.active())).count();
-      if (!nodes.isEmpty() && behind == 0) {
-        result.complete(Either.right(inForce(nodes)));
+      long laggingMembers = nodes.stream().filter(node -> version.isAfter(node.active())).count();
+      if (!nodes.isEmpty() && laggingMembers == 0) {
+        result.complete(Either.right(waitResponse(nodes)));
         return;
       }
-      long leftMillis = TimeUnit.NANOSECONDS.toMillis(deadlineNanos - System.nanoTime());
-      if (leftMillis <= 0 || context.isCancelled()) {
-        result.complete(Either.left(notYet(nodes, behind)));
+      long remainingMillis = TimeUnit.NANOSECONDS.toMillis(deadlineNanos - System.nanoTime());
+      if (remainingMillis <= 0 || context.isCancelled()) {
+        result.complete(Either.left(timeoutError(nodes, laggingMembers)));
         return;
       }
-      long next = Math.min(2 * pauseMillis, SLOWEST_POLL_MILLIS);
-      long pause = Math.min(pauseMillis, leftMillis);
-      scheduler.schedule(() -> poll(next), pause, TimeUnit.MILLISECONDS);
+      long nextPauseMillis = Math.min(2 * pauseMillis, MAX_POLL_MILLIS);
+      long pause = Math.min(pauseMillis, remainingMillis);
+      scheduler.schedule(() -> poll(nextPauseMillis), pause, TimeUnit.MILLISECONDS);
     }
 
-    private OperatorError notYet(List<ControlStatus.NodeView> nodes, long behind) {
-      return OperatorError.deadline(
+    private OperatorError timeoutError(List<ControlStatus.NodeView> nodes, long laggingMembers) {
+      return OperatorError.deadlineExceeded(
           nodes.isEmpty()
               ? "no leader answered; whether " + version + " is in force is not known"
-              : version + " is not yet in force in " + behind + " of " + nodes.size() + " members");
+              : version
+                  + " is not yet in force in "
+                  + laggingMembers
+                  + " of "
+                  + nodes.size()
+                  + " members");
     }
   }
 
-  private static WaitResponse inForce(List<ControlStatus.NodeView> nodes) {
+  private static WaitResponse waitResponse(List<ControlStatus.NodeView> nodes) {
     Version oldest =
         nodes.stream()
             .map(ControlStatus.NodeView::active)
@@ -108,7 +114,7 @@
         .build();
   }
 
-  /** One report; the list of nodes is for fleet administrators only. */
+  /** Returns the fleet status; only fleet administrators get the list of nodes. */
   CompletableFuture<Either<OperatorError, FleetStatusResponse>> status(Principal principal) {
     return fleetView.get().thenApply(nodes -> Either.right(report(principal, nodes)));
   }
@@ -128,14 +134,14 @@
             .setCurrentNodes(
                 (int) nodes.stream().filter(node -> !committed.isAfter(node.active())).count());
     if (principal.fleetAdmin()) {
-      nodes.forEach(node -> report.addNodes(node(node, committed)));
+      nodes.forEach(node -> report.addNodes(nodeStatus(node, committed)));
     }
-    CompositionCauses.visibleTo(principal, status)
+    CompositionViolations.visibleTo(principal, status)
         .forEach(cause -> report.addCompositionViolations(ResourceCodec.violation(cause)));
     return report.build();
   }
 
-  private static NodeStatus node(ControlStatus.NodeView node, Version committed) {
+  private static NodeStatus nodeStatus(ControlStatus.NodeView node, Version committed) {
     long lag = Math.max(0, committed.sequence() - node.active().sequence());
     return NodeStatus.newBuilder()
         .setAddress(node.member().address().toString())
@@ -149,7 +155,7 @@
         .build();
   }
 
-  /** Sends reports until the caller cancels; a slow caller misses reports instead of queueing. */
+  /** Streams status reports until the client cancels; reports to a slow client are skipped. */
   void watch(
       Principal principal,
       WatchStatusRequest request,
@@ -162,12 +168,12 @@
           OperatorError.invalid("interval_millis", Long.toString(interval), range).toException());
       return;
     }
-    // A cancelled call must not make a late report throw.
+    // With a cancel handler, sending a report to a cancelled call does not throw.
     observer.setOnCancelHandler(() -> {});
     new Watch(() -> status(principal), interval, observer).next();
   }
 
-  /** One watching call. Reports follow one another, so its fields need no lock. */
+  /** A watch call. Reports are sent sequentially, so its fields need no lock. */
   private final class Watch {
     private final Supplier<CompletableFuture<Either<OperatorError, FleetStatusResponse>>> status;
     private final long intervalMillis;
--- a/umberpath-node/src/main/java/io/umberpath/node/operator/SharedFleetView.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/SharedFleetView.java
@@ -9,38 +9,39 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * Asks the leader for its view of the fleet, one question at a time: callers that come while one is
- * under way share its answer. Active versions never fall, so a shared answer errs on the safe side.
+ * Requests the leader's view of the fleet, with at most one request in flight: concurrent callers
+ * share its result. Active versions never decrease, so a shared result can only understate them.
  * Thread-safe.
  */
 final class SharedFleetView {
   private static final Duration TIMEOUT = Duration.ofSeconds(2);
 
   private final ControlService control;
-  private final AtomicReference<CompletableFuture<List<ControlStatus.NodeView>>> underWay =
+  private final AtomicReference<CompletableFuture<List<ControlStatus.NodeView>>> inFlight =
       new AtomicReference<>();
 
   SharedFleetView(ControlService control) {
     this.control = control;
   }
 
-  /** One entry per roster member; empty if no leader answered. Never completes exceptionally. */
+  /** One entry per roster member; empty if no leader responds. Never completes exceptionally. */
   CompletableFuture<List<ControlStatus.NodeView>> get() {
-    CompletableFuture<List<ControlStatus.NodeView>> mine = new CompletableFuture<>();
-    CompletableFuture<List<ControlStatus.NodeView>> other = underWay.compareAndExchange(null, mine);
-    if (other != null) {
-      return other;
+    CompletableFuture<List<ControlStatus.NodeView>> started = new CompletableFuture<>();
+    CompletableFuture<List<ControlStatus.NodeView>> existing =
+        inFlight.compareAndExchange(null, started);
+    if (existing != null) {
+      return existing;
     }
-    ask()
+    requestView()
         .whenComplete(
             (nodes, failure) -> {
-              underWay.set(null);
-              mine.complete(failure == null ? nodes : List.of());
+              inFlight.set(null);
+              started.complete(failure == null ? nodes : List.of());
             });
-    return mine;
+    return started;
   }
 
-  private CompletableFuture<List<ControlStatus.NodeView>> ask() {
+  private CompletableFuture<List<ControlStatus.NodeView>> requestView() {
     try {
       return control
           .fleetView(TIMEOUT)
--- a/umberpath-node/src/main/java/io/umberpath/node/operator/TokenAuthenticator.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/TokenAuthenticator.java
@@ -18,19 +18,19 @@
 import java.util.Optional;
 
 /**
- * Admits calls whose metadata holds {@code authorization: Bearer TOKEN} with a known token. Only
- * hashes are kept; each call compares with all of them in constant time. Thread-safe.
+ * Authenticates calls by the metadata entry {@code authorization: Bearer TOKEN}. Stores only token
+ * hashes; each call is compared with all of them in constant time. Thread-safe.
  */
 final class TokenAuthenticator implements ServerInterceptor {
   private static final int MAX_TOKEN_LENGTH = 1_024;
 
-  private final List<Known> known = new ArrayList<>();
+  private final List<KnownToken> knownTokens = new ArrayList<>();
 
-  private record Known(byte[] sha256, Principal principal) {}
+  private record KnownToken(byte[] sha256, Principal principal) {}
 
   TokenAuthenticator(List<NodeSettings.Token> tokens) {
     for (NodeSettings.Token token : tokens) {
-      known.add(new Known(HexFormat.of().parseHex(token.sha256()), Principal.of(token)));
+      knownTokens.add(new KnownToken(HexFormat.of().parseHex(token.sha256()), Principal.of(token)));
     }
   }
 
@@ -67,10 +67,10 @@
     return BearerToken.parse(values.get(0)).flatMap(token -> find(sha256(token)));
   }
 
-  /** Compares with every known hash, so that the time does not tell which one matched. */
+  /** Compares with every known hash so that timing does not reveal which one matched. */
   private Optional<Principal> find(byte[] sha256) {
     Principal found = null;
-    for (Known candidate : known) {
+    for (KnownToken candidate : knownTokens) {
       if (MessageDigest.isEqual(candidate.sha256(), sha256)) {
         found = candidate.principal();
       }
--- a/umberpath-node/src/main/java/io/umberpath/node/settings/TransportSecurityReader.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/settings/TransportSecurityReader.java
@@ -9,7 +9,7 @@
 import io.umberpath.transport.TransportSecurity.PlainTextLoopback;
 import java.nio.file.Path;
 
-/** Reads the group {@code transport}: how connections between nodes are protected. */
+/** Reads the {@code transport} mapping: security of connections between nodes. */
 final class TransportSecurityReader {
   private static final String GROUP = "transport";
   private static final String AUTHORITIES = "authorities";
@@ -20,11 +20,11 @@
 
   private TransportSecurityReader() {}
 
-  /** Plain text without the group, which only a node on loopback may do. */
+  /** Defaults to plain text if the mapping is absent, which is allowed only on loopback. */
   static TransportSecurity read(MappingReader root, PeerAddress address) {
     boolean given = root.present(GROUP);
     TransportSecurity security =
-        root.<TransportSecurity>optionalGroup(GROUP, TransportSecurityReader::mutualTls)
+        root.<TransportSecurity>optionalGroup(GROUP, TransportSecurityReader::readMutualTls)
             .orElse(new PlainTextLoopback());
     if (!given && !InetAddresses.forString(address.host()).isLoopbackAddress()) {
       root.problem(GROUP, "is required because node.address is not on loopback");
@@ -32,7 +32,7 @@
     return security;
   }
 
-  private static MutualTls mutualTls(MappingReader transport) {
+  private static MutualTls readMutualTls(MappingReader transport) {
     boolean pem = transport.present(CERTIFICATES) || transport.present(PRIVATE_KEY);
     boolean pkcs12 = transport.present(KEY_STORE) || transport.present(PASSWORD_FILE);
     if (pem && pkcs12) {
@@ -40,20 +40,20 @@
           transport.present(CERTIFICATES) ? CERTIFICATES : PRIVATE_KEY,
           "give either certificates and privateKey or keyStore and passwordFile");
     }
-    Identity identity = pkcs12 ? pkcs12(transport) : pem(transport);
-    return new MutualTls(identity, path(transport, AUTHORITIES));
+    Identity identity = pkcs12 ? readPkcs12(transport) : readPem(transport);
+    return new MutualTls(identity, readPath(transport, AUTHORITIES));
   }
 
-  private static Identity pem(MappingReader transport) {
-    return new PemIdentity(path(transport, CERTIFICATES), path(transport, PRIVATE_KEY));
+  private static Identity readPem(MappingReader transport) {
+    return new PemIdentity(readPath(transport, CERTIFICATES), readPath(transport, PRIVATE_KEY));
   }
 
-  private static Identity pkcs12(MappingReader transport) {
+  private static Identity readPkcs12(MappingReader transport) {
     return new TransportSecurity.Pkcs12Identity(
-        path(transport, KEY_STORE), path(transport, PASSWORD_FILE));
+        readPath(transport, KEY_STORE), readPath(transport, PASSWORD_FILE));
   }
 
-  private static Path path(MappingReader transport, String key) {
+  private static Path readPath(MappingReader transport, String key) {
     return Path.of(transport.text(key));
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/settings/YamlTreeParser.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/settings/YamlTreeParser.java
@@ -11,10 +11,7 @@
 import java.util.List;
 import java.util.Map;
 
-/**
- * Parses one YAML document into a tree that keeps line numbers. Duplicate keys and aliases are
- * refused.
- */
+/** Parses one YAML document into a tree with line numbers. Rejects duplicate keys and aliases. */
 public final class YamlTreeParser {
   private static final int MAX_DEPTH = 32;
   private static final YAMLFactory FACTORY = new YAMLFactory();
@@ -27,12 +24,12 @@
     this.fromFlag = fromFlag;
   }
 
-  /** Parses the text of a file; an empty text is an empty mapping. */
+  /** Parses the text of a file; empty text yields an empty mapping. */
   public static Either<SettingsProblem, YamlValue> parse(String text) {
     return parse(text, false);
   }
 
-  /** Parses the value of a flag, whose lines mean nothing. */
+  /** Parses the value of a flag; its values get {@link SettingsProblem#FLAG_LINE}. */
   static Either<SettingsProblem, YamlValue> parseFlag(String text) {
     return parse(text, true);
   }
@@ -43,7 +40,7 @@
       if (parser.nextToken() == null) {
         return Either.right(new YamlValue.Mapping(tree.line(), new LinkedHashMap<>()));
       }
-      YamlValue value = tree.value("", 0);
+      YamlValue value = tree.parseValue("", 0);
       if (parser.nextToken() != null) {
         return Either.left(
             tree.problem("(document)", "more than one document", "must be one document"));
@@ -62,43 +59,43 @@
     }
   }
 
-  private YamlValue value(String path, int depth) throws IOException {
+  private YamlValue parseValue(String path, int depth) throws IOException {
     if (depth > MAX_DEPTH) {
-      throw refuse(path, "deeper than " + MAX_DEPTH, "must be nested less deeply");
+      throw rejection(path, "deeper than " + MAX_DEPTH, "must be nested less deeply");
     }
     if (parser.isCurrentAlias()) {
-      throw refuse(path, parser.getText(), "aliases are not supported");
+      throw rejection(path, parser.getText(), "aliases are not supported");
     }
     JsonToken token = parser.currentToken();
     if (token == JsonToken.START_OBJECT) {
-      return mapping(path, depth);
+      return parseMapping(path, depth);
     }
     if (token == JsonToken.START_ARRAY) {
-      return sequence(path, depth);
+      return parseSequence(path, depth);
     }
     return new YamlValue.Scalar(line(), parser.getText(), token == JsonToken.VALUE_NULL);
   }
 
-  private YamlValue.Mapping mapping(String path, int depth) throws IOException {
+  private YamlValue.Mapping parseMapping(String path, int depth) throws IOException {
     int line = line();
     Map<String, YamlValue> entries = new LinkedHashMap<>();
     while (parser.nextToken() != JsonToken.END_OBJECT) {
       String key = parser.currentName();
       String field = path.isEmpty() ? key : path + "." + key;
       if (entries.containsKey(key)) {
-        throw refuse(field, key, "is given twice");
+        throw rejection(field, key, "is given twice");
       }
       parser.nextToken();
-      entries.put(key, value(field, depth + 1));
+      entries.put(key, parseValue(field, depth + 1));
     }
     return new YamlValue.Mapping(line, entries);
   }
 
-  private YamlValue.Sequence sequence(String path, int depth) throws IOException {
+  private YamlValue.Sequence parseSequence(String path, int depth) throws IOException {
     int line = line();
     List<YamlValue> items = new ArrayList<>();
     while (parser.nextToken() != JsonToken.END_ARRAY) {
-      items.add(value(path + "[" + items.size() + "]", depth + 1));
+      items.add(parseValue(path + "[" + items.size() + "]", depth + 1));
     }
     return new YamlValue.Sequence(line, items);
   }
@@ -111,11 +108,11 @@
     return new SettingsProblem(line(), field, value, message);
   }
 
-  private UnacceptableYamlException refuse(String field, String value, String message) {
+  private UnacceptableYamlException rejection(String field, String value, String message) {
     return new UnacceptableYamlException(problem(field, value, message));
   }
 
-  /** Carries a problem out of the recursion. */
+  /** Propagates a problem out of the recursive descent. */
   private static final class UnacceptableYamlException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/umberpath-node/src/test/java/io/umberpath/node/operator/FakeControlService.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/operator/FakeControlService.java
@@ -26,7 +26,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A register of one process; faults and the members' versions are set by the test. */
+/** An in-memory control service; the test sets its failures and the members' versions. */
 public final class FakeControlService implements ControlService {
   static final Member SELF = new Member(0, PeerAddress.parse("127.0.0.1:7100"), 1, "kepong", "kv");
 
@@ -68,12 +68,12 @@
     }
     String key = StateDeltas.answerKey(change.tenant(), change.requestId());
     long fingerprint = StateHasher.fingerprint(change);
-    Optional<FleetState.AnsweredChange> before = state.answered().get(key).toJavaOptional();
-    if (before.isPresent()) {
-      boolean repeat = before.get().changeHash() == fingerprint;
+    Optional<FleetState.AnsweredChange> previous = state.answered().get(key).toJavaOptional();
+    if (previous.isPresent()) {
+      boolean isRetry = previous.get().changeHash() == fingerprint;
       return CompletableFuture.completedFuture(
-          repeat
-              ? new ChangeResult.Accepted(before.get().version())
+          isRetry
+              ? new ChangeResult.Accepted(previous.get().version())
               : new ChangeResult.Refused(ChangeResult.RefusalCode.REQUEST_ID_REUSED, List.of()));
     }
     Version target = state.version().next(1);
