--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/EdgeHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/EdgeHandler.java
@@ -44,7 +44,7 @@
   private record CachedTable(ProxySnapshot snapshot, RouteTable table) {}
 
   private final ControlService control;
-  private final OriginConnectionPools origins;
+  private final OriginConnectionPools originPools;
   private final LoadBalancer balancer;
   private final Map<Tier, RetryPolicy> retryPolicies;
   private final LongSupplier clockMillis;
@@ -56,12 +56,12 @@
 
   EdgeHandler(
       ControlService control,
-      OriginConnectionPools origins,
+      OriginConnectionPools originPools,
       LoadBalancer balancer,
       Map<Tier, RetryPolicy> retryPolicies,
       LongSupplier clockMillis) {
     this.control = control;
-    this.origins = origins;
+    this.originPools = originPools;
     this.balancer = balancer;
     this.retryPolicies = retryPolicies;
     this.clockMillis = clockMillis;
@@ -195,7 +195,7 @@
 
   private void send(Exchange exchange, BackendAddress backend, long nowMillis) {
     PeerAddress address = new PeerAddress(backend.nodeHost(), backend.nodeHopPort());
-    if (!exchange.sendTo(origins.poolOf(address), backend.id())) {
+    if (!exchange.sendTo(originPools.poolOf(address), backend.id())) {
       // The request ended while its backend was being picked.
       synchronized (balancer) {
         balancer.finished(nowMillis, backend.id(), new Verdict.NotRun(Verdict.Reason.CANCELLED), 0);
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/Listener.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/Listener.java
@@ -38,10 +38,11 @@
   private void checkAfterRound(long acceptedBefore, int roundsLeft) {
     SelectorTasks.runDeferred(
         server,
-        () -> SelectorTasks.runDeferred(server, () -> closeOrRepeat(acceptedBefore, roundsLeft)));
+        () ->
+            SelectorTasks.runDeferred(server, () -> closeOrCheckAgain(acceptedBefore, roundsLeft)));
   }
 
-  private void closeOrRepeat(long acceptedBefore, int roundsLeft) {
+  private void closeOrCheckAgain(long acceptedBefore, int roundsLeft) {
     long accepted = filter.accepted();
     if (accepted == acceptedBefore || roundsLeft == 0) {
       server.closeSilently();
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/ProxyServer.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/ProxyServer.java
@@ -56,7 +56,7 @@
   private final NodeSettings.Proxy settings;
   private final LongSupplier clockMillis;
   private final ProxyTransport transport;
-  private final OriginConnectionPools origins;
+  private final OriginConnectionPools originPools;
   private final ActiveExchanges activeExchanges = new ActiveExchanges();
   private final ExchangeEnvironment environment;
   private final EdgeHandler edge;
@@ -89,7 +89,7 @@
     this.settings = settings;
     this.clockMillis = clockMillis;
     this.transport = new ProxyTransport(settings.maxHeaderBytes(), ConnectionPool::returnToPool);
-    this.origins = new OriginConnectionPools(transport, clockMillis);
+    this.originPools = new OriginConnectionPools(transport, clockMillis);
     this.environment =
         new ExchangeEnvironment(
             clockMillis,
@@ -101,7 +101,7 @@
     this.edge =
         new EdgeHandler(
             control,
-            origins,
+            originPools,
             LoadBalancers.create(BalancerSettings.of(UUID.randomUUID().toString(), zone)),
             RetryPolicies.createPerTier(RetrySettings.DEFAULT),
             clockMillis);
@@ -204,7 +204,7 @@
   }
 
   private void expireConnections() {
-    origins.expire(IDLE_ORIGIN_MILLIS);
+    originPools.expire(IDLE_ORIGIN_MILLIS);
     backendPool.ifPresent(pool -> pool.expire(IDLE_ORIGIN_MILLIS));
     filters.forEach(filter -> filter.expire(IDLE_CLIENT_MILLIS, LINGER_MILLIS));
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/Attempt.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/Attempt.java
@@ -24,7 +24,7 @@
   private final String originId;
   private final int number;
   private final long startNanos = System.nanoTime();
-  private final ShortResponseBuffer shortAnswer = new ShortResponseBuffer();
+  private final ShortResponseBuffer responseBuffer = new ShortResponseBuffer();
   private OriginConnection origin;
 
   /**
@@ -98,7 +98,7 @@
 
   @Override
   public void onInterimResponse(byte[] head) {
-    exchange.attemptReceivedInterim(this, head);
+    exchange.attemptReceivedInterimResponse(this, head);
   }
 
   @Override
@@ -160,7 +160,7 @@
 
   /** Takes a part of the response and returns what can be forwarded of the response now. */
   Optional<ResponsePart> partToForward(ResponsePart part) {
-    return shortAnswer.add(part);
+    return responseBuffer.add(part);
   }
 
   /** Called when the response is complete: the attempt no longer owns the connection. */
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ClientConnection.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ClientConnection.java
@@ -33,7 +33,7 @@
   private final ExchangeCanceller canceller = new ExchangeCanceller();
   private final ArrivalTime arrivalTime;
   private final SuspendedReads reads;
-  private final DroppedInput droppedInput = new DroppedInput();
+  private final DiscardedInput discardedInput = new DiscardedInput();
   private ConnectionState state = ConnectionState.OPEN;
   private ConnectionEnd endCause = ConnectionEnd.PEER;
   private boolean isAdvancing;
@@ -194,7 +194,7 @@
   /** Called when a response announces that the connection closes: no later request is begun. */
   synchronized void announceLast() {
     if (state == ConnectionState.OPEN) {
-      state = ConnectionState.LAST_ANSWER;
+      state = ConnectionState.LAST_RESPONSE;
     }
   }
 
@@ -297,7 +297,7 @@
       return () -> abort(ConnectionEnd.BROKEN_ANSWER);
     }
     boolean isLast =
-        state == ConnectionState.LAST_ANSWER && pipeline.isEmpty() && finalResponse == null;
+        state == ConnectionState.LAST_RESPONSE && pipeline.isEmpty() && finalResponse == null;
     if (isLast || !response.isKeepAlive()) {
       return endOutput(ConnectionEnd.LAST_ANSWER);
     }
@@ -336,7 +336,7 @@
   /** Shuts the output down; input is discarded until the peer closes, too. */
   private Runnable endOutput(ConnectionEnd cause) {
     state = ConnectionState.OUTPUT_ENDED;
-    droppedInput.outputEnds();
+    discardedInput.outputEnds();
     setEndCause(cause);
     idleTimer.restart();
     Runnable head = reads.takeHeadResumption();
@@ -368,13 +368,13 @@
   }
 
   @Override
-  public synchronized void setHasUndecodedBytes(boolean isKept) {
-    reads.keepsUndecoded(isKept);
+  public synchronized void setHasUndecodedBytes(boolean hasUndecodedBytes) {
+    reads.setHasUndecodedBytes(hasUndecodedBytes);
   }
 
   @Override
   public synchronized void onBytesDiscarded(int bytes) {
-    droppedInput.add(bytes);
+    discardedInput.add(bytes);
   }
 
   @Override
@@ -408,7 +408,7 @@
           endCause == ConnectionEnd.PEER
               ? ConnectionEnd.ofCloseReason(connection.getCloseReason())
               : endCause;
-      input = droppedInput.input(connection, reads.isSuspendedAtHead());
+      input = discardedInput.summarize(connection, reads.isSuspendedAtHead());
     }
     // Outside of this lock, since it takes the locks of the exchanges.
     UnansweredRequests unanswered = UnansweredRequests.of(side, cause, open, input);
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/DroppedInput.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/DiscardedInput.java
@@ -8,7 +8,7 @@
  * Counts the input that was discarded because the connection's output had ended. Guarded by the
  * connection's lock.
  */
-final class DroppedInput {
+final class DiscardedInput {
   private long endedNanos;
   private long firstNanos;
   private long bytes;
@@ -27,7 +27,7 @@
   }
 
   /** A summary of all input that belongs to no begun request. */
-  UnansweredRequests.Input input(Connection<?> connection, boolean isHeadUnbegun) {
+  UnansweredRequests.Input summarize(Connection<?> connection, boolean isHeadUnbegun) {
     long afterNanos = bytes == 0 ? 0 : firstNanos - endedNanos;
     int port = connection.getPeerAddress() instanceof InetSocketAddress peer ? peer.getPort() : 0;
     return new UnansweredRequests.Input(
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/Exchange.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/Exchange.java
@@ -235,7 +235,7 @@
   }
 
   /** Fails the request without another attempt. */
-  void giveUp(Verdict.Reason reason) {
+  void failWithoutRetry(Verdict.Reason reason) {
     synchronized (this) {
       fail(refusalForStage(reason), false);
     }
@@ -439,10 +439,10 @@
     runDeferredActions();
   }
 
-  void attemptReceivedInterim(Attempt current, byte[] head) {
+  void attemptReceivedInterimResponse(Attempt current, byte[] head) {
     synchronized (this) {
       if (attempt == current && stage == ExchangeStage.SENT) {
-        responseWriter.writeInterim(head);
+        responseWriter.writeInterimResponse(head);
       } else if (isStillWanted(current, ExchangeStage.HEAD_SENT)) {
         stage = ExchangeStage.SENT;
         current.sendBody(body);
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ExchangeCanceller.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ExchangeCanceller.java
@@ -19,7 +19,7 @@
     boolean isUnderLock = exchanges.stream().anyMatch(Thread::holdsLock);
     for (Exchange exchange : exchanges) {
       if (!isUnderLock || Thread.holdsLock(exchange)) {
-        exchange.giveUp(Verdict.Reason.CANCELLED);
+        exchange.failWithoutRetry(Verdict.Reason.CANCELLED);
       } else {
         defer(exchange);
       }
@@ -32,7 +32,7 @@
 
   /** Cancels the exchanges that were deferred. */
   void cancelDeferred() {
-    takeDeferred().forEach(exchange -> exchange.giveUp(Verdict.Reason.CANCELLED));
+    takeDeferred().forEach(exchange -> exchange.failWithoutRetry(Verdict.Reason.CANCELLED));
   }
 
   private synchronized List<Exchange> takeDeferred() {
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/IdleTimer.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/IdleTimer.java
@@ -26,7 +26,7 @@
     }
   }
 
-  boolean hasElapsed(long boundMillis) {
-    return clockMillis.getAsLong() - sinceMillis >= boundMillis;
+  boolean hasElapsed(long timeoutMillis) {
+    return clockMillis.getAsLong() - sinceMillis >= timeoutMillis;
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/RequestGuard.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/RequestGuard.java
@@ -45,7 +45,7 @@
       return step.getAsBoolean();
     } catch (RuntimeException fault) {
       logger.atSevere().withCause(fault).log("request handler failed");
-      exchange.giveUp(Verdict.Reason.INTERNAL);
+      exchange.failWithoutRetry(Verdict.Reason.INTERNAL);
       return true;
     } catch (Error fault) {
       exchange.abortConnection();
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/RequestHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/RequestHandler.java
@@ -70,7 +70,7 @@
    *
    * @param plan the request's plan, or null if it was refused before there was one
    */
-  default void addResponseHeaders(RequestPlan plan, HttpResponsePacket answer) {}
+  default void addResponseHeaders(RequestPlan plan, HttpResponsePacket response) {}
 
   /** Checks the head of a response; returns a refusal if another node refused the request. */
   Optional<Refusal> refusalInResponse(Exchange exchange, ResponseHead head);
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ResponseWriter.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ResponseWriter.java
@@ -50,11 +50,11 @@
 
   /** Sends 100 (Continue), so that the client sends the request body. */
   void writeContinue() {
-    writeInterim(CONTINUE);
+    writeInterimResponse(CONTINUE);
   }
 
   /** Forwards an interim (1xx) response; HTTP/1.0 clients would take it for the final one. */
-  void writeInterim(byte[] head) {
+  void writeInterimResponse(byte[] head) {
     if (isHttp11()) {
       pipelined.write(wrap(head), head.length);
     }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/SuspendedReads.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/SuspendedReads.java
@@ -53,8 +53,8 @@
     return readAhead.hasBufferedBytes();
   }
 
-  void keepsUndecoded(boolean isKept) {
-    hasUndecodedBytes = isKept;
+  void setHasUndecodedBytes(boolean newValue) {
+    hasUndecodedBytes = newValue;
   }
 
   /** Whether input has been read behind the requests that have begun. */
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/UnansweredRequests.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/UnansweredRequests.java
@@ -40,8 +40,9 @@
   static UnansweredRequests of(
       ProxyStats.Side side, ConnectionEnd end, List<Exchange> begun, Input input) {
     List<String> ids = begun.stream().map(UnansweredRequests::idOf).toList();
-    int sentOn = (int) begun.stream().filter(exchange -> exchange.history().count() > 0).count();
-    return new UnansweredRequests(side, end, ids, sentOn, input);
+    int sentToOrigin =
+        (int) begun.stream().filter(exchange -> exchange.history().count() > 0).count();
+    return new UnansweredRequests(side, end, ids, sentToOrigin, input);
   }
 
   static String idOf(Exchange exchange) {
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/LateReadTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/LateReadTest.java
@@ -77,9 +77,9 @@
       fixture.exchange(client);
       sendWhileSelectorIsBlocked(client, InboundFixture.get("/in-time", LONG_DEADLINE_MILLIS));
 
-      Message sentOn = origin.read();
-      assertThat(sentOn.head()).startsWith("GET /in-time ");
-      assertThat(Long.parseLong(sentOn.header(ProxyHeaders.DEADLINE_MILLIS)))
+      Message forwarded = origin.read();
+      assertThat(forwarded.head()).startsWith("GET /in-time ");
+      assertThat(Long.parseLong(forwarded.header(ProxyHeaders.DEADLINE_MILLIS)))
           .isBetween(1L, LONG_DEADLINE_MILLIS - SelectorBlock.LATE_MILLIS);
     }
   }
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/LatencyBenchmark.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/LatencyBenchmark.java
@@ -24,7 +24,7 @@
  * <p>Arguments: calls per second of each kind, seconds, client threads of each kind.
  */
 final class LatencyBenchmark {
-  private static final byte[] ANSWER =
+  private static final byte[] RESPONSE =
       "HTTP/1.1 200 OK\r\nContent-Length: 64\r\nContent-Type: text/plain\r\n\r\n"
           .concat("x".repeat(64))
           .getBytes(StandardCharsets.US_ASCII);
@@ -100,7 +100,7 @@
         }
         long began = System.nanoTime();
         output.write(REQUEST);
-        readAnswer(input, buffer);
+        readResponse(input, buffer);
         if (intended >= recordFrom) {
           histogram.recordValueWithExpectedInterval(System.nanoTime() - began, interval);
         }
@@ -110,7 +110,7 @@
     }
   }
 
-  private static void readAnswer(InputStream input, byte[] buffer) throws IOException {
+  private static void readResponse(InputStream input, byte[] buffer) throws IOException {
     int length = 0;
     while (true) {
       int read = input.read(buffer, length, buffer.length - length);
@@ -152,7 +152,7 @@
           read = input.read(buffer, length, 4096 - length)) {
         length += read;
         if (length >= 4 && buffer[length - 1] == '\n' && buffer[length - 3] == '\n') {
-          output.write(ANSWER);
+          output.write(RESPONSE);
           length = 0;
         }
       }
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/OverloadTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/OverloadTest.java
@@ -12,7 +12,7 @@
 
 /** More concurrent clients than slots. */
 class OverloadTest {
-  private static final int CALLERS = 100;
+  private static final int CLIENTS = 100;
   private static final int CALLS_EACH = 100;
 
   @Test
@@ -35,7 +35,7 @@
     try (ScriptedBackend backend = new ScriptedBackend(counting);
         ProxyFixture fixture = new ProxyFixture(backend)) {
       List<CompletableFuture<Void>> clients = new ArrayList<>();
-      for (int client = 0; client < CALLERS; client++) {
+      for (int client = 0; client < CLIENTS; client++) {
         int number = client;
         clients.add(
             CompletableFuture.runAsync(
@@ -45,7 +45,7 @@
       for (CompletableFuture<Void> client : clients) {
         client.get(60, TimeUnit.SECONDS);
       }
-      assertThat(answered.get() + refused.get()).isEqualTo(CALLERS * CALLS_EACH);
+      assertThat(answered.get() + refused.get()).isEqualTo(CLIENTS * CALLS_EACH);
       assertThat(backend.runs).hasValue(answered.get());
       assertThat(answered.get()).isPositive();
       assertThat(maxConcurrent.get()).isLessThanOrEqualTo(6);
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/ReadAheadTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/ReadAheadTest.java
@@ -20,11 +20,11 @@
   private static final int BODY_BYTES = 4 * 1024 * 1024;
   private static final long SEED = 20;
 
-  private final ExecutorService origins = Executors.newCachedThreadPool();
+  private final ExecutorService originExecutor = Executors.newCachedThreadPool();
 
   @AfterEach
   void stopOrigins() {
-    origins.shutdownNow();
+    originExecutor.shutdownNow();
   }
 
   /** More requests than run concurrently, split into parts of random length. */
@@ -45,7 +45,7 @@
       sendInParts(client, 3 * MAX_PIPELINED);
       RawConnection first = fixture.acceptOrigin();
       final CompletableFuture<Void> drained = CompletableFuture.runAsync(this::drain);
-      origins.execute(() -> serve(first));
+      originExecutor.execute(() -> serve(first));
       serveAll();
 
       assertAnswered(client, 3 * MAX_PIPELINED);
@@ -118,12 +118,12 @@
 
   /** Accepts all connections to the origin, and answers each request with its path. */
   private void serveAll() {
-    origins.execute(
+    originExecutor.execute(
         () -> {
           try {
             while (true) {
               RawConnection accepted = fixture.acceptOrigin();
-              origins.execute(() -> serve(accepted));
+              originExecutor.execute(() -> serve(accepted));
             }
           } catch (IOException fixtureClosed) {
             return;
--- a/umberpath-transport/src/main/java/io/umberpath/transport/ConnectionManager.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/ConnectionManager.java
@@ -270,18 +270,18 @@
       }
       if (connection.isEstablished()) {
         Peer peer = table.getOrCreatePeer(connection.remoteHello.listenAddress());
-        dropIfUnreachable(table.removeEstablished(connection), peer, deferred);
+        discardIfUnreachable(table.removeEstablished(connection), peer, deferred);
         selectActive(peer, deferred);
       } else if (connection.isOutbound()) {
         Peer peer = table.getOrCreatePeer(connection.dialledAddress.get());
-        dropIfUnreachable(
+        discardIfUnreachable(
             table.removeConnectAttempt(connection, clockMillis.getAsLong()), peer, deferred);
       }
     }
     deferred.run();
   }
 
-  private void dropIfUnreachable(boolean unreachable, Peer peer, DeferredActions deferred) {
+  private void discardIfUnreachable(boolean unreachable, Peer peer, DeferredActions deferred) {
     if (unreachable) {
       table.discardPending(peer);
       deferred.add(() -> receiver.onUnreachable(peer.address));
@@ -292,7 +292,7 @@
    * Closes connections whose timeout has expired, pings idle connections, and dials peers with
    * queued frames whose backoff has elapsed.
    */
-  void sweep() {
+  void runMaintenance() {
     long nowMillis = clockMillis.getAsLong();
     List<PeerConnection> open;
     DeferredActions deferred = new DeferredActions();
@@ -302,10 +302,10 @@
       table.peers.values().forEach(peer -> flushOrConnect(peer, deferred));
     }
     deferred.run();
-    open.forEach(connection -> sweep(connection, nowMillis));
+    open.forEach(connection -> runMaintenance(connection, nowMillis));
   }
 
-  private void sweep(PeerConnection connection, long nowMillis) {
+  private void runMaintenance(PeerConnection connection, long nowMillis) {
     Optional<TransportError> timeout;
     synchronized (table.lock) {
       timeout = connection.findExpiredTimeout(nowMillis, settings.timeouts());
--- a/umberpath-transport/src/main/java/io/umberpath/transport/GrizzlyTransport.java
+++ b/umberpath-transport/src/main/java/io/umberpath/transport/GrizzlyTransport.java
@@ -82,7 +82,7 @@
               thread.setDaemon(true);
               return thread;
             });
-    scheduleRepeatedly(manager::sweep, SWEEP_INTERVAL_MILLIS);
+    scheduleRepeatedly(manager::runMaintenance, SWEEP_INTERVAL_MILLIS);
     tls.ifPresent(
         context -> scheduleRepeatedly(() -> reloadTls(context), TLS_RELOAD_INTERVAL_MILLIS));
   }
