--- a/umberpath-node/src/main/java/io/umberpath/node/platform/DocumentFilter.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/platform/DocumentFilter.java
@@ -24,7 +24,7 @@
 final class DocumentFilter extends BaseFilter {
   private static final int OK = 200;
   private static final Attribute<PendingResponse> PENDING_RESPONSE =
-      Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("umberpath.platform.answer");
+      Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("umberpath.platform.pendingResponse");
 
   private final int maxBytes;
 
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ClientConnection.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ClientConnection.java
@@ -23,7 +23,7 @@
  */
 final class ClientConnection implements PendingResponses {
   private static final Attribute<ClientConnection> ATTRIBUTE =
-      AttributeBuilder.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("umberpath.callerConnection");
+      AttributeBuilder.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("umberpath.clientConnection");
 
   private final Connection<?> connection;
   private final ProxyStats.Side side;
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/RequestHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/RequestHandler.java
@@ -38,7 +38,7 @@
   void addHeaders(Exchange exchange, HttpRequestPacket outgoing, long nowMillis);
 
   /**
-   * Whether a request may run at the same time as others of its client connection, and be repeated
+   * Whether a request may run at the same time as others of its client connection, and be retried
    * if its response cannot be delivered. Other requests start when those before them have been
    * answered.
    */
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/loop/EventLoop.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/loop/EventLoop.java
@@ -220,11 +220,11 @@
       return !isSelecting && System.nanoTime() - earliestArrivalNanos >= LATE_THRESHOLD_NANOS;
     }
 
-    Set<SelectionKey> begin(Set<SelectionKey> selected, boolean isWaiting) {
+    Set<SelectionKey> begin(Set<SelectionKey> selected, boolean wasInputWaiting) {
       lastSelectedNanos = selectedNanos;
       selectedNanos = System.nanoTime();
       isSelecting = false;
-      earliestArrivalNanos = isWaiting ? lastSelectedNanos : selectedNanos;
+      earliestArrivalNanos = wasInputWaiting ? lastSelectedNanos : selectedNanos;
       sockets = selected.size();
       deferred.onIterationStart();
       return selected;
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/BackendFaultTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/BackendFaultTest.java
@@ -49,7 +49,7 @@
     final AtomicInteger deliveries = new AtomicInteger();
     final AtomicInteger runs = new AtomicInteger();
     final CountDownLatch silenceStarted = new CountDownLatch(1);
-    final CountDownLatch clientAnswered = new CountDownLatch(1);
+    final CountDownLatch clientReceivedResponse = new CountDownLatch(1);
     final CountDownLatch faultOver = new CountDownLatch(1);
     private final Point point;
     private final Fault fault;
@@ -124,7 +124,7 @@
         }
         case SILENCE -> {
           silenceStarted.countDown();
-          await(clientAnswered);
+          await(clientReceivedResponse);
           connection.send("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate");
           connection.endsNow();
         }
@@ -195,19 +195,19 @@
         ProxyFixture fixture = new ProxyFixture(one, other);
         RawConnection client = fixture.connect()) {
       client.send(request(method, DEADLINE_MILLIS));
-      boolean answeredFirst = point == Point.AFTER_RESPONSE;
-      RawConnection.Message response = answeredFirst ? client.read() : null;
+      boolean respondsBeforeFault = point == Point.AFTER_RESPONSE;
+      RawConnection.Message response = respondsBeforeFault ? client.read() : null;
       if (fault == Fault.SILENCE) {
         await(script.silenceStarted);
         fixture.advance(DEADLINE_MILLIS);
       }
-      response = answeredFirst ? response : client.read();
+      response = respondsBeforeFault ? response : client.read();
       assertThat(response.status()).isEqualTo(status);
       assertThat(response.header("Umberpath-Verdict")).isEqualTo(verdict);
       assertThat(response.body()).isEqualTo(status == 200 ? "ok" : verdict + "\n");
       assertThat(script.deliveries).hasValue(deliveries);
       assertThat(script.runs.get()).isLessThanOrEqualTo(deliveries);
-      script.clientAnswered.countDown();
+      script.clientReceivedResponse.countDown();
       // Without an id, a response that arrives after the next request was sent cannot be told from
       // that request's own; refusesResponseWithAnotherRequestId covers that order.
       await(script.faultOver);
@@ -293,7 +293,7 @@
       String received = begun + readUntilTruncated(client);
       assertThat(received).doesNotContain("stray").doesNotContain("late").doesNotContain("\r\n0\r");
       assertThat(script.deliveries).hasValue(1);
-      script.clientAnswered.countDown();
+      script.clientReceivedResponse.countDown();
     }
   }
 
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/InboundFixture.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/InboundFixture.java
@@ -34,7 +34,7 @@
 
 /**
  * A listener on one selector thread that can be blocked. Requests that it does not refuse are sent
- * to an origin that the test plays.
+ * to an origin that the test simulates.
  */
 final class InboundFixture implements AutoCloseable {
   /** A request that is answered with 404. */
@@ -241,12 +241,12 @@
   private final class Handler extends StubRequestHandler {
 
     @Override
-    public Either<Refusal, RequestPlan> plan(RequestHead head, long nowMillis) {
+    public Either<Refusal, RequestPlan> plan(RequestHead head, long arrivedMillis) {
       iterations.add(EventLoop.earliestArrivalNanos());
       selectorBlock.blockIfRequested(head.path());
       if (!REFUSED_PATHS.contains(head.path())) {
         long deadline = Headers.deadlineMillis(head).get().orElse(NO_DEADLINE_MILLIS);
-        return Either.right(new Plan(head.path(), nowMillis + deadline));
+        return Either.right(new Plan(head.path(), arrivedMillis + deadline));
       }
       return Either.left(Refusal.notRun(Verdict.Reason.NO_ROUTE));
     }
@@ -270,8 +270,11 @@
 
     @Override
     public void addHeaders(Exchange exchange, HttpRequestPacket outgoing, long nowMillis) {
-      long left = exchange.plan().deadlineMillis() - nowMillis;
-      outgoing.getHeaders().addValue(ProxyHeaders.DEADLINE_MILLIS).setString(Long.toString(left));
+      long remainingMillis = exchange.plan().deadlineMillis() - nowMillis;
+      outgoing
+          .getHeaders()
+          .addValue(ProxyHeaders.DEADLINE_MILLIS)
+          .setString(Long.toString(remainingMillis));
     }
 
     /** The end of a request admits the one that was held. */
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/LateConnectionTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/LateConnectionTest.java
@@ -17,11 +17,11 @@
     try (QueuedWriteFixture fixture = new QueuedWriteFixture();
         RawConnection client = fixture.connect();
         RawConnection next = fixture.connect()) {
-      fixture.holdOpenings(0);
+      fixture.holdConnectAttempts(0);
       client.send("GET /short HTTP/1.1\r\nHost: a\r\n\r\n");
-      fixture.awaitHeldOpening();
+      fixture.awaitHeldConnectAttempt();
       fixture.advance(QueuedWriteFixture.SHORT_DEADLINE_MILLIS);
-      fixture.releaseOpening();
+      fixture.releaseConnectAttempt();
       try (RawConnection origin = fixture.acceptOrigin(0)) {
         fixture.awaitAllRead();
         next.send("GET /next HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -39,12 +39,12 @@
     try (QueuedWriteFixture fixture = new QueuedWriteFixture();
         RawConnection client = fixture.connect();
         RawConnection next = fixture.connect()) {
-      fixture.holdOpenings(0);
+      fixture.holdConnectAttempts(0);
       client.send("GET /left HTTP/1.1\r\nHost: a\r\n\r\n");
-      fixture.awaitHeldOpening();
+      fixture.awaitHeldConnectAttempt();
       fixture.blockSelector();
       client.socket.close();
-      fixture.releaseOpening();
+      fixture.releaseConnectAttempt();
       try (RawConnection origin = fixture.acceptOrigin(0)) {
         fixture.unblockSelectorLate();
         fixture.awaitAllRead();
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/MessageOwnershipTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/MessageOwnershipTest.java
@@ -43,9 +43,9 @@
   }
 
   private void assertSentUnchanged(RawConnection idleOrigin) throws Exception {
-    fixture.awaitHeldOpening();
+    fixture.awaitHeldConnectAttempt();
     sendUpload(idleOrigin);
-    fixture.releaseOpening();
+    fixture.releaseConnectAttempt();
     try (RawConnection origin = fixture.acceptOrigin(0)) {
       assertThat(origin.read().head()).isEqualTo(LATE);
     }
@@ -53,7 +53,7 @@
 
   @Test
   void requestWhoseConnectionOpensLateKeepsItsHead() throws Exception {
-    fixture.holdOpenings(0);
+    fixture.holdConnectAttempts(0);
     try (RawConnection client = fixture.connect();
         RawConnection idle = fixture.idleOriginConnection(1, client)) {
       client.send(LATE);
@@ -64,7 +64,7 @@
   /** The upload's last bytes and the request's head are read together. */
   @Test
   void requestReadTogetherWithTheEndOfAnUploadKeepsItsHead() throws Exception {
-    fixture.holdOpenings(0);
+    fixture.holdConnectAttempts(0);
     try (RawConnection client = fixture.connect();
         RawConnection idle = fixture.idleOriginConnection(1, client)) {
       client.send("PUT /rest HTTP/1.1\r\nHost: a\r\nContent-Length: 2000\r\n\r\n");
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/OverloadTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/OverloadTest.java
@@ -40,7 +40,7 @@
         clients.add(
             CompletableFuture.runAsync(
                 () -> call(fixture, number, answered, refused),
-                task -> new Thread(task, "caller").start()));
+                task -> new Thread(task, "client").start()));
       }
       for (CompletableFuture<Void> client : clients) {
         client.get(60, TimeUnit.SECONDS);
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/ProxyMessagesTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/ProxyMessagesTest.java
@@ -134,7 +134,7 @@
   }
 
   @Test
-  void answersPipelinedRequestsInOrder() throws IOException {
+  void respondsToPipelinedRequestsInOrder() throws IOException {
     ScriptedBackend.Script echo =
         (backend, connection) -> {
           for (var request = connection.read(); request != null; request = connection.read()) {
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/QueuedWriteFixture.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/QueuedWriteFixture.java
@@ -39,8 +39,8 @@
 import org.glassfish.grizzly.nio.NIOConnection;
 
 /**
- * A proxy on one selector thread with two origins that the test plays. Their socket buffers are so
- * small that output soon waits in the proxy's write queue.
+ * A proxy on one selector thread with two origins that the test simulates. Their socket buffers are
+ * so small that output soon waits in the proxy's write queue.
  */
 final class QueuedWriteFixture implements AutoCloseable {
   /** Deadline of requests for the path {@code /short}, milliseconds. */
@@ -78,7 +78,7 @@
   private volatile boolean retryPermitted;
   private volatile Exchange heldExchange;
   private volatile int heldPort;
-  private volatile Runnable heldOpening;
+  private volatile Runnable heldConnectAttempt;
 
   QueuedWriteFixture() throws IOException {
     for (ServerSocket server : servers) {
@@ -110,7 +110,7 @@
   @SuppressWarnings("rawtypes") // Grizzly's own signature
   private void open(PeerAddress address, CompletionHandler<Connection> handler) {
     if (address.port() == heldPort) {
-      heldOpening = () -> openNow(address, handler);
+      heldConnectAttempt = () -> openNow(address, handler);
     } else {
       openNow(address, handler);
     }
@@ -130,17 +130,19 @@
     selectorBlock.releaseLate();
   }
 
-  /** From now on connections to an origin open only when {@link #releaseOpening} is called. */
-  void holdOpenings(int origin) {
+  /**
+   * From now on connections to an origin open only when {@link #releaseConnectAttempt} is called.
+   */
+  void holdConnectAttempts(int origin) {
     heldPort = servers.get(origin).getLocalPort();
   }
 
-  void awaitHeldOpening() throws Exception {
-    await(() -> heldOpening != null);
+  void awaitHeldConnectAttempt() throws Exception {
+    await(() -> heldConnectAttempt != null);
   }
 
-  void releaseOpening() {
-    heldOpening.run();
+  void releaseConnectAttempt() {
+    heldConnectAttempt.run();
   }
 
   @SuppressWarnings("rawtypes") // Grizzly's own signature
@@ -328,7 +330,7 @@
   private final class Handler extends StubRequestHandler {
 
     @Override
-    public Either<Refusal, RequestPlan> plan(RequestHead head, long nowMillis) {
+    public Either<Refusal, RequestPlan> plan(RequestHead head, long arrivedMillis) {
       String path = head.path();
       selectorBlock.blockIfRequested(path);
       if (REFUSED_FOR.containsKey(path)) {
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/ReadAheadTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/ReadAheadTest.java
@@ -116,7 +116,7 @@
     }
   }
 
-  /** Accepts all connections to the origin, and answers each request with its path. */
+  /** Accepts all connections to the origin, and responds to each request with its path. */
   private void serveAll() {
     originExecutor.execute(
         () -> {
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/ScriptedBackend.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/ScriptedBackend.java
@@ -32,7 +32,7 @@
     script = newScript;
   }
 
-  /** Answers every request with the same raw bytes. */
+  /** Responds to every request with the same raw bytes. */
   static Script respondingWith(String response) {
     return (backend, connection) -> {
       for (RawConnection.Message request = connection.read();
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/TransferTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/TransferTest.java
@@ -48,10 +48,10 @@
         assertThat(upload).isNotDone();
         mayRead.countDown();
         assertThat(client.readHead()).startsWith("HTTP/1.1 200");
-        long answered = checksum(client, LARGE_BYTES);
+        long responseChecksum = checksum(client, LARGE_BYTES);
         upload.get(30, TimeUnit.SECONDS);
-        assertThat(answered).isEqualTo(checksumOfLarge(LARGE_BYTES));
-        assertThat(backend.requests.remove().body()).isEqualTo(Long.toString(answered));
+        assertThat(responseChecksum).isEqualTo(checksumOfLarge(LARGE_BYTES));
+        assertThat(backend.requests.remove().body()).isEqualTo(Long.toString(responseChecksum));
       } finally {
         node.destroyForcibly();
       }
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/inbound/ExchangeBrokenWriteTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/inbound/ExchangeBrokenWriteTest.java
@@ -62,7 +62,7 @@
         }
 
         @Override
-        public Either<Refusal, RequestPlan> plan(RequestHead head, long nowMillis) {
+        public Either<Refusal, RequestPlan> plan(RequestHead head, long arrivedMillis) {
           return handlerRefusal == null ? Either.right(new Plan()) : Either.left(handlerRefusal);
         }
 
