--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/SlotGate.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/SlotGate.java
@@ -99,7 +99,7 @@
     for (SlotRequest request : byExchange.values()) {
       // Skips a request that is being admitted: the refusal says that it did not run.
       if (request.state().compareAndSet(SlotState.REQUESTED, SlotState.ENDED)) {
-        forget(request);
+        remove(request);
         cancel(request.id());
         request.exchange().refuse(Refusal.notRun(Verdict.Reason.DRAINING));
       }
@@ -153,7 +153,7 @@
     if (request == null) {
       return;
     }
-    forget(request);
+    remove(request);
     if (request.state().getAndSet(SlotState.ENDED) == SlotState.ADMITTED) {
       release(request.id(), exchange.history().sinceSentMicros());
       return;
@@ -211,7 +211,7 @@
     if (decision instanceof Decision.Admitted) {
       admit(decision.id(), request);
     } else if (decision instanceof Decision.Refused refused && request != null) {
-      forget(request);
+      remove(request);
       long retryAfter = refused.retryAfterMillis();
       request.exchange().refuse(new Refusal(new Verdict.NotRun(refused.reason()), retryAfter));
     }
@@ -226,7 +226,7 @@
     boolean sent = send.test(request.exchange());
     if (!sent && request.state().getAndSet(SlotState.ENDED) == SlotState.ADMITTED) {
       // The request had ended before it requested the slot, so that its end released none.
-      forget(request);
+      remove(request);
       release(id, 0);
     }
   }
@@ -239,7 +239,7 @@
     apply(decisions);
   }
 
-  private void forget(SlotRequest request) {
+  private void remove(SlotRequest request) {
     byId.remove(request.id());
     byExchange.remove(request.exchange());
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/Attempt.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/Attempt.java
@@ -167,7 +167,7 @@
   void detach() {
     origin = null;
     awaitingContinue = null;
-    exchange.history().responseComplete();
+    exchange.history().recordResponseComplete();
   }
 
   /** Closes the connection if the attempt still owns it. */
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/AttemptHistory.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/AttemptHistory.java
@@ -29,7 +29,7 @@
   }
 
   /** Records that the attempt's request was written to its connection. */
-  synchronized void sent() {
+  synchronized void recordSent() {
     sentNanos = System.nanoTime();
     isResponseComplete = false;
   }
@@ -38,13 +38,13 @@
    * Records that the attempt's response has been read completely. The time is an estimate of when
    * it arrived, since it may have been waiting in the socket.
    */
-  synchronized void responseComplete() {
+  synchronized void recordResponseComplete() {
     responseNanos = Math.max(sentNanos, EventLoop.estimatedArrivalNanos());
     isResponseComplete = true;
   }
 
   /** Records the failure of an attempt, or of the exchange before its first attempt. */
-  synchronized void failed(Refusal refusal) {
+  synchronized void recordFailure(Refusal refusal) {
     mayHaveRun |= refusal.verdict() instanceof Verdict.MayHaveRun;
     lastRefusal = refusal;
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ClientConnection.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ClientConnection.java
@@ -336,7 +336,7 @@
   /** Shuts the output down; input is discarded until the peer closes, too. */
   private Runnable endOutput(ConnectionEnd cause) {
     state = ConnectionState.OUTPUT_ENDED;
-    discardedInput.outputEnds();
+    discardedInput.recordOutputEnd();
     setEndCause(cause);
     idleTimer.restart();
     Runnable head = reads.takeHeadResumption();
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/DiscardedInput.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/DiscardedInput.java
@@ -14,7 +14,7 @@
   private long bytes;
 
   /** Records that the output ends. */
-  void outputEnds() {
+  void recordOutputEnd() {
     endedNanos = System.nanoTime();
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/Exchange.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/Exchange.java
@@ -110,7 +110,7 @@
     synchronized (this) {
       keepReading = isMalformed || takeBodyPart(first);
       if (isMalformed) {
-        responseWriter.closeAfter();
+        responseWriter.closeAfterResponse();
         client.requestBodyComplete(pipelined);
       }
       if (decision.isLeft()) {
@@ -222,7 +222,7 @@
 
   void onMalformedBody() {
     synchronized (this) {
-      responseWriter.closeAfter();
+      responseWriter.closeAfterResponse();
       client.requestBodyComplete(pipelined);
       fail(refusalForStage(Verdict.Reason.BAD_REQUEST), false);
     }
@@ -341,7 +341,7 @@
       environment.attemptLog().logFailure(ended.record(refusal.verdict(), body.received()));
       handler.attemptEnded(this, ended.originId(), refusal, ended.elapsedMicros());
     }
-    history.failed(refusal);
+    history.recordFailure(refusal);
     if (before == ExchangeStage.RESPONDING) {
       isResponseTruncated = true;
       finish(refusal.verdict());
@@ -411,7 +411,7 @@
       isWanted = isStillWanted(connected, ExchangeStage.CONNECTING);
       if (isWanted) {
         stage = connected.needsContinue(body) ? ExchangeStage.HEAD_SENT : ExchangeStage.SENT;
-        history.sent();
+        history.recordSent();
         handler.addHeaders(this, connected.prepare().packet(), environment.nowMillis());
         connected.send(connection, body);
       }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ResponseWriter.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ResponseWriter.java
@@ -97,7 +97,7 @@
       writeVerbatim();
     } else {
       response.setChunkingAllowed(false);
-      closeAfter();
+      closeAfterResponse();
     }
   }
 
@@ -159,7 +159,7 @@
     }
     handler.addResponseHeaders(plan, response);
     if (endsConnection) {
-      closeAfter();
+      closeAfterResponse();
     } else if (refusal.reason() == Verdict.Reason.DRAINING) {
       endConnectionIfLast();
     } else {
@@ -201,7 +201,7 @@
   }
 
   /** Announces that the connection closes after this response; no later request is begun. */
-  void closeAfter() {
+  void closeAfterResponse() {
     pipelined.announceLast();
     request.getProcessingState().setKeepAlive(false);
   }
