--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/Exchange.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/Exchange.java
@@ -110,7 +110,7 @@
     synchronized (this) {
       keepReading = isMalformed || takeBodyPart(first);
       if (isMalformed) {
-        responseWriter.closeAfter();
+        responseWriter.closeAfterResponse();
         client.requestBodyComplete(pipelined);
       }
       if (decision.isLeft()) {
@@ -222,7 +222,7 @@
 
   void onMalformedBody() {
     synchronized (this) {
-      responseWriter.closeAfter();
+      responseWriter.closeAfterResponse();
       client.requestBodyComplete(pipelined);
       fail(refusalForStage(Verdict.Reason.BAD_REQUEST), false);
     }
@@ -235,7 +235,7 @@
   }
 
   /** Fails the request without another attempt. */
-  void giveUp(Verdict.Reason reason) {
+  void failWithoutRetry(Verdict.Reason reason) {
     synchronized (this) {
       fail(refusalForStage(reason), false);
     }
@@ -341,7 +341,7 @@
       environment.attemptLog().logFailure(ended.record(refusal.verdict(), body.received()));
       handler.attemptEnded(this, ended.originId(), refusal, ended.elapsedMicros());
     }
-    history.failed(refusal);
+    history.recordFailure(refusal);
     if (before == ExchangeStage.RESPONDING) {
       isResponseTruncated = true;
       finish(refusal.verdict());
@@ -411,7 +411,7 @@
       isWanted = isStillWanted(connected, ExchangeStage.CONNECTING);
       if (isWanted) {
         stage = connected.needsContinue(body) ? ExchangeStage.HEAD_SENT : ExchangeStage.SENT;
-        history.sent();
+        history.recordSent();
         handler.addHeaders(this, connected.prepare().packet(), environment.nowMillis());
         connected.send(connection, body);
       }
@@ -439,10 +439,10 @@
     runDeferredActions();
   }
 
-  void attemptReceivedInterim(Attempt current, byte[] head) {
+  void attemptReceivedInterimResponse(Attempt current, byte[] head) {
     synchronized (this) {
       if (attempt == current && stage == ExchangeStage.SENT) {
-        responseWriter.writeInterim(head);
+        responseWriter.writeInterimResponse(head);
       } else if (isStillWanted(current, ExchangeStage.HEAD_SENT)) {
         stage = ExchangeStage.SENT;
         current.sendBody(body);
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/RequestHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/RequestHandler.java
@@ -38,7 +38,7 @@
   void addHeaders(Exchange exchange, HttpRequestPacket outgoing, long nowMillis);
 
   /**
-   * Whether a request may run at the same time as others of its client connection, and be repeated
+   * Whether a request may run at the same time as others of its client connection, and be retried
    * if its response cannot be delivered. Other requests start when those before them have been
    * answered.
    */
@@ -70,7 +70,7 @@
    *
    * @param plan the request's plan, or null if it was refused before there was one
    */
-  default void addResponseHeaders(RequestPlan plan, HttpResponsePacket answer) {}
+  default void addResponseHeaders(RequestPlan plan, HttpResponsePacket response) {}
 
   /** Checks the head of a response; returns a refusal if another node refused the request. */
   Optional<Refusal> refusalInResponse(Exchange exchange, ResponseHead head);
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ResponseWriter.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/inbound/ResponseWriter.java
@@ -50,11 +50,11 @@
 
   /** Sends 100 (Continue), so that the client sends the request body. */
   void writeContinue() {
-    writeInterim(CONTINUE);
+    writeInterimResponse(CONTINUE);
   }
 
   /** Forwards an interim (1xx) response; HTTP/1.0 clients would take it for the final one. */
-  void writeInterim(byte[] head) {
+  void writeInterimResponse(byte[] head) {
     if (isHttp11()) {
       pipelined.write(wrap(head), head.length);
     }
@@ -97,7 +97,7 @@
       writeVerbatim();
     } else {
       response.setChunkingAllowed(false);
-      closeAfter();
+      closeAfterResponse();
     }
   }
 
@@ -159,7 +159,7 @@
     }
     handler.addResponseHeaders(plan, response);
     if (endsConnection) {
-      closeAfter();
+      closeAfterResponse();
     } else if (refusal.reason() == Verdict.Reason.DRAINING) {
       endConnectionIfLast();
     } else {
@@ -201,7 +201,7 @@
   }
 
   /** Announces that the connection closes after this response; no later request is begun. */
-  void closeAfter() {
+  void closeAfterResponse() {
     pipelined.announceLast();
     request.getProcessingState().setKeepAlive(false);
   }
--- a/umberpath-node/src/test/java/io/umberpath/node/proxy/OverloadTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/proxy/OverloadTest.java
@@ -12,7 +12,7 @@
 
 /** More concurrent clients than slots. */
 class OverloadTest {
-  private static final int CALLERS = 100;
+  private static final int CLIENTS = 100;
   private static final int CALLS_EACH = 100;
 
   @Test
@@ -35,17 +35,17 @@
     try (ScriptedBackend backend = new ScriptedBackend(counting);
         ProxyFixture fixture = new ProxyFixture(backend)) {
       List<CompletableFuture<Void>> clients = new ArrayList<>();
-      for (int client = 0; client < CALLERS; client++) {
+      for (int client = 0; client < CLIENTS; client++) {
         int number = client;
         clients.add(
             CompletableFuture.runAsync(
                 () -> call(fixture, number, answered, refused),
-                task -> new Thread(task, "caller").start()));
+                task -> new Thread(task, "client").start()));
       }
       for (CompletableFuture<Void> client : clients) {
         client.get(60, TimeUnit.SECONDS);
       }
-      assertThat(answered.get() + refused.get()).isEqualTo(CALLERS * CALLS_EACH);
+      assertThat(answered.get() + refused.get()).isEqualTo(CLIENTS * CALLS_EACH);
       assertThat(backend.runs).hasValue(answered.get());
       assertThat(answered.get()).isPositive();
       assertThat(maxConcurrent.get()).isLessThanOrEqualTo(6);
