--- a/umberpath-node/src/main/java/io/umberpath/node/NodeProcess.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/NodeProcess.java
@@ -147,7 +147,7 @@
   }
 
   /** Waits until {@link #close} completes or the control plane fails; returns true if it failed. */
-  public boolean awaitEnd() throws InterruptedException {
+  public boolean awaitTermination() throws InterruptedException {
     terminated.await();
     return failed;
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/ChangeFile.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/ChangeFile.java
@@ -58,7 +58,7 @@
     List<SettingsProblem> problems = new ArrayList<>();
     MappingReader reader = MappingReader.root(tree.get(), problems);
     ApplyRequest request = new ChangeFile(directory).read(reader);
-    reader.refuseUnknown();
+    reader.rejectUnknownFields();
     return problems.isEmpty() ? Either.right(request) : Either.left(problems);
   }
 
@@ -82,13 +82,13 @@
       try {
         request.setExpectedVersion(Names.version(text.get()));
       } catch (UsageException malformed) {
-        file.problem("expectedVersion", Names.VERSION_RULE);
+        file.addProblem("expectedVersion", Names.VERSION_RULE);
       }
     }
   }
 
   private static Tier tier(MappingReader reader) {
-    if (!reader.present("tier")) {
+    if (!reader.isPresent("tier")) {
       return Tier.TIER_UNSPECIFIED;
     }
     return Tier.valueOf("TIER_" + reader.choice("tier", TierName.class, TierName.BASIC).name());
@@ -125,14 +125,14 @@
     Optional<String> value = reader.optionalText("value");
     Optional<String> file = reader.optionalText("valueFile");
     if (value.isPresent() == file.isPresent()) {
-      reader.redactedProblem("value", "give either value or valueFile");
+      reader.addRedactedProblem("value", "give either value or valueFile");
     }
     String text =
         file.map(
                 name ->
                     SettingsLoader.read(directory.resolve(name))
                         .map(String::strip)
-                        .peekLeft(problem -> reader.problem("valueFile", problem.message()))
+                        .peekLeft(problem -> reader.addProblem("valueFile", problem.message()))
                         .getOrElse(""))
             .or(() -> value)
             .orElse("");
@@ -142,8 +142,8 @@
 
   private static ResourceKey delete(MappingReader reader) {
     KindName kind = reader.choice("kind", KindName.class, KindName.ROUTE);
-    if (!reader.present("kind")) {
-      reader.problem("kind", "is required");
+    if (!reader.isPresent("kind")) {
+      reader.addProblem("kind", "is required");
     }
     return ResourceKey.newBuilder()
         .setKind(Kind.valueOf("KIND_" + kind.name()))
--- a/umberpath-node/src/main/java/io/umberpath/node/cli/NodeCommand.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/cli/NodeCommand.java
@@ -18,7 +18,7 @@
 
   @Override
   ExitCode run(NodeSettings settings, Output output) {
-    Logs.bridgeLibraries();
+    Logs.bridgeJavaUtilLogging();
     NodeProcess node = new NodeProcess(settings);
     GracefulShutdown stop = GracefulShutdown.install(node);
     return stop.closeAfterExit(runUntilEnd(node, output));
@@ -27,7 +27,7 @@
   private static ExitCode runUntilEnd(NodeProcess node, Output output) {
     try {
       node.start();
-      return node.awaitEnd() ? ExitCode.REFUSED : ExitCode.OK;
+      return node.awaitTermination() ? ExitCode.REFUSED : ExitCode.OK;
     } catch (IOException unavailable) {
       output.err().println("umberpath node: cannot start: " + unavailable.getMessage());
       return ExitCode.UNAVAILABLE;
--- a/umberpath-node/src/main/java/io/umberpath/node/control/ControlRuntime.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/control/ControlRuntime.java
@@ -132,12 +132,12 @@
   }
 
   @Override
-  public Map<String, ObservedBackend> observed() {
+  public Map<String, ObservedBackend> observedBackends() {
     return outputs.observed();
   }
 
   @Override
-  public void observe(ObservedBackend backend) {
+  public void reportBackend(ObservedBackend backend) {
     inbox.add(new ControlInput.BackendObserved(backend));
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/control/ControlService.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/control/ControlService.java
@@ -38,8 +38,8 @@
   ProxySnapshot snapshot();
 
   /** The latest observation of each backend, by backend id. */
-  Map<String, ObservedBackend> observed();
+  Map<String, ObservedBackend> observedBackends();
 
   /** Reports an observation of this node's local backend to the fleet. */
-  void observe(ObservedBackend backend);
+  void reportBackend(ObservedBackend backend);
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/logs/JsonLines.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/logs/JsonLogHandler.java
@@ -23,24 +23,24 @@
  * never blocks: when the bounded buffer is full, the line is dropped and counted, and the count of
  * dropped lines is written as a line of its own.
  */
-public final class JsonLines extends Handler {
+public final class JsonLogHandler extends Handler {
   private static final int MAX_BUFFERED_LINES = 2_048;
   private static final long FLUSH_MILLIS = 200;
   private static final String CONTEXT = " [CONTEXT ";
 
-  private static volatile JsonLines installed;
+  private static volatile JsonLogHandler installed;
 
   private final BlockingQueue<String> lines = new ArrayBlockingQueue<>(MAX_BUFFERED_LINES);
   private final AtomicLong droppedLines = new AtomicLong();
   private final AtomicInteger writesInProgress = new AtomicInteger();
   private final FileOutputStream out = new FileOutputStream(FileDescriptor.out);
 
-  private JsonLines() {}
+  private JsonLogHandler() {}
 
   /** Replaces the handlers of the root logger; must be called before anything is logged. */
   public static void install() {
     System.setProperty(NonResettingLogManager.PROPERTY, NonResettingLogManager.class.getName());
-    JsonLines handler = new JsonLines();
+    JsonLogHandler handler = new JsonLogHandler();
     Logger root = Logger.getLogger("");
     for (Handler existing : root.getHandlers()) {
       root.removeHandler(existing);
@@ -54,8 +54,8 @@
   }
 
   /** Waits up to {@link #FLUSH_MILLIS} for buffered lines to be written. */
-  public static void awaitWritten() {
-    JsonLines handler = installed;
+  public static void awaitFlush() {
+    JsonLogHandler handler = installed;
     if (handler != null) {
       handler.flush();
     }
--- a/umberpath-node/src/main/java/io/umberpath/node/logs/Logs.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/logs/Logs.java
@@ -9,7 +9,7 @@
   private Logs() {}
 
   /** Routes {@code java.util.logging} records of libraries to Log4j. */
-  public static void bridgeLibraries() {
+  public static void bridgeJavaUtilLogging() {
     Log4jBridgeHandler.install(true, ROOT_SUFFIX, true);
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/operator/ExplainHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/operator/ExplainHandler.java
@@ -120,7 +120,7 @@
     ProxySnapshot.PoolView view = snapshot.pools().get(route.pool());
     explanation.setRoute(ResourceCodec.resource(route));
     explanation.setPool(ResourceCodec.resource(view.pool()));
-    Map<String, ObservedBackend> observed = control.observed();
+    Map<String, ObservedBackend> observed = control.observedBackends();
     for (ProxySnapshot.BackendView backend : view.backends()) {
       explanation.addBackends(backend(backend, observed.get(backend.address().id())));
     }
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/EdgeHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/EdgeHandler.java
@@ -76,7 +76,7 @@
 
   /** Passes changes of the observed backends to the load balancer. */
   void updateObserved(long nowMillis) {
-    Map<String, ObservedBackend> observed = control.observed();
+    Map<String, ObservedBackend> observed = control.observedBackends();
     if (!observed.equals(lastObserved)) {
       lastObserved = Map.copyOf(observed);
       synchronized (balancer) {
--- a/umberpath-node/src/main/java/io/umberpath/node/proxy/backend/BackendMonitor.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/proxy/backend/BackendMonitor.java
@@ -99,7 +99,7 @@
       publishedPhase = phase;
       publishedLoad = load;
       observationSequence++;
-      control.observe(
+      control.reportBackend(
           new ObservedBackend(backend.id(), incarnation, observationSequence, phase, load));
     }
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/settings/MappingReader.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/settings/MappingReader.java
@@ -80,7 +80,7 @@
 
   /** Reads a required integer; both bounds are inclusive. */
   public long integer(String key, long minimum, long maximum) {
-    if (!present(key)) {
+    if (!isPresent(key)) {
       addMissing(key, "is required");
       return minimum;
     }
@@ -106,7 +106,7 @@
     Optional<Long> millis = Durations.parseMillis(found.get().text());
     if (millis.isEmpty() || millis.get() < minimum || millis.get() > maximum) {
       String range = Durations.format(minimum) + " to " + Durations.format(maximum);
-      problem(key, found.get(), "must be a duration such as 20ms, 3s or 1m, " + range);
+      addProblem(key, found.get(), "must be a duration such as 20ms, 3s or 1m, " + range);
       return minimum;
     }
     return millis.get();
@@ -120,7 +120,7 @@
     }
     String text = found.get().text();
     if (!text.equals("true") && !text.equals("false")) {
-      problem(key, found.get(), "must be true or false");
+      addProblem(key, found.get(), "must be true or false");
     }
     return text.equals("true");
   }
@@ -137,7 +137,7 @@
       if (item instanceof YamlValue.Scalar found && !found.isNull()) {
         texts.add(found.text());
       } else {
-        problem(key, item, "must hold single values");
+        addProblem(key, item, "must hold single values");
       }
     }
     return texts;
@@ -150,7 +150,7 @@
       if (item instanceof YamlValue.Scalar found) {
         choices.add(choice(key, found, type));
       } else {
-        problem(key, item, "must hold single values");
+        addProblem(key, item, "must hold single values");
       }
     }
     return choices;
@@ -178,7 +178,7 @@
       reader.sensitive = redact;
       reader.lenient = lenient;
       groups.add(read.apply(reader));
-      reader.refuseUnknown();
+      reader.rejectUnknownFields();
     }
     return groups;
   }
@@ -193,7 +193,7 @@
     MappingReader reader = of(fieldPath(key), value, problems);
     reader.lenient = lenient;
     T result = read.apply(reader);
-    reader.refuseUnknown();
+    reader.rejectUnknownFields();
     return Optional.of(result);
   }
 
@@ -210,36 +210,36 @@
   }
 
   /** Returns whether the mapping contains the key. */
-  public boolean present(String key) {
+  public boolean isPresent(String key) {
     return mapping.entries().containsKey(key);
   }
 
   /** Adds a problem for a field; the value is quoted as written. */
-  public void problem(String key, String message) {
+  public void addProblem(String key, String message) {
     YamlValue value = mapping.entries().get(key);
     if (value == null) {
       addMissing(key, message);
     } else {
-      problem(key, value, message);
+      addProblem(key, value, message);
     }
   }
 
   /** Adds a problem for one item of a list. */
-  public void itemProblem(String key, int index, String message) {
+  public void addItemProblem(String key, int index, String message) {
     if (mapping.entries().get(key) instanceof YamlValue.Sequence sequence) {
-      problem(key + "[" + index + "]", sequence.items().get(index), message);
+      addProblem(key + "[" + index + "]", sequence.items().get(index), message);
     }
   }
 
   /** Adds a problem for a field without showing its value. */
-  public void redactedProblem(String key, String message) {
+  public void addRedactedProblem(String key, String message) {
     YamlValue value = mapping.entries().get(key);
     int line = value == null ? mapping.line() : value.line();
     problems.add(new SettingsProblem(line, fieldPath(key), REDACTED, message));
   }
 
   /** Adds a problem for every key that was not read. */
-  public void refuseUnknown() {
+  public void rejectUnknownFields() {
     if (lenient) {
       return;
     }
@@ -249,9 +249,9 @@
         continue;
       }
       if (sensitive) {
-        redactedProblem(key, message);
+        addRedactedProblem(key, message);
       } else {
-        problem(key, message);
+        addProblem(key, message);
       }
     }
   }
@@ -265,7 +265,7 @@
     if (value instanceof YamlValue.Sequence sequence) {
       return sequence.items();
     }
-    problem(key, value, "must be a list");
+    addProblem(key, value, "must be a list");
     return List.of();
   }
 
@@ -278,7 +278,7 @@
     if (value instanceof YamlValue.Scalar found && !found.isNull()) {
       return Optional.of(found);
     }
-    problem(key, value, "must be a single value");
+    addProblem(key, value, "must be a single value");
     return Optional.empty();
   }
 
@@ -286,7 +286,7 @@
     boolean isInteger = INTEGER.matcher(found.text()).matches();
     long value = isInteger ? Long.parseLong(found.text()) : minimum;
     if (!isInteger || value < minimum || value > maximum) {
-      problem(key, found, "must be a whole number, " + minimum + " to " + maximum);
+      addProblem(key, found, "must be a whole number, " + minimum + " to " + maximum);
       return minimum;
     }
     return value;
@@ -300,7 +300,7 @@
       }
     }
     String names = Arrays.toString(type.getEnumConstants()).toLowerCase(Locale.ROOT);
-    problem(key, found, "must be one of " + names.replace('_', '-'));
+    addProblem(key, found, "must be one of " + names.replace('_', '-'));
     return type.getEnumConstants()[0];
   }
 
@@ -313,13 +313,13 @@
     }
     Either<String, T> value = parse.apply(found.get().text());
     if (value.isLeft()) {
-      problem(key, found.get(), value.getLeft());
+      addProblem(key, found.get(), value.getLeft());
       return placeholder;
     }
     return value.get();
   }
 
-  private void problem(String key, YamlValue value, String message) {
+  private void addProblem(String key, YamlValue value, String message) {
     problems.add(new SettingsProblem(value.line(), fieldPath(key), value.describe(), message));
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/settings/SettingsLoader.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/settings/SettingsLoader.java
@@ -49,7 +49,7 @@
     }
     MappingReader reader = MappingReader.root(tree.get(), problems);
     NodeSettings settings = new SettingsReader(incarnation).read(reader);
-    reader.refuseUnknown();
+    reader.rejectUnknownFields();
     return problems.isEmpty() ? Either.right(settings) : Either.left(List.copyOf(problems));
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/settings/SettingsReader.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/settings/SettingsReader.java
@@ -60,7 +60,7 @@
       Optional<PeerAddress> seed = parseAddress(texts.get(index));
       seed.ifPresent(seeds::add);
       if (seed.isEmpty()) {
-        node.itemProblem("seeds", index, ADDRESS_RULE);
+        node.addItemProblem("seeds", index, ADDRESS_RULE);
       }
     }
     return new Identity(new Member(Member.NO_SLOT, address, incarnation, zone, region), seeds);
@@ -73,17 +73,17 @@
     int fanout = fleet.smallInteger("fanout", 1, MAX_TREE_FANOUT, 8);
     int maxChildren = fleet.smallInteger("maxChildren", 1, MAX_TREE_FANOUT, 32);
     if (parentStall < 2 * heartbeat) {
-      fleet.problem("parentStall", "must be at least twice the heartbeat");
+      fleet.addProblem("parentStall", "must be at least twice the heartbeat");
     }
     if (election <= parentStall) {
-      fleet.problem("election", "must be longer than parentStall");
+      fleet.addProblem("election", "must be longer than parentStall");
     }
     if (maxChildren < fanout) {
-      fleet.problem("maxChildren", "must be at least fanout");
+      fleet.addProblem("maxChildren", "must be at least fanout");
     }
     int initialMembers = (int) fleet.integer("initialMembers", 1, MAX_MEMBERS);
     if (initialMembers == 1 && hasOtherSeed(identity)) {
-      fleet.problem(
+      fleet.addProblem(
           "initialMembers", "must be at least 2 with other seeds: a fleet of one cannot grow");
     }
     return new ControlSettings(
@@ -126,7 +126,7 @@
     int slots = backend.smallInteger("slots", 1, MAX_SLOTS, 6);
     int connections = backend.smallInteger("connections", 1, MAX_SLOTS, 130);
     if (connections < slots) {
-      backend.problem("connections", "must be at least slots");
+      backend.addProblem("connections", "must be at least slots");
     }
     return new NodeSettings.Backend(
         readName(backend, "id"),
@@ -140,7 +140,7 @@
   private static NodeSettings.Platform readPlatform(MappingReader platform) {
     String url = platform.text("url");
     if (!url.isEmpty() && !isHttpUrl(url)) {
-      platform.problem("url", "must be http://IP:PORT/PATH");
+      platform.addProblem("url", "must be http://IP:PORT/PATH");
     }
     return new NodeSettings.Platform(
         url, platform.durationMillis("timeout", 10, MINUTE_MILLIS, 2_000));
@@ -151,7 +151,7 @@
     Set<String> hashes = new HashSet<>();
     for (NodeSettings.Token token : tokens) {
       if (!hashes.add(token.sha256())) {
-        operator.redactedProblem("tokens", "the same sha256 is given twice");
+        operator.addRedactedProblem("tokens", "the same sha256 is given twice");
       }
     }
     return new NodeSettings.Operator(
@@ -163,11 +163,11 @@
   private static NodeSettings.Token readToken(MappingReader token) {
     String sha256 = token.text("sha256");
     if (!SHA256_PATTERN.matcher(sha256).matches()) {
-      token.redactedProblem("sha256", "must be the lower-case hex SHA-256 of the token");
+      token.addRedactedProblem("sha256", "must be the lower-case hex SHA-256 of the token");
     }
     List<Tier> tiers = token.choices("tiers", Tier.class);
     if (tiers.isEmpty()) {
-      token.problem("tiers", "must name at least one tier");
+      token.addProblem("tiers", "must name at least one tier");
     }
     return new NodeSettings.Token(
         sha256, readName(token, "tenant"), List.copyOf(tiers), token.flag("fleetAdmin", false));
@@ -181,23 +181,23 @@
   private static String readHost(MappingReader reader, String defaultHost) {
     String host = reader.text("host", defaultHost);
     if (!InetAddresses.isInetAddress(host)) {
-      reader.problem("host", "must be an IP address");
+      reader.addProblem("host", "must be an IP address");
     }
     return host;
   }
 
   private static String readName(MappingReader reader, String key) {
     String name = reader.text(key);
-    if (reader.present(key) && !NAME_PATTERN.matcher(name).matches()) {
-      reader.problem(key, "must match " + NAME_PATTERN.pattern());
+    if (reader.isPresent(key) && !NAME_PATTERN.matcher(name).matches()) {
+      reader.addProblem(key, "must match " + NAME_PATTERN.pattern());
     }
     return name;
   }
 
   private static PeerAddress readAddress(MappingReader reader, String key) {
     Optional<PeerAddress> address = parseAddress(reader.text(key));
-    if (address.isEmpty() && reader.present(key)) {
-      reader.problem(key, ADDRESS_RULE);
+    if (address.isEmpty() && reader.isPresent(key)) {
+      reader.addProblem(key, ADDRESS_RULE);
     }
     return address.orElse(PLACEHOLDER_ADDRESS);
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/settings/TransportSecurityReader.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/settings/TransportSecurityReader.java
@@ -22,22 +22,22 @@
 
   /** Defaults to plain text if the mapping is absent, which is allowed only on loopback. */
   static TransportSecurity read(MappingReader root, PeerAddress address) {
-    boolean given = root.present(GROUP);
+    boolean given = root.isPresent(GROUP);
     TransportSecurity security =
         root.<TransportSecurity>optionalGroup(GROUP, TransportSecurityReader::readMutualTls)
             .orElse(new PlainTextLoopback());
     if (!given && !InetAddresses.forString(address.host()).isLoopbackAddress()) {
-      root.problem(GROUP, "is required because node.address is not on loopback");
+      root.addProblem(GROUP, "is required because node.address is not on loopback");
     }
     return security;
   }
 
   private static MutualTls readMutualTls(MappingReader transport) {
-    boolean pem = transport.present(CERTIFICATES) || transport.present(PRIVATE_KEY);
-    boolean pkcs12 = transport.present(KEY_STORE) || transport.present(PASSWORD_FILE);
+    boolean pem = transport.isPresent(CERTIFICATES) || transport.isPresent(PRIVATE_KEY);
+    boolean pkcs12 = transport.isPresent(KEY_STORE) || transport.isPresent(PASSWORD_FILE);
     if (pem && pkcs12) {
-      transport.problem(
-          transport.present(CERTIFICATES) ? CERTIFICATES : PRIVATE_KEY,
+      transport.addProblem(
+          transport.isPresent(CERTIFICATES) ? CERTIFICATES : PRIVATE_KEY,
           "give either certificates and privateKey or keyStore and passwordFile");
     }
     Identity identity = pkcs12 ? readPkcs12(transport) : readPem(transport);
--- a/umberpath-node/src/test/java/io/umberpath/node/control/ControlRuntimeTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/control/ControlRuntimeTest.java
@@ -181,9 +181,9 @@
                     new ControlOutput.Activate(snapshot))
                 : List.of());
     assertThat(runtime.snapshot()).isSameAs(ProxySnapshot.EMPTY);
-    runtime.observe(newer);
+    runtime.reportBackend(newer);
     RuntimeFleet.await("activated", () -> runtime.snapshot() == snapshot);
-    assertThat(runtime.observed()).containsExactly(Map.entry("b", newer));
+    assertThat(runtime.observedBackends()).containsExactly(Map.entry("b", newer));
   }
 
   private static ObservedBackend backend(long counter) {
--- a/umberpath-node/src/test/java/io/umberpath/node/logs/LogFloodMain.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/logs/LogFloodMain.java
@@ -14,7 +14,7 @@
 
   /** Writes the log lines; exits after a byte or the end of its standard input. */
   public static void main(String[] arguments) throws Exception {
-    JsonLines.install();
+    JsonLogHandler.install();
     FluentLogger logger = FluentLogger.forEnclosingClass();
     for (int line = 0; line < LINES; line++) {
       logger.atInfo().log("line %d of a reader that does not read", line);
@@ -23,6 +23,6 @@
     System.in.read();
     // The reader has resumed: one more line triggers writing the count of dropped lines.
     logger.atInfo().log("the last line");
-    JsonLines.awaitWritten();
+    JsonLogHandler.awaitFlush();
   }
 }
--- a/umberpath-node/src/test/java/io/umberpath/node/logs/LogLinesTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/logs/LogLinesTest.java
@@ -52,7 +52,7 @@
 
   @Test
   void exceptionAndLibraryLinesAreJsonToo() throws Exception {
-    Logs.bridgeLibraries();
+    Logs.bridgeJavaUtilLogging();
     List<JsonNode> lines =
         linesOf(
             () -> {
--- a/umberpath-node/src/test/java/io/umberpath/node/operator/FakeControlService.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/operator/FakeControlService.java
@@ -133,12 +133,12 @@
   }
 
   @Override
-  public Map<String, ObservedBackend> observed() {
+  public Map<String, ObservedBackend> observedBackends() {
     return observed;
   }
 
   @Override
-  public void observe(ObservedBackend backend) {
+  public void reportBackend(ObservedBackend backend) {
     observed.put(backend.backendId(), backend);
   }
 }
--- a/umberpath-node/src/test/java/io/umberpath/node/operator/ReadContractTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/operator/ReadContractTest.java
@@ -247,7 +247,7 @@
   @Test
   void explainReportsTheMatchingRoute() {
     fixture.as(MARKET).apply(change("r", pool("p"), route("q", "/booking", "p")).build());
-    fixture.control.observe(
+    fixture.control.reportBackend(
         new ObservedBackend("booking-1", 1, 1, ObservedBackend.Phase.DRAINING, 50));
     RouteExplanation found = explain(MARKET, "/booking/7");
     assertThat(found.getMatched()).isTrue();
