--- a/umberpath-control/src/main/java/io/umberpath/control/store/StoreResponse.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/StoreResponse.java
@@ -17,8 +17,8 @@
    * A page of items; the pages of one read do not form a snapshot.
    *
    * @param items in key order
-   * @param more whether more pages follow
-   * @param at the store's position
+   * @param hasMore whether more pages follow
+   * @param position the store's position
    */
   record Page(List<StoreItem> items, boolean hasMore, StorePosition position)
       implements StoreResponse {
@@ -32,7 +32,7 @@
    * Changes in order; may be empty.
    *
    * @param events the changes
-   * @param at position to continue watching from
+   * @param position where to continue watching from
    */
   record Events(List<StoreEvent> events, StorePosition position) implements StoreResponse {
     @Override
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/HeaderNames.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/HeaderNames.java
@@ -10,7 +10,7 @@
  * @param notExecuted in a response: the backend did not run the request
  * @param instance in a response: id of the backend that sent it
  * @param backendLoad in a response: the backend's own load report, see {@link
- *     StoreDocuments#parseStatement}
+ *     StoreItemParser#parseStatement}
  */
 public record HeaderNames(
     String requestId,
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/ReportSocket.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/ReportSocket.java
@@ -35,7 +35,7 @@
   /**
    * Creates a socket without opening it.
    *
-   * @param own where to listen; other nodes listen on the same port
+   * @param listenAddress where to listen; other nodes listen on the same port
    */
   ReportSocket(PeerAddress listenAddress, Receiver receiver, MeshEvents events) {
     this.listenAddress = listenAddress;
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/TransferSchedule.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/TransferSchedule.java
@@ -218,7 +218,7 @@
    * Records the end of a transfer.
    *
    * @param view the current view of this node
-   * @param taken whether it brought something newer
+   * @param isAdopted whether it brought something newer
    */
   void recordEnd(long nowMillis, MeshView view, PeerAddress source, boolean isAdopted) {
     activeTransfers--;
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/StatePullerTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/StatePullerTest.java
@@ -175,8 +175,8 @@
   /**
    * A node of the own zone advertises the newest version but does not respond; another node does.
    *
-   * @param otherIsNear whether the other one is of the own zone too
-   * @param deadTurns how often the dead one is asked before it, each half a second
+   * @param isOtherNear whether the other one is of the own zone too
+   * @param unresponsiveTurns how often the unresponsive one is asked before it, each half a second
    */
   private static void assertPullsAfterAnUnresponsiveSource(
       boolean isOtherNear, int unresponsiveTurns) throws Exception {
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/RetryPolicy.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/RetryPolicy.java
@@ -26,7 +26,7 @@
   /**
    * Records a request; it adds to the retry budget unless it is itself a retry.
    *
-   * @param chain budget from its {@value ChainBudget#HEADER} header
+   * @param chain budget from its {@value ChainRetryBudget#HEADER} header
    */
   void requestStarted(long nowMillis, ChainRetryBudget chain);
 
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/quarantine/SuspectRegistry.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/quarantine/SuspectRegistry.java
@@ -50,7 +50,7 @@
   private long digest;
 
   /**
-   * Creates an empty ledger.
+   * Creates an empty registry.
    *
    * @param quarantineThreshold crashes from which a request is quarantined
    */
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/BackendLoad.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/routing/BackendLoad.java
@@ -11,7 +11,7 @@
  *     less if faster
  * @param routeMicros mean response time of the route that a response belongs to, microseconds; 0 if
  *     not known or not sent with a response
- * @param bornMillis start time of the backend, as {@link
+ * @param startTimeMillis start time of the backend, as {@link
  *     io.umberpath.model.routing.BackendEntry#startTimeMillis}; 0 if not known
  * @param failurePercent share of its recent responses that failed, percent
  */
