--- a/umberpath-control/src/main/java/io/umberpath/control/membership/SilenceTimeouts.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/membership/SilenceTimeouts.java
@@ -6,7 +6,7 @@
  *
  * @param nearMillis for a node of the same zone, milliseconds
  * @param farMillis for a node of another zone, milliseconds
- * @param quietMillis for a node of the same zone, time after which no report is forwarded through
+ * @param suspectMillis for a node of the same zone, time after which no report is forwarded through
  *     it, milliseconds: shorter, so that the reports it would forward still arrive in time by
  *     another path
  */
@@ -39,10 +39,10 @@
     int roundsBetween =
         isGossiped ? GossipRing.hops(zoneNodes) : ReportSchedule.roundsBetweenReports(zoneNodes);
     int rounds = isGossiped ? 2 * roundsBetween + SPARE_ROUNDS : MISSED_REPORTS * roundsBetween;
-    int quietRounds = isGossiped ? roundsBetween + 1 : rounds;
+    int suspectRounds = isGossiped ? roundsBetween + 1 : rounds;
     long near = rounds * ROUND_MILLIS + MAX_DELAY_MILLIS;
     long digests = MISSED_DIGESTS * ReportSchedule.ROUNDS_PER_DIGEST * ROUND_MILLIS;
-    long quiet = quietRounds * ROUND_MILLIS + MAX_DELAY_MILLIS;
-    return new SilenceTimeouts(near, near + digests + MAX_DELAY_MILLIS, quiet);
+    long suspect = suspectRounds * ROUND_MILLIS + MAX_DELAY_MILLIS;
+    return new SilenceTimeouts(near, near + digests + MAX_DELAY_MILLIS, suspect);
   }
 }
--- a/umberpath-control/src/main/java/io/umberpath/control/store/BackendListing.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/BackendListing.java
@@ -128,24 +128,24 @@
    *
    * @param isService tells whether the active configuration refers to a service
    */
-  public EffectiveListing update(long nowMillis, StoreView shown, Predicate<String> isService) {
-    if (shown.position().era() != position.era() || !position.isKnown()) {
-      beginEra(nowMillis, shown.position());
+  public EffectiveListing update(long nowMillis, StoreView view, Predicate<String> isService) {
+    if (view.position().era() != position.era() || !position.isKnown()) {
+      beginEra(nowMillis, view.position());
     }
-    position = shown.position();
+    position = view.position();
     nextUpdateMillis = NEVER;
     contradictedDepartures.clear();
     expireRetained(nowMillis);
-    List<StoredEntry> alive = selectAlive(nowMillis, shown.entries(), isService);
-    recordDepartures(nowMillis, shown.entries(), alive);
+    List<StoredEntry> alive = selectAlive(nowMillis, view.entries(), isService);
+    recordDepartures(nowMillis, view.entries(), alive);
     List<BackendEntry> entries = new ArrayList<>();
     Map<BackendEntry, BackendEntry> stillDraining = new HashMap<>();
     for (StoredEntry each : alive) {
       resolve(nowMillis, each, stillDraining).ifPresent(entries::add);
     }
     drainingByEntry = stillDraining;
-    addRetained(nowMillis, shown.entries(), entries);
-    Set<String> zones = new HashSet<>(shown.evacuatedZones());
+    addRetained(nowMillis, view.entries(), entries);
+    Set<String> zones = new HashSet<>(view.evacuatedZones());
     zones.addAll(retainedZones);
     effective = new EffectiveListing(List.copyOf(entries), Set.copyOf(zones));
     return effective;
--- a/umberpath-control/src/test/java/io/umberpath/control/store/BackendListingTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/store/BackendListingTest.java
@@ -35,8 +35,8 @@
     return ready(update(listing, nowMillis, era, revision, Set.of(), listed));
   }
 
-  private static List<String> ready(EffectiveListing believed) {
-    return believed.entries().stream()
+  private static List<String> ready(EffectiveListing effective) {
+    return effective.entries().stream()
         .filter(entry -> entry.state() == State.READY)
         .map(BackendEntry::id)
         .sorted()
@@ -50,8 +50,8 @@
       long revision,
       Set<String> zones,
       StoredEntry... listed) {
-    StoreView shown = new StoreView(new StorePosition(era, revision), List.of(listed), zones);
-    return listing.update(nowMillis, shown, service -> true);
+    StoreView view = new StoreView(new StorePosition(era, revision), List.of(listed), zones);
+    return listing.update(nowMillis, view, service -> true);
   }
 
   @Test
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/ConfigurationReader.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/ConfigurationReader.java
@@ -7,19 +7,19 @@
 
 /** Parses configurations and caches the last result with its routing table. Thread-safe. */
 final class ConfigurationReader {
-  private final StoreItemParser documents;
+  private final StoreItemParser parser;
   private StoreItem lastItem;
   private Either<String, RoutingConfiguration> lastResult;
   private RoutingTable lastRoutingTable;
 
-  ConfigurationReader(StoreItemParser documents) {
-    this.documents = documents;
+  ConfigurationReader(StoreItemParser parser) {
+    this.parser = parser;
   }
 
   /** The configuration of an item, or the error in it. */
   synchronized Either<String, RoutingConfiguration> read(StoreItem item) {
     if (!item.equals(lastItem)) {
-      lastResult = documents.parseConfiguration(item);
+      lastResult = parser.parseConfiguration(item);
       lastRoutingTable = lastResult.map(RoutingTable::of).getOrNull();
       lastItem = item;
     }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/ConfigurationWarmUp.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/ConfigurationWarmUp.java
@@ -12,12 +12,12 @@
   /** Rules of the example: enough for the parser to be compiled. */
   static final int EXAMPLE_RULES = 300;
 
-  private final StoreItemParser documents;
+  private final StoreItemParser parser;
   private final Supplier<MeshView> view;
   private final MeshEvents events;
 
-  ConfigurationWarmUp(StoreItemParser documents, Supplier<MeshView> view, MeshEvents events) {
-    this.documents = documents;
+  ConfigurationWarmUp(StoreItemParser parser, Supplier<MeshView> view, MeshEvents events) {
+    this.parser = parser;
     this.view = view;
     this.events = events;
   }
@@ -43,7 +43,7 @@
     boolean hasParsedLarge =
         current.isComplete() && current.configuration().rules().size() >= EXAMPLE_RULES;
     if (!hasParsedLarge) {
-      RoutingTable.of(documents.parseExample(EXAMPLE_RULES));
+      RoutingTable.of(parser.parseExample(EXAMPLE_RULES));
     }
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/LocalBackend.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/LocalBackend.java
@@ -32,7 +32,7 @@
   private boolean wasEvacuated;
   private volatile boolean draining;
   private volatile int slots = DEFAULT_SLOTS;
-  private volatile long bornMillis = BackendStart.UNKNOWN_START_TIME_MILLIS;
+  private volatile long startTimeMillis = BackendStart.UNKNOWN_START_TIME_MILLIS;
 
   /**
    * Creates the state of a backend that has not been seen yet.
@@ -83,8 +83,8 @@
    * Returns the start time of the listed or last listed start; see {@link
    * BackendEntry#startTimeMillis}.
    */
-  long bornMillis() {
-    return bornMillis;
+  long startTimeMillis() {
+    return startTimeMillis;
   }
 
   /** Reads the backend's entries; returns whether the number of slots has changed. */
@@ -92,7 +92,7 @@
     List<BackendEntry> entries = view.get().backends().atAddress(settings.backend());
     for (BackendEntry entry : entries) {
       lastKnownStarts.put(entry.id(), entry.start());
-      bornMillis = entry.startTimeMillis();
+      startTimeMillis = entry.startTimeMillis();
     }
     int reportedSlots = entries.stream().mapToInt(BackendEntry::slots).max().orElse(slots);
     boolean changed = reportedSlots != slots;
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/LocalBackendFailures.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/LocalBackendFailures.java
@@ -17,7 +17,7 @@
   private static final int LOG_THRESHOLD_PERCENT = 20;
 
   private final MeshEvents events;
-  private FailureRate failureShare = new FailureRate();
+  private FailureRate failureRate = new FailureRate();
   private boolean isLoggedAsFailing;
 
   LocalBackendFailures(MeshEvents events) {
@@ -32,27 +32,27 @@
    * @param status status code of that response
    */
   synchronized void recordAttempt(long nowMillis, String backend, Refusal refusal, int status) {
-    failureShare.recordResult(
+    failureRate.recordResult(
         nowMillis, refusal == null ? resultOfResponse(status) : resultOfFailure(refusal.verdict()));
-    int percent = failureShare.percent(nowMillis);
+    int percent = failureRate.percent(nowMillis);
     boolean isFailing = percent > LOG_THRESHOLD_PERCENT;
     // The share must fall to half the threshold before the end is logged; otherwise a share that
     // varies around the threshold would be logged again and again.
     if (isFailing && !isLoggedAsFailing
         || isLoggedAsFailing && percent < LOG_THRESHOLD_PERCENT / 2) {
       isLoggedAsFailing = isFailing;
-      events.backendFailing(backend, isFailing, percent, failureShare.describeCounts(nowMillis));
+      events.backendFailing(backend, isFailing, percent, failureRate.describeCounts(nowMillis));
     }
   }
 
   /** Discards all attempts, which belong to an earlier start of the backend. */
   synchronized void reset() {
-    failureShare = new FailureRate();
+    failureRate = new FailureRate();
   }
 
   /** Returns the share of recent attempts that failed, percent. */
   synchronized int percent(long nowMillis) {
-    return failureShare.percent(nowMillis);
+    return failureRate.percent(nowMillis);
   }
 
   private static AttemptResult resultOfResponse(int status) {
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/LocalBackendSpeed.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/LocalBackendSpeed.java
@@ -17,7 +17,7 @@
   private final LongSupplier clockMillis;
   private BackendSpeed speed = new BackendSpeed();
   private boolean areReportsTrusted = true;
-  private double slownessByAge = 1;
+  private double slowdownByAge = 1;
 
   /**
    * Creates an estimate without data.
@@ -62,7 +62,7 @@
 
   /** Updates the estimate from the requests that are running. */
   synchronized void observeRunning(Collection<SlowdownDetector.Running> running) {
-    slownessByAge = SlowdownDetector.slowdownFactor(running);
+    slowdownByAge = SlowdownDetector.slowdownFactor(running);
     if (speed.isTrusted() != areReportsTrusted) {
       areReportsTrusted = speed.isTrusted();
       events.statementsBelieved(areReportsTrusted, speed.describeErrors());
@@ -72,11 +72,11 @@
   /** Discards all data after the backend has restarted. */
   synchronized void reset() {
     speed = new BackendSpeed();
-    slownessByAge = 1;
+    slowdownByAge = 1;
   }
 
   /** Returns the factor by which requests currently take longer than usual. */
-  synchronized double slowness() {
-    return speed.slowdown(clockMillis.getAsLong(), slownessByAge);
+  synchronized double slowdown() {
+    return speed.slowdown(clockMillis.getAsLong(), slowdownByAge);
   }
 }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshInboundHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshInboundHandler.java
@@ -69,10 +69,10 @@
   private final RequestEvents requestEvents;
   private final LongSupplier clockMillis;
   private final RouteAverages routeTimes = new RouteAverages(MIN_TIME_SAMPLES);
-  private final NestedRouteDetector nestedRoutes = new NestedRouteDetector();
+  private final NestedRouteDetector nestedRouteDetector = new NestedRouteDetector();
   private final LocalBackendFailures failures;
   private volatile double retriedWorkShare;
-  private long observedBornMillis = BackendStart.UNKNOWN_START_TIME_MILLIS;
+  private long observedStartTimeMillis = BackendStart.UNKNOWN_START_TIME_MILLIS;
   private final RefusalStyle style = new MeshRefusalStyle();
   private final Set<String> replacedHeaders = new TreeSet<>(String.CASE_INSENSITIVE_ORDER);
 
@@ -179,9 +179,9 @@
 
   /** Discards measurements when the backend has restarted; they do not apply to the new process. */
   private void resetAfterRestart() {
-    long bornMillis = backend.bornMillis();
-    if (bornMillis != observedBornMillis) {
-      observedBornMillis = bornMillis;
+    long startTimeMillis = backend.startTimeMillis();
+    if (startTimeMillis != observedStartTimeMillis) {
+      observedStartTimeMillis = startTimeMillis;
       failures.reset();
       synchronized (routeTimes) {
         routeTimes.clear();
@@ -200,7 +200,7 @@
 
   /** Returns the load of the backend that this node reports. */
   BackendLoad load() {
-    int slownessPercent = (int) Math.round(speed.slowness() * BackendLoad.USUAL_PERCENT);
+    int slownessPercent = (int) Math.round(speed.slowdown() * BackendLoad.USUAL_PERCENT);
     long serviceMicros = admissionQueue.meanServiceMicros();
     int slots =
         backend.coldStarts().usableSlots(clockMillis.getAsLong(), backend.slots(), serviceMicros);
@@ -211,7 +211,7 @@
         serviceMicros,
         slownessPercent,
         0,
-        backend.bornMillis(),
+        backend.startTimeMillis(),
         failures.percent(clockMillis.getAsLong()));
   }
 
@@ -284,9 +284,9 @@
       return;
     }
     uploads.release(exchange);
-    double slowness = speed.slowness();
-    long expectedMicros = Math.round(slowness * expectedMicros(plan.route()));
-    long likelyMaxMicros = Math.round(slowness * likelyMaxMicros(plan.route()));
+    double slowdown = speed.slowdown();
+    long expectedMicros = Math.round(slowdown * expectedMicros(plan.route()));
+    long likelyMaxMicros = Math.round(slowdown * likelyMaxMicros(plan.route()));
     long deadlineMillis = plan.deadlineMillis() - RESPONSE_TRANSIT_MILLIS;
     HopHeader hop = plan.hop();
     long arrivedMillis = plan.arrivedMillis();
@@ -323,15 +323,15 @@
   private boolean isNested(Exchange exchange) {
     String callerService = exchange.request().field(settings.headers().callerService()).orElse("");
     String route = planOf(exchange).route();
-    synchronized (nestedRoutes) {
-      nestedRoutes.recordRequest(route, callerService);
-      return nestedRoutes.isNested(route);
+    synchronized (nestedRouteDetector) {
+      nestedRouteDetector.recordRequest(route, callerService);
+      return nestedRouteDetector.isNested(route);
     }
   }
 
   private boolean isNested(String route) {
-    synchronized (nestedRoutes) {
-      return nestedRoutes.isNested(route);
+    synchronized (nestedRouteDetector) {
+      return nestedRouteDetector.isNested(route);
     }
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshNode.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshNode.java
@@ -102,7 +102,7 @@
   public MeshNode(
       MeshSettings settings,
       StoreClient client,
-      StoreItemParser documents,
+      StoreItemParser parser,
       String readyPath,
       MeshEvents events,
       LongSupplier clockMillis) {
@@ -112,11 +112,11 @@
     this.readyPath = readyPath;
     StoreWatcher watcher =
         new StoreWatcher(
-            documents.prefix(),
+            parser.prefix(),
             StoreWatchTimings.PROMPT,
             () -> ThreadLocalRandom.current().nextDouble());
-    this.state = new MeshState(documents, watcher, events, clockMillis);
-    this.warmUp = new ConfigurationWarmUp(documents, state::view, events);
+    this.state = new MeshState(parser, watcher, events, clockMillis);
+    this.warmUp = new ConfigurationWarmUp(parser, state::view, events);
     this.follower = new StoreFollower(state, client, events, clockMillis);
     this.puller = new StatePuller(settings, state, follower::isReading, events, clockMillis);
     this.balancer =
@@ -130,7 +130,7 @@
     this.peers =
         new PeerExchange(
             settings, state::view, this::storeContact, balancer, quarantine, events, clockMillis);
-    LocalBackendSpeed speed = new LocalBackendSpeed(documents::parseStatement, events, clockMillis);
+    LocalBackendSpeed speed = new LocalBackendSpeed(parser::parseStatement, events, clockMillis);
     this.backend = new LocalBackend(settings, state::view, this::isAttested, speed, clockMillis);
     this.proxy =
         new MeshProxy(
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshOutboundHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshOutboundHandler.java
@@ -50,9 +50,9 @@
   private final RequestQuarantine quarantine;
   private final RequestEvents events;
   private final LongSupplier clockMillis;
-  private final WeightedRoundRobin split = new WeightedRoundRobin();
+  private final WeightedRoundRobin weightedRoundRobin = new WeightedRoundRobin();
   private final OutboundRetryPolicy retryPolicy;
-  private final RequestAgeEstimator patience = new RequestAgeEstimator();
+  private final RequestAgeEstimator requestAges = new RequestAgeEstimator();
   private final RequestCosts costs = new RequestCosts();
   private final RefusalStyle style = new MeshRefusalStyle();
   private final Set<String> replacedHeaders = new TreeSet<>(String.CASE_INSENSITIVE_ORDER);
@@ -161,8 +161,8 @@
       long deadlineMillis,
       boolean isClientRetry) {
     String service;
-    synchronized (split) {
-      service = split.next(rule);
+    synchronized (weightedRoundRobin) {
+      service = weightedRoundRobin.next(rule);
     }
     retryPolicy.recordRequest(clockMillis.getAsLong(), rule.name(), service);
     return new MeshOutboundPlan(
@@ -179,8 +179,8 @@
   }
 
   private boolean isClientRetry(RoutingRule rule, long clientTimeoutMillis) {
-    synchronized (patience) {
-      return patience.ageMillis(rule.name(), clientTimeoutMillis) > 0;
+    synchronized (requestAges) {
+      return requestAges.ageMillis(rule.name(), clientTimeoutMillis) > 0;
     }
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshState.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshState.java
@@ -31,7 +31,7 @@
  * {@link #view} never blocks.
  */
 final class MeshState {
-  private final StoreItemParser documents;
+  private final StoreItemParser parser;
   private final ConfigurationReader configurations;
   private final StoreWatcher watcher;
   private final MeshEvents events;
@@ -62,12 +62,9 @@
    * @param clockMillis monotonic clock, milliseconds
    */
   MeshState(
-      StoreItemParser documents,
-      StoreWatcher watcher,
-      MeshEvents events,
-      LongSupplier clockMillis) {
-    this.documents = documents;
-    this.configurations = new ConfigurationReader(documents);
+      StoreItemParser parser, StoreWatcher watcher, MeshEvents events, LongSupplier clockMillis) {
+    this.parser = parser;
+    this.configurations = new ConfigurationReader(parser);
     this.watcher = watcher;
     this.events = events;
     this.clockMillis = clockMillis;
@@ -151,10 +148,10 @@
    *
    * @return whether the position advanced; the caller then calls {@link #refresh}
    */
-  synchronized boolean handleResponse(long nowMillis, StoreResponse answer) {
-    answer.era().ifPresent(this::applyBeforeNewEra);
+  synchronized boolean handleResponse(long nowMillis, StoreResponse response) {
+    response.era().ifPresent(this::applyBeforeNewEra);
     StorePosition before = watcher.position();
-    boolean isChanged = watcher.onResponse(nowMillis, answer);
+    boolean isChanged = watcher.onResponse(nowMillis, response);
     boolean hasAdvanced = isChanged || !watcher.position().equals(before);
     if (hasAdvanced) {
       updateHeldPosition(true);
@@ -214,7 +211,7 @@
 
   private synchronized Optional<StoreItem> configurationItem() {
     return watcher.items().stream()
-        .filter(item -> documents.isConfigurationKey(item.key()))
+        .filter(item -> parser.isConfigurationKey(item.key()))
         .findFirst();
   }
 
@@ -224,12 +221,12 @@
     List<StoredEntry> entries = new ArrayList<>();
     Set<String> evacuated = new HashSet<>();
     for (StoreItem item : items) {
-      if (documents.isConfigurationKey(item.key())) {
+      if (parser.isConfigurationKey(item.key())) {
         handleStoreConfiguration(item, source);
-      } else if (documents.isBackendKey(item.key())) {
+      } else if (parser.isBackendKey(item.key())) {
         backendEntry(item).ifPresent(entry -> entries.add(new StoredEntry(entry, item.revision())));
       } else {
-        documents.evacuatedZone(item.key()).ifPresent(evacuated::add);
+        parser.evacuatedZone(item.key()).ifPresent(evacuated::add);
       }
     }
     parsedEntries.keySet().retainAll(new HashSet<>(items));
@@ -302,7 +299,7 @@
   }
 
   private Optional<BackendEntry> parseBackend(StoreItem item) {
-    Either<String, BackendEntry> parsed = documents.parseBackend(item);
+    Either<String, BackendEntry> parsed = parser.parseBackend(item);
     if (parsed.isLeft()) {
       events.backendRefused(item.key(), item.revision(), parsed.getLeft());
     }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerReport.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerReport.java
@@ -120,11 +120,12 @@
     PeerAddress address = new PeerAddress(readText(in), (int) readNumber(in));
     String zone = readText(in);
     int slots = Math.max(1, (int) readNumber(in));
-    long born = readNumber(in);
+    long startTimeMillis = readNumber(in);
     if (in.nextToken() != JsonToken.END_ARRAY) {
       throw new IOException("report has trailing data");
     }
-    return new BackendEntry(id, service, address, zone, slots, BackendEntry.State.READY, 0, born);
+    return new BackendEntry(
+        id, service, address, zone, slots, BackendEntry.State.READY, 0, startTimeMillis);
   }
 
   private static String readText(JsonParser in) throws IOException {
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/RequestQuarantine.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/RequestQuarantine.java
@@ -23,13 +23,13 @@
 final class RequestQuarantine {
   private static final long MILLIS_PER_SECOND = 1_000;
 
-  private final SuspectRegistry ledger;
+  private final SuspectRegistry registry;
   private final Predicate<RequestFingerprint> isTrialOwner;
   private final MeshEvents events;
   private final LongSupplier clockMillis;
 
   /** Suspicions not sent to the other nodes yet; guarded by this object's lock. */
-  private final List<SuspectReport> unsentSuspicions = new ArrayList<>();
+  private final List<SuspectReport> unsentReports = new ArrayList<>();
 
   private volatile Set<Long> heldTargets = Set.of();
   private volatile int suspectCount;
@@ -38,15 +38,15 @@
   /**
    * Creates an empty quarantine.
    *
-   * @param ledger an empty ledger
+   * @param registry an empty registry
    * @param isTrialOwner whether this node is the one that may retry a given held request as a trial
    */
   RequestQuarantine(
-      SuspectRegistry ledger,
+      SuspectRegistry registry,
       Predicate<RequestFingerprint> isTrialOwner,
       MeshEvents events,
       LongSupplier clockMillis) {
-    this.ledger = ledger;
+    this.registry = registry;
     this.isTrialOwner = isTrialOwner;
     this.events = events;
     this.clockMillis = clockMillis;
@@ -68,13 +68,13 @@
   boolean blocksOutbound(RequestFingerprint request) {
     long now = clockMillis.getAsLong();
     synchronized (this) {
-      if (!ledger.isQuarantined(request)) {
+      if (!registry.isQuarantined(request)) {
         return false;
       }
-      if (!ledger.isTrialDue(now, request) || !isTrialOwner.test(request)) {
+      if (!registry.isTrialDue(now, request) || !isTrialOwner.test(request)) {
         return true;
       }
-      ledger.beginTrial(now, request);
+      registry.beginTrial(now, request);
       events.requestTried(request);
       return false;
     }
@@ -84,7 +84,7 @@
   boolean blocksInbound(RequestFingerprint request) {
     long now = clockMillis.getAsLong();
     synchronized (this) {
-      return ledger.isQuarantined(request) && !ledger.isTrialDue(now, request);
+      return registry.isQuarantined(request) && !registry.isTrialDue(now, request);
     }
   }
 
@@ -92,16 +92,16 @@
   synchronized void recordBackendCrash(
       BackendStart backend, Collection<RequestFingerprint> running) {
     Set<RequestFingerprint> heldBefore = heldAmong(running);
-    unsentSuspicions.addAll(ledger.recordCrash(clockMillis.getAsLong(), backend, running));
+    unsentReports.addAll(registry.recordCrash(clockMillis.getAsLong(), backend, running));
     publishChanges(heldBefore, running);
   }
 
   /** Records that a request completed successfully on the local backend. */
   synchronized void recordSuccess(RequestFingerprint request) {
-    boolean heldBefore = ledger.isQuarantined(request);
-    Optional<SuspectReport> cleared = ledger.recordSuccess(clockMillis.getAsLong(), request);
+    boolean heldBefore = registry.isQuarantined(request);
+    Optional<SuspectReport> cleared = registry.recordSuccess(clockMillis.getAsLong(), request);
     if (cleared.isPresent()) {
-      unsentSuspicions.add(cleared.get());
+      unsentReports.add(cleared.get());
       publishChanges(heldBefore ? Set.of(request) : Set.of(), List.of(request));
     }
   }
@@ -116,7 +116,7 @@
     List<RequestFingerprint> affected = received.stream().map(SuspectReport::request).toList();
     Set<RequestFingerprint> heldBefore = heldAmong(affected);
     for (SuspectReport each : received) {
-      ledger.merge(now, each).stream().skip(1).forEach(unsentSuspicions::add);
+      registry.merge(now, each).stream().skip(1).forEach(unsentReports::add);
     }
     publishChanges(heldBefore, affected);
   }
@@ -124,7 +124,7 @@
   private Set<RequestFingerprint> heldAmong(Collection<RequestFingerprint> requests) {
     Set<RequestFingerprint> held = new HashSet<>();
     for (RequestFingerprint request : requests) {
-      if (ledger.isQuarantined(request)) {
+      if (registry.isQuarantined(request)) {
         held.add(request);
       }
     }
@@ -135,10 +135,10 @@
       Set<RequestFingerprint> heldBefore, Collection<RequestFingerprint> affected) {
     updateSummary();
     for (RequestFingerprint request : affected) {
-      boolean isHeld = ledger.isQuarantined(request);
+      boolean isHeld = registry.isQuarantined(request);
       if (isHeld != heldBefore.contains(request)) {
-        events.requestHeld(request, isHeld, ledger.crashCount(request));
-        heldTargets = ledger.quarantinedTargets();
+        events.requestHeld(request, isHeld, registry.crashCount(request));
+        heldTargets = registry.quarantinedTargets();
       }
     }
   }
@@ -146,35 +146,35 @@
   /** Removes expired suspicions. */
   synchronized void removeExpired() {
     if (suspectCount > 0) {
-      ledger.removeExpired(clockMillis.getAsLong());
-      heldTargets = ledger.quarantinedTargets();
+      registry.removeExpired(clockMillis.getAsLong());
+      heldTargets = registry.quarantinedTargets();
       updateSummary();
     }
   }
 
   private void updateSummary() {
-    suspectCount = ledger.size();
-    digest = ledger.digest();
+    suspectCount = registry.size();
+    digest = registry.digest();
   }
 
   /** Returns the suspicions recorded since the last call, to be sent to the other nodes. */
   synchronized List<SuspectReport> drainUnsent() {
-    List<SuspectReport> drained = List.copyOf(unsentSuspicions);
-    unsentSuspicions.clear();
+    List<SuspectReport> drained = List.copyOf(unsentReports);
+    unsentReports.clear();
     return drained;
   }
 
   /** Returns all suspicions, for a node that lacks some. */
-  synchronized List<SuspectReport> allSuspicions() {
-    return ledger.snapshot();
+  synchronized List<SuspectReport> allReports() {
+    return registry.snapshot();
   }
 
   /** Returns the held requests for operators, one per line. */
   synchronized String statusPage() {
     long now = clockMillis.getAsLong();
     StringBuilder lines = new StringBuilder();
-    for (SuspectReport each : ledger.snapshot()) {
-      if (ledger.isQuarantined(each.request())) {
+    for (SuspectReport each : registry.snapshot()) {
+      if (registry.isQuarantined(each.request())) {
         lines.append(statusLine(now, each));
       }
     }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/StateChangesCodec.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/StateChangesCodec.java
@@ -52,8 +52,8 @@
       write(out, changes.after());
       write(out, changes.position());
       write(out, transfer.facts());
-      for (StoreEvent.Delete gone : changes.removed()) {
-        write(out, gone.key(), null, gone.revision());
+      for (StoreEvent.Delete deleted : changes.removed()) {
+        write(out, deleted.key(), null, deleted.revision());
       }
       for (StoreItem item : changes.items()) {
         write(out, item.key(), item.value(), item.revision());
@@ -207,14 +207,14 @@
     final StorePosition at = readPosition(in);
     final StoreFacts facts = readFacts(in);
     List<StoreItem> items = new ArrayList<>();
-    List<StoreEvent.Delete> gone = new ArrayList<>();
+    List<StoreEvent.Delete> deleted = new ArrayList<>();
     List<ItemPatch> patches = new ArrayList<>();
     for (JsonToken token = in.nextToken(); token != JsonToken.END_ARRAY; token = in.nextToken()) {
-      require(token == JsonToken.VALUE_STRING && items.size() + gone.size() < MAX_ITEMS);
+      require(token == JsonToken.VALUE_STRING && items.size() + deleted.size() < MAX_ITEMS);
       String key = in.getText();
       JsonToken value = in.nextToken();
       if (value == JsonToken.VALUE_NULL) {
-        gone.add(new StoreEvent.Delete(key, readNumber(in)));
+        deleted.add(new StoreEvent.Delete(key, readNumber(in)));
       } else if (value == JsonToken.START_ARRAY) {
         patches.add(readPatch(in, key));
       } else {
@@ -225,7 +225,7 @@
     }
     // Reads to the end of the stream, so that the checksum of the compression is verified.
     require(in.nextToken() == null);
-    return new StateTransfer(new StoreChanges(after, at, items, gone, patches), facts);
+    return new StateTransfer(new StoreChanges(after, at, items, deleted, patches), facts);
   }
 
   private static long readNumber(JsonParser in) throws IOException {
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/StoreFollower.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/StoreFollower.java
@@ -146,8 +146,8 @@
       Thread.sleep(Math.max(1, Math.min(remainingMillis, MAX_SLEEP_MILLIS)));
       return;
     }
-    StoreRequest call = ((Step.Call) step).call();
-    StoreResponse response = rejectOutdated(client.call(call));
+    StoreRequest request = ((Step.Call) step).call();
+    StoreResponse response = rejectOutdated(client.call(request));
     if (closed) {
       return;
     }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/SuspectExchange.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/SuspectExchange.java
@@ -56,7 +56,7 @@
     if (digest == quarantine.digest()) {
       return;
     }
-    List<SuspectReport> all = quarantine.allSuspicions();
+    List<SuspectReport> all = quarantine.allReports();
     long now = clockMillis.getAsLong();
     if (!all.isEmpty() && tryStartFullSync(host, now)) {
       sender.send(SuspectMessage.encode(now, all), List.of(host));
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/SuspectMessage.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/SuspectMessage.java
@@ -14,29 +14,29 @@
 /**
  * A datagram with suspicions about requests that crash backends.
  *
- * @param suspicions suspicions that carry ages instead of times, so that receivers need not know
- *     the sender's clock
+ * @param reports suspicions that carry ages instead of times, so that receivers need not know the
+ *     sender's clock
  */
-record SuspectMessage(List<SuspectReport> suspicions) implements PeerDatagram {
+record SuspectMessage(List<SuspectReport> reports) implements PeerDatagram {
   /** Distinguishes this message from the kinds of {@link PeerMessage}. */
   static final int KIND = 2;
 
   private static final int INITIAL_BYTES = 128;
 
   /** Encodes all suspicions into datagrams, each small enough to be sent unfragmented. */
-  static List<byte[]> encode(long nowMillis, List<SuspectReport> suspicions) {
+  static List<byte[]> encode(long nowMillis, List<SuspectReport> reports) {
     List<byte[]> datagrams = new ArrayList<>();
-    PeerDatagram.split(suspicions, some -> write(nowMillis, some), datagrams);
+    PeerDatagram.split(reports, some -> write(nowMillis, some), datagrams);
     return datagrams;
   }
 
-  private static byte[] write(long nowMillis, List<SuspectReport> suspicions) {
+  private static byte[] write(long nowMillis, List<SuspectReport> reports) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_BYTES);
     try (JsonGenerator out = CBOR.createGenerator(bytes)) {
       out.writeStartArray();
       out.writeNumber(KIND);
-      for (SuspectReport suspicion : suspicions) {
-        write(nowMillis, suspicion, out);
+      for (SuspectReport report : reports) {
+        write(nowMillis, report, out);
       }
       out.writeEndArray();
     } catch (IOException impossible) {
@@ -45,12 +45,12 @@
     return bytes.toByteArray();
   }
 
-  private static void write(long nowMillis, SuspectReport suspicion, JsonGenerator out)
+  private static void write(long nowMillis, SuspectReport report, JsonGenerator out)
       throws IOException {
     out.writeStartArray();
-    out.writeNumber(suspicion.request().target());
-    out.writeNumber(suspicion.request().body());
-    for (CrashMark mark : suspicion.marks()) {
+    out.writeNumber(report.request().target());
+    out.writeNumber(report.request().body());
+    for (CrashMark mark : report.marks()) {
       out.writeNumber(mark.crashId());
       out.writeNumber(nowMillis - mark.atMillis());
       out.writeBoolean(mark.cleared());
@@ -60,16 +60,16 @@
 
   /** Reads the suspicions of a datagram whose kind has been read; their times are ages. */
   static SuspectMessage decodeEntries(JsonParser in) throws IOException {
-    List<SuspectReport> suspicions = new ArrayList<>();
+    List<SuspectReport> reports = new ArrayList<>();
     for (JsonToken token = in.nextToken(); token != JsonToken.END_ARRAY; token = in.nextToken()) {
       PeerDatagram.require(
           token == JsonToken.START_ARRAY, "has no suspicion where one is expected");
-      suspicions.add(readSuspicion(in));
+      reports.add(readReport(in));
     }
-    return new SuspectMessage(List.copyOf(suspicions));
+    return new SuspectMessage(List.copyOf(reports));
   }
 
-  private static SuspectReport readSuspicion(JsonParser in) throws IOException {
+  private static SuspectReport readReport(JsonParser in) throws IOException {
     PeerDatagram.require(
         in.nextToken() == JsonToken.VALUE_NUMBER_INT, "has no request fingerprint");
     RequestFingerprint request = new RequestFingerprint(in.getLongValue(), number(in));
@@ -94,7 +94,7 @@
 
   /** Returns the suspicions with times on this node's clock. */
   List<SuspectReport> toLocalTimes(long nowMillis) {
-    return suspicions.stream()
+    return reports.stream()
         .map(each -> new SuspectReport(each.request(), toLocalTimes(nowMillis, each.marks())))
         .toList();
   }
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/BackendCrashDetectorTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/BackendCrashDetectorTest.java
@@ -76,7 +76,7 @@
   }
 
   @Test
-  void aLossOnTheNextStartReplacesTheSuspicionOfTheEarlierOne() {
+  void aLossOnTheNextStartReplacesTheSuspectedCrashOfTheEarlierOne() {
     detector.connectionLost("i-1", ONE);
     detector.connectionLost("i-2", OTHER);
     refuse(0);
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/FakeStoreItemParser.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/FakeStoreItemParser.java
@@ -74,11 +74,12 @@
     }
     String[] parts = item.value().split("@");
     PeerAddress address = new PeerAddress("10.0.0.1", Integer.parseInt(parts[0]));
-    long born =
+    long startTimeMillis =
         parts.length > 1 ? Long.parseLong(parts[1]) : BackendStart.UNKNOWN_START_TIME_MILLIS;
     String service = parts.length > 2 ? parts[2] : "booking";
     BackendEntry.State state =
         parts.length > 3 ? BackendEntry.State.valueOf(parts[3]) : BackendEntry.State.READY;
-    return Either.right(new BackendEntry(item.key(), service, address, "z", 6, state, 0, born));
+    return Either.right(
+        new BackendEntry(item.key(), service, address, "z", 6, state, 0, startTimeMillis));
   }
 }
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/FleetModel.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/FleetModel.java
@@ -34,7 +34,7 @@
 
   /** A message in flight to a node. */
   private sealed interface Message {
-    record FromStore(StoreResponse answer) implements Message {}
+    record FromStore(StoreResponse response) implements Message {}
 
     record FromPeer(StateTransfer transfer) implements Message {}
   }
@@ -172,7 +172,7 @@
       Step step = node.state.watcher().nextStep(nowMillis);
       if (step instanceof Step.Call call) {
         node.inFlight.removeIf(Message.FromStore.class::isInstance);
-        node.inFlight.add(new Message.FromStore(store.answer(call.call())));
+        node.inFlight.add(new Message.FromStore(store.respond(call.call())));
       } else {
         nowMillis++;
       }
@@ -200,7 +200,7 @@
       }
     } else if (message instanceof Message.FromStore fromStore) {
       synchronized (node.state) {
-        node.state.watcher().onResponse(nowMillis, fromStore.answer());
+        node.state.watcher().onResponse(nowMillis, fromStore.response());
         if (node.state.watcher().position().isKnown()) {
           node.state.refresh("store");
         }
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/LocalBackendTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/LocalBackendTest.java
@@ -54,9 +54,9 @@
     return entry(id, state, 0);
   }
 
-  private static BackendEntry startedAt(long bornMillis) {
+  private static BackendEntry startedAt(long startTimeMillis) {
     return new BackendEntry(
-        "first", "booking", ADDRESS, "zone", 6, BackendEntry.State.READY, 0, bornMillis);
+        "first", "booking", ADDRESS, "zone", 6, BackendEntry.State.READY, 0, startTimeMillis);
   }
 
   private static BackendEntry entry(String id, BackendEntry.State state, long warmupMillis) {
@@ -108,7 +108,7 @@
     backend.refresh();
 
     assertThat(backend.acceptsNewWork("first")).isTrue();
-    assertThat(backend.bornMillis()).isEqualTo(2_000);
+    assertThat(backend.startTimeMillis()).isEqualTo(2_000);
     assertThat(backend.startOf("first").startTimeMillis()).isEqualTo(2_000);
   }
 
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/QuarantineSimulation.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/QuarantineSimulation.java
@@ -109,7 +109,7 @@
   private final class Node {
     private final int index;
     private final int zone;
-    private SuspectRegistry ledger;
+    private SuspectRegistry registry;
     private RequestQuarantine quarantine;
     private SuspectExchange exchange;
     private long startedMillis = -CONTACT_MILLIS;
@@ -123,8 +123,8 @@
     }
 
     private void clearSuspicions() {
-      ledger = new SuspectRegistry(policy.marksToHold());
-      quarantine = new RequestQuarantine(ledger, request -> false, EVENTS, () -> now);
+      registry = new SuspectRegistry(policy.marksToHold());
+      quarantine = new RequestQuarantine(registry, request -> false, EVENTS, () -> now);
       exchange = new SuspectExchange(quarantine, () -> hosts, this::send, () -> now);
     }
 
@@ -351,7 +351,7 @@
   }
 
   private static boolean isSuspect(Node node, Request request) {
-    return node.ledger.crashCount(request.fingerprint) > 0;
+    return node.registry.crashCount(request.fingerprint) > 0;
   }
 
   private void recordArrival(Request request) {
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/SimulatedFleet.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/SimulatedFleet.java
@@ -169,7 +169,7 @@
         pendingWatches.add(pending);
       } else {
         deliverAfterDelay(
-            pending.node(), store.answer(new StoreRequest.Watch("", pending.afterRevision(), 0)));
+            pending.node(), store.respond(new StoreRequest.Watch("", pending.afterRevision(), 0)));
       }
     }
   }
@@ -213,12 +213,12 @@
       watch(node, watch);
     } else {
       fullReads += ((StoreRequest.Read) call).after().isEmpty() ? 1 : 0;
-      deliverAfterDelay(node, store.answer(call));
+      deliverAfterDelay(node, store.respond(call));
     }
   }
 
   private void watch(Node node, StoreRequest.Watch watch) {
-    StoreResponse immediate = store.answer(watch);
+    StoreResponse immediate = store.respond(watch);
     boolean waits = immediate instanceof StoreResponse.Events events && events.events().isEmpty();
     if (!waits) {
       deliverAfterDelay(node, immediate);
@@ -235,13 +235,13 @@
         });
   }
 
-  private void deliverAfterDelay(Node node, StoreResponse answer) {
-    scheduleAfter(STORE_MILLIS, () -> handleResponse(node, answer));
+  private void deliverAfterDelay(Node node, StoreResponse response) {
+    scheduleAfter(STORE_MILLIS, () -> handleResponse(node, response));
   }
 
-  private void handleResponse(Node node, StoreResponse answer) {
+  private void handleResponse(Node node, StoreResponse response) {
     StorePosition before = node.state.watcher().position();
-    boolean changed = node.state.watcher().onResponse(now, answer);
+    boolean changed = node.state.watcher().onResponse(now, response);
     if (changed || !node.state.watcher().position().equals(before)) {
       node.state.refresh("store");
       announce(node);
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/StoreFollowerTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/StoreFollowerTest.java
@@ -108,12 +108,12 @@
   }
 
   /** Blocks each call until the test supplies its response. */
-  private static StoreClient blockingClient(SynchronousQueue<StoreResponse> answers) {
+  private static StoreClient blockingClient(SynchronousQueue<StoreResponse> responses) {
     return new StoreClient() {
       @Override
       public StoreResponse call(StoreRequest call) {
         try {
-          return answers.take();
+          return responses.take();
         } catch (InterruptedException ended) {
           return new StoreResponse.Unavailable("ended");
         }
@@ -131,13 +131,13 @@
     MeshEvents events = new MeshEvents(CLOCK);
     StoreWatcher watcher = new StoreWatcher("", StoreWatchTimings.PROMPT, () -> 0.5);
     MeshState state = new MeshState(new FakeStoreItemParser(), watcher, events, CLOCK);
-    SynchronousQueue<StoreResponse> answers = new SynchronousQueue<>();
+    SynchronousQueue<StoreResponse> responses = new SynchronousQueue<>();
     try (StoreFollower follower =
-        new StoreFollower(state, blockingClient(answers), events, now::get)) {
+        new StoreFollower(state, blockingClient(responses), events, now::get)) {
       follower.start();
       assertThat(follower.reportedContact().state()).isEqualTo(ReportedContact.State.NONE);
 
-      answers.put(
+      responses.put(
           new StoreResponse.Page(List.of(), false, new StorePosition(StorePosition.NO_ERA, 1)));
       await(() -> follower.reportedContact().state() == ReportedContact.State.REACHABLE);
 
@@ -164,12 +164,12 @@
     MeshEvents events = new MeshEvents(CLOCK);
     StoreWatcher watcher = new StoreWatcher("", StoreWatchTimings.PROMPT, () -> 1);
     MeshState held = new MeshState(new FakeStoreItemParser(), watcher, events, CLOCK);
-    SynchronousQueue<StoreResponse> answers = new SynchronousQueue<>();
+    SynchronousQueue<StoreResponse> responses = new SynchronousQueue<>();
     try (StoreFollower follower =
-        new StoreFollower(held, blockingClient(answers), events, now::get)) {
+        new StoreFollower(held, blockingClient(responses), events, now::get)) {
       follower.setReadPolicy(() -> new ReadDecision(true, standby, () -> "set by the test"));
       follower.start();
-      answers.put(
+      responses.put(
           new StoreResponse.Page(List.of(), false, new StorePosition(StorePosition.NO_ERA, 1)));
       await(() -> follower.reportedContact().state() == ReportedContact.State.REACHABLE);
 
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/StoreModel.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/StoreModel.java
@@ -59,7 +59,7 @@
   }
 
   /** Answers immediately; a watch without new events returns an empty list. */
-  StoreResponse answer(StoreRequest call) {
+  StoreResponse respond(StoreRequest call) {
     if (call instanceof StoreRequest.Watch watch) {
       return changes(watch.afterRevision());
     }
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/quarantine/SuspectRegistryTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/quarantine/SuspectRegistryTest.java
@@ -17,7 +17,7 @@
   private static final RequestFingerprint CRASHING = request(1);
   private static final RequestFingerprint HARMLESS = request(2);
 
-  private final SuspectRegistry ledger = new SuspectRegistry(3);
+  private final SuspectRegistry registry = new SuspectRegistry(3);
   private long now = 1_000_000;
 
   private static RequestFingerprint request(long number) {
@@ -29,74 +29,74 @@
   }
 
   private List<SuspectReport> recordCrash(BackendStart start, RequestFingerprint... running) {
-    return ledger.recordCrash(now, start, List.of(running));
+    return registry.recordCrash(now, start, List.of(running));
   }
 
   private void quarantineCrashingRequest() {
     recordCrash("b-1", CRASHING);
     recordCrash("b-2", CRASHING);
     recordCrash("b-3", CRASHING);
-    assertThat(ledger.isQuarantined(CRASHING)).isTrue();
+    assertThat(registry.isQuarantined(CRASHING)).isTrue();
   }
 
   @Test
   void aRequestIsQuarantinedAfterThreeCrashes() {
     recordCrash("b-1", CRASHING, HARMLESS);
     recordCrash("b-2", CRASHING, request(3));
-    assertThat(ledger.isQuarantined(CRASHING)).isFalse();
-    assertThat(ledger.quarantinedTargets()).isEmpty();
+    assertThat(registry.isQuarantined(CRASHING)).isFalse();
+    assertThat(registry.quarantinedTargets()).isEmpty();
 
     recordCrash("b-3", CRASHING, request(4));
 
-    assertThat(ledger.isQuarantined(CRASHING)).isTrue();
-    assertThat(ledger.isQuarantined(HARMLESS)).isFalse();
-    assertThat(ledger.quarantinedTargets()).containsExactly(CRASHING.target());
+    assertThat(registry.isQuarantined(CRASHING)).isTrue();
+    assertThat(registry.isQuarantined(HARMLESS)).isFalse();
+    assertThat(registry.quarantinedTargets()).containsExactly(CRASHING.target());
   }
 
   @Test
   void aCrashReportedTwiceCountsOnce() {
     List<SuspectReport> reports = recordCrash("b-1", CRASHING);
     recordCrash("b-1", CRASHING);
-    reports.forEach(each -> assertThat(ledger.merge(now, each)).isEmpty());
+    reports.forEach(each -> assertThat(registry.merge(now, each)).isEmpty());
 
-    assertThat(ledger.crashCount(CRASHING)).isEqualTo(1);
+    assertThat(registry.crashCount(CRASHING)).isEqualTo(1);
   }
 
   @Test
   void threeStartsWithOneIdAreThreeCrashes() {
     for (long startTime = 1; startTime <= 3; startTime++) {
-      assertThat(ledger.isQuarantined(CRASHING)).isFalse();
+      assertThat(registry.isQuarantined(CRASHING)).isFalse();
       recordCrash(new BackendStart("b-1", startTime), CRASHING);
     }
 
-    assertThat(ledger.isQuarantined(CRASHING)).isTrue();
+    assertThat(registry.isQuarantined(CRASHING)).isTrue();
   }
 
   @Test
   void aRequestThatSucceedsAfterwardsIsCleared() {
     recordCrash("b-1", CRASHING, HARMLESS);
     recordCrash("b-2", CRASHING, HARMLESS);
-    assertThat(ledger.recordSuccess(now + 100, HARMLESS)).isPresent();
+    assertThat(registry.recordSuccess(now + 100, HARMLESS)).isPresent();
     recordCrash("b-3", CRASHING, HARMLESS);
 
-    assertThat(ledger.isQuarantined(CRASHING)).isTrue();
-    assertThat(ledger.isQuarantined(HARMLESS)).isFalse();
+    assertThat(registry.isQuarantined(CRASHING)).isTrue();
+    assertThat(registry.isQuarantined(HARMLESS)).isFalse();
   }
 
   @Test
   void aPopularRequestThatCrashesAlongsideIsNotQuarantined() {
-    ledger.recordSuccess(now - 5_000, HARMLESS);
+    registry.recordSuccess(now - 5_000, HARMLESS);
     recordCrash("b-1", CRASHING, HARMLESS);
     recordCrash("b-2", CRASHING, HARMLESS);
     recordCrash("b-3", CRASHING, HARMLESS);
 
-    assertThat(ledger.isQuarantined(CRASHING)).isTrue();
-    assertThat(ledger.isQuarantined(HARMLESS)).isFalse();
+    assertThat(registry.isQuarantined(CRASHING)).isTrue();
+    assertThat(registry.isQuarantined(HARMLESS)).isFalse();
   }
 
   @Test
   void anOldSuccessDoesNotPreventQuarantine() {
-    ledger.recordSuccess(now - MINUTE_MILLIS, CRASHING);
+    registry.recordSuccess(now - MINUTE_MILLIS, CRASHING);
 
     quarantineCrashingRequest();
   }
@@ -117,10 +117,10 @@
     reports.addAll(reports.subList(0, 10));
     Collections.shuffle(reports, random);
 
-    reports.forEach(each -> ledger.merge(now, each));
+    reports.forEach(each -> registry.merge(now, each));
 
-    assertThat(ledger.digest()).isEqualTo(source.digest()).isNotZero();
-    assertThat(ledger.quarantinedTargets()).isEqualTo(source.quarantinedTargets());
+    assertThat(registry.digest()).isEqualTo(source.digest()).isNotZero();
+    assertThat(registry.quarantinedTargets()).isEqualTo(source.quarantinedTargets());
   }
 
   @Test
@@ -131,10 +131,10 @@
     // Past the time for which a single crash is remembered.
     now += 20 * MINUTE_MILLIS;
 
-    ledger.snapshot().forEach(each -> newNode.merge(now, each));
+    registry.snapshot().forEach(each -> newNode.merge(now, each));
 
     assertThat(newNode.isQuarantined(CRASHING)).isTrue();
-    assertThat(newNode.digest()).isEqualTo(ledger.digest());
+    assertThat(newNode.digest()).isEqualTo(registry.digest());
   }
 
   @Test
@@ -142,11 +142,11 @@
     recordCrash("b-1", HARMLESS);
     List<SuspectReport> second = recordCrash("b-2", HARMLESS);
     SuspectRegistry other = new SuspectRegistry(3);
-    ledger.snapshot().forEach(each -> other.merge(now, each));
-    SuspectRegistry gate = new SuspectRegistry(3);
-    gate.recordSuccess(now - 1_000, HARMLESS);
+    registry.snapshot().forEach(each -> other.merge(now, each));
+    SuspectRegistry receiver = new SuspectRegistry(3);
+    receiver.recordSuccess(now - 1_000, HARMLESS);
 
-    List<SuspectReport> first = gate.merge(now, other.snapshot().get(0));
+    List<SuspectReport> first = receiver.merge(now, other.snapshot().get(0));
 
     assertThat(first).hasSize(2);
     other.merge(now, first.get(1));
@@ -161,13 +161,13 @@
     recordCrash("b-0", HARMLESS);
     quarantineCrashingRequest();
 
-    ledger.removeExpired(now + 11 * MINUTE_MILLIS);
-    assertThat(ledger.size()).isEqualTo(1);
-    ledger.removeExpired(now + 23 * HOUR_MILLIS);
-    assertThat(ledger.isQuarantined(CRASHING)).isTrue();
-    ledger.removeExpired(now + 25 * HOUR_MILLIS);
-    assertThat(ledger.size()).isZero();
-    assertThat(ledger.digest()).isZero();
+    registry.removeExpired(now + 11 * MINUTE_MILLIS);
+    assertThat(registry.size()).isEqualTo(1);
+    registry.removeExpired(now + 23 * HOUR_MILLIS);
+    assertThat(registry.isQuarantined(CRASHING)).isTrue();
+    registry.removeExpired(now + 25 * HOUR_MILLIS);
+    assertThat(registry.size()).isZero();
+    assertThat(registry.digest()).isZero();
   }
 
   @Test
@@ -175,16 +175,16 @@
     quarantineCrashingRequest();
     int trials = 0;
     for (long endMillis = now + 20 * HOUR_MILLIS; now < endMillis; now += MINUTE_MILLIS / 2) {
-      if (ledger.isTrialDue(now, CRASHING)) {
+      if (registry.isTrialDue(now, CRASHING)) {
         trials++;
-        ledger.beginTrial(now, CRASHING);
-        assertThat(ledger.isTrialDue(now, CRASHING)).isFalse();
+        registry.beginTrial(now, CRASHING);
+        assertThat(registry.isTrialDue(now, CRASHING)).isFalse();
         recordCrash("trial-" + trials, CRASHING);
       }
     }
 
     assertThat(trials).isEqualTo(3);
-    assertThat(ledger.isQuarantined(CRASHING)).isTrue();
+    assertThat(registry.isQuarantined(CRASHING)).isTrue();
   }
 
   @Test
@@ -194,8 +194,8 @@
       recordCrash("b-" + backend, CRASHING);
     }
 
-    assertThat(ledger.isTrialDue(now + MINUTE_MILLIS - 1, CRASHING)).isFalse();
-    assertThat(ledger.isTrialDue(now + MINUTE_MILLIS, CRASHING)).isTrue();
+    assertThat(registry.isTrialDue(now + MINUTE_MILLIS - 1, CRASHING)).isFalse();
+    assertThat(registry.isTrialDue(now + MINUTE_MILLIS, CRASHING)).isTrue();
   }
 
   @Test
@@ -203,10 +203,10 @@
     quarantineCrashingRequest();
     now += MINUTE_MILLIS;
 
-    assertThat(ledger.recordSuccess(now, CRASHING)).isPresent();
+    assertThat(registry.recordSuccess(now, CRASHING)).isPresent();
 
-    assertThat(ledger.isQuarantined(CRASHING)).isFalse();
-    assertThat(ledger.quarantinedTargets()).isEmpty();
+    assertThat(registry.isQuarantined(CRASHING)).isFalse();
+    assertThat(registry.quarantinedTargets()).isEmpty();
   }
 
   @Test
@@ -217,9 +217,9 @@
       recordCrash("b-" + crash, request(1_000 + 2 * crash), request(1_001 + 2 * crash));
     }
 
-    assertThat(ledger.size()).isBetween(896, 1_024);
-    assertThat(ledger.isQuarantined(CRASHING)).isTrue();
-    ledger.removeExpired(now + 11 * MINUTE_MILLIS);
-    assertThat(ledger.size()).isEqualTo(1);
+    assertThat(registry.size()).isBetween(896, 1_024);
+    assertThat(registry.isQuarantined(CRASHING)).isTrue();
+    registry.removeExpired(now + 11 * MINUTE_MILLIS);
+    assertThat(registry.size()).isEqualTo(1);
   }
 }
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/LatencyAwareBalancerTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/LatencyAwareBalancerTest.java
@@ -44,9 +44,9 @@
     balancer.updateRouteTime(backend.id(), ROUTE, serviceMillis * 1_000L);
   }
 
-  private static BackendEntry localStartedAt(long bornMillis) {
+  private static BackendEntry localStartedAt(long startTimeMillis) {
     return new BackendEntry(
-        "near", "service", LOCAL.address(), "a", 6, BackendEntry.State.READY, 0, bornMillis);
+        "near", "service", LOCAL.address(), "a", 6, BackendEntry.State.READY, 0, startTimeMillis);
   }
 
   @Test
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/NestedRouteDetectorTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/NestedRouteDetectorTest.java
@@ -5,11 +5,11 @@
 import org.junit.jupiter.api.Test;
 
 final class NestedRouteDetectorTest {
-  private final NestedRouteDetector routes = new NestedRouteDetector();
+  private final NestedRouteDetector detector = new NestedRouteDetector();
 
   private void recordRequests(String route, int count, String... services) {
     for (int index = 0; index < count; index++) {
-      routes.recordRequest(route, services[index % services.length]);
+      detector.recordRequest(route, services[index % services.length]);
     }
   }
 
@@ -18,9 +18,9 @@
     recordRequests("order", 60, "catalogue", "orders", "media");
     recordRequests("stock", 60, "catalogue");
 
-    assertThat(routes.isNested("stock")).isTrue();
-    assertThat(routes.isNested("order")).isFalse();
-    assertThat(routes.isNested("unknown")).isFalse();
+    assertThat(detector.isNested("stock")).isTrue();
+    assertThat(detector.isNested("order")).isFalse();
+    assertThat(detector.isNested("unknown")).isFalse();
   }
 
   @Test
@@ -28,7 +28,7 @@
     recordRequests("order", 60, "catalogue", "orders");
     recordRequests("stock", 23, "catalogue");
 
-    assertThat(routes.isNested("stock")).isFalse();
+    assertThat(detector.isNested("stock")).isFalse();
   }
 
   @Test
@@ -37,7 +37,7 @@
     recordRequests("stock", 100, "catalogue");
     recordRequests("stock", 1, "orders");
 
-    assertThat(routes.isNested("stock")).isTrue();
+    assertThat(detector.isNested("stock")).isTrue();
   }
 
   @Test
@@ -45,7 +45,7 @@
     recordRequests("order", 200, "catalogue");
     recordRequests("stock", 200, "catalogue");
 
-    assertThat(routes.isNested("stock")).isFalse();
+    assertThat(detector.isNested("stock")).isFalse();
   }
 
   @Test
@@ -54,6 +54,6 @@
     recordRequests("stock", 600, "catalogue");
     recordRequests("stock", 40, "catalogue", "orders");
 
-    assertThat(routes.isNested("stock")).isFalse();
+    assertThat(detector.isNested("stock")).isFalse();
   }
 }
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/WeightedRoundRobinTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/routing/WeightedRoundRobinTest.java
@@ -17,10 +17,10 @@
   }
 
   private static Map<String, Integer> distribute(
-      WeightedRoundRobin split, RoutingRule rule, int requests) {
+      WeightedRoundRobin roundRobin, RoutingRule rule, int requests) {
     Map<String, Integer> counts = new HashMap<>();
     for (int index = 0; index < requests; index++) {
-      counts.merge(split.next(rule), 1, Integer::sum);
+      counts.merge(roundRobin.next(rule), 1, Integer::sum);
     }
     return counts;
   }
@@ -43,11 +43,11 @@
 
   @Test
   void changedWeightsApplyFromTheNextRequest() {
-    WeightedRoundRobin split = new WeightedRoundRobin();
-    distribute(split, rule(new WeightedService("a", 90), new WeightedService("b", 10)), 55);
+    WeightedRoundRobin roundRobin = new WeightedRoundRobin();
+    distribute(roundRobin, rule(new WeightedService("a", 90), new WeightedService("b", 10)), 55);
 
     RoutingRule changed = rule(new WeightedService("a", 10), new WeightedService("b", 90));
 
-    assertThat(distribute(split, changed, 100)).containsEntry("a", 10).containsEntry("b", 90);
+    assertThat(distribute(roundRobin, changed, 100)).containsEntry("a", 10).containsEntry("b", 90);
   }
 }
