--- a/umberpath-control/src/main/java/io/umberpath/control/ControlInput.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/ControlInput.java
@@ -25,7 +25,7 @@
   /**
    * An operator submitted a change at this node; its fields have been validated individually.
    *
-   * @param ticket identifies the answer; chosen by the owner, unique per process
+   * @param ticket identifies the response; chosen by the owner, unique per process
    * @param change the change
    */
   record ChangeSubmitted(long ticket, ChangeSet change) implements ControlInput {}
@@ -51,7 +51,7 @@
    * An operator requests to re-form the fleet from the survivors reachable from this node although
    * other members are silent.
    *
-   * @param ticket identifies the answer
+   * @param ticket identifies the response
    * @param acceptedLoss addresses that the operator accepts as lost, {@code host:port}
    */
   record ReformRequested(long ticket, Set<PeerAddress> acceptedLoss) implements ControlInput {}
@@ -59,7 +59,7 @@
   /**
    * An operator requests the leader's per-member view, possibly through a follower.
    *
-   * @param ticket identifies the answer
+   * @param ticket identifies the response
    */
   record FleetViewRequested(long ticket) implements ControlInput {}
 }
--- a/umberpath-control/src/main/java/io/umberpath/control/ControlMessage.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/ControlMessage.java
@@ -196,7 +196,7 @@
       implements ControlMessage {}
 
   /**
-   * Votes of a subtree; replaces the sender's previous answer to the same request.
+   * Votes of a subtree; replaces the sender's previous response to the same request.
    *
    * @param binding as in the request
    * @param epoch as in the request
--- a/umberpath-control/src/main/java/io/umberpath/control/Election.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/Election.java
@@ -227,7 +227,7 @@
     }
   }
 
-  /** Handles a vote answer addressed to this candidate. */
+  /** Handles a vote response addressed to this candidate. */
   Optional<Victory> onVoteAnswer(VoteAnswer answer) {
     boolean binding = phase == Phase.VOTE;
     boolean isCurrent =
--- a/umberpath-control/src/main/java/io/umberpath/control/VoteRelay.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/VoteRelay.java
@@ -13,7 +13,7 @@
 
 /**
  * Handles vote requests for this node and its subtree. The newest request of each candidate is
- * forwarded to the children once; their answers are merged and sent to all requesters.
+ * forwarded to the children once; their responses are merged and sent to all requesters.
  */
 final class VoteRelay {
   private static final long COALESCE_MILLIS = 20;
@@ -122,7 +122,7 @@
     tally.addFresh(context.process().withSlot(Member.NO_SLOT));
   }
 
-  /** Handles a child's answer; answers to other requests are ignored. */
+  /** Handles a child's response; responses to other requests are ignored. */
   void onAnswer(PeerAddress from, VoteAnswer answer) {
     Poll poll = polls.get(new Key(answer.binding(), answer.candidate()));
     if (poll != null
@@ -141,7 +141,7 @@
     poll.dueAt = Math.min(poll.dueAt, context.now() + delay);
   }
 
-  /** Sends the answers that are due. */
+  /** Sends the responses that are due. */
   void flush() {
     polls.values().forEach(this::flush);
   }
--- a/umberpath-control/src/main/java/io/umberpath/control/VoteTally.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/VoteTally.java
@@ -12,7 +12,7 @@
 import java.util.TreeMap;
 import org.roaringbitmap.RoaringBitmap;
 
-/** Votes for one request, merged from many answers; a slot that occurs twice counts once. */
+/** Votes for one request, merged from many responses; a slot that occurs twice counts once. */
 final class VoteTally {
   private static final int MAX_HOLDERS = 4;
 
@@ -28,7 +28,7 @@
     private final RoaringBitmap slots = new RoaringBitmap();
   }
 
-  /** Merges an answer; returns whether it contained anything new. */
+  /** Merges a response; returns whether it contained anything new. */
   boolean add(VoteAnswer answer) {
     int slotsBefore = granted.getCardinality();
     int freshBefore = fresh.size();
@@ -62,7 +62,7 @@
     fresh.merge(process.address(), process, (a, b) -> a.incarnation() >= b.incarnation() ? a : b);
   }
 
-  /** Highest epoch promised by anyone who answered. */
+  /** Highest epoch promised by any process that responded. */
   long promised() {
     return promised;
   }
@@ -71,7 +71,7 @@
     promised = Math.max(promised, epoch);
   }
 
-  /** Highest platform revision held by anyone who answered. */
+  /** Highest platform revision held by any process that responded. */
   long revision() {
     return revision;
   }
@@ -123,7 +123,7 @@
     return Optional.of(addresses.get(attempt % addresses.size()));
   }
 
-  /** The merged groups, for an answer. */
+  /** The merged groups, for a response. */
   List<HeldGroup> groups() {
     List<HeldGroup> groups = new ArrayList<>();
     byHeld.forEach(
--- a/umberpath-control/src/main/java/io/umberpath/control/store/ReaderElection.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/ReaderElection.java
@@ -58,7 +58,8 @@
    *
    * @param others the other reachable nodes of the zone
    * @param calling those of them that report that they call the store
-   * @param refused nodes whose calls the store did not answer recently, possibly including this one
+   * @param refused nodes to whose calls the store did not respond recently, possibly including this
+   *     one
    * @param zones number of zones that have nodes, including this node's zone
    * @param detectionMillis time within which a node's report that it calls the store has arrived
    */
--- a/umberpath-control/src/main/java/io/umberpath/control/store/StoreReaders.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/StoreReaders.java
@@ -28,8 +28,8 @@
    *
    * @param self the node
    * @param others the other reachable nodes of its zone
-   * @param refused nodes whose calls the store did not answer recently: they read only if too few
-   *     others are left
+   * @param refused nodes to whose calls the store did not respond recently: they read only if too
+   *     few others are left
    */
   static List<String> rankedBefore(String self, Collection<String> others, Set<String> refused) {
     Comparator<String> order =
--- a/umberpath-control/src/main/java/io/umberpath/control/store/StoreResponse.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/store/StoreResponse.java
@@ -32,7 +32,7 @@
    * Changes in order; may be empty.
    *
    * @param events the changes
-   * @param position where to continue watching from
+   * @param position from which to continue watching
    */
   record Events(List<StoreEvent> events, StorePosition position) implements StoreResponse {
     @Override
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshInboundHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshInboundHandler.java
@@ -159,7 +159,7 @@
   }
 
   /**
-   * Updates the backend's slowness from the age of running requests, and the share of retries among
+   * Updates the backend's slowdown from the age of running requests, and the share of retries among
    * them.
    */
   void observe() {
@@ -311,7 +311,7 @@
 
   /**
    * Returns whether the request is quarantined. The client's node checks this first; the check here
-   * covers nodes that have not received the suspicion yet.
+   * covers nodes that have not received the report yet.
    */
   private boolean isQuarantined(Exchange exchange, MeshInboundPlan plan) {
     return quarantine.mayHold(plan.targetHash())
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerExchange.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/PeerExchange.java
@@ -215,7 +215,7 @@
   /**
    * Decides whether this node is elected as a reader of the store for its zone.
    *
-   * @param isRefused whether the store recently failed to answer this node
+   * @param isRefused whether the store recently failed to respond to this node
    */
   ReaderElection.Decision electReader(boolean isRefused) {
     return readers.decide(clockMillis.getAsLong(), isRefused);
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/ReportedContact.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/ReportedContact.java
@@ -11,7 +11,7 @@
   enum State {
     /** It makes no calls, and none failed recently. */
     NONE,
-    /** Its calls are answered. */
+    /** The store responds to its calls. */
     REACHABLE,
     /** The last call failed. */
     LOST
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/RequestQuarantine.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/RequestQuarantine.java
@@ -28,7 +28,7 @@
   private final MeshEvents events;
   private final LongSupplier clockMillis;
 
-  /** Suspicions not sent to the other nodes yet; guarded by this object's lock. */
+  /** Suspect reports not sent to the other nodes yet; guarded by this object's lock. */
   private final List<SuspectReport> unsentReports = new ArrayList<>();
 
   private volatile Set<Long> heldTargets = Set.of();
@@ -39,7 +39,8 @@
    * Creates an empty quarantine.
    *
    * @param registry an empty registry
-   * @param isTrialOwner whether this node is the one that may retry a given held request as a trial
+   * @param isTrialOwner whether this node is the one that may retry a given quarantined request as
+   *     a trial
    */
   RequestQuarantine(
       SuspectRegistry registry,
@@ -53,8 +54,8 @@
   }
 
   /**
-   * Returns whether a request with this target may be held. If not, which is the usual case, the
-   * body need not be hashed.
+   * Returns whether a request with this target may be quarantined. If not, which is the usual case,
+   * the body need not be hashed.
    */
   boolean mayHold(long targetHash) {
     Set<Long> targets = heldTargets;
@@ -62,8 +63,8 @@
   }
 
   /**
-   * Returns whether this node refuses a client's request. If a trial of a held request is due here,
-   * this call starts the trial and returns false.
+   * Returns whether this node refuses a client's request. If a trial of a quarantined request is
+   * due here, this call starts the trial and returns false.
    */
   boolean blocksOutbound(RequestFingerprint request) {
     long now = clockMillis.getAsLong();
@@ -107,7 +108,7 @@
   }
 
   /**
-   * Merges the suspicions of another node. Where this node knows more, its own suspicions are
+   * Merges the suspect reports of another node. Where this node knows more, its own reports are
    * queued for all nodes.
    */
   synchronized void merge(SuspectMessage message) {
@@ -143,7 +144,7 @@
     }
   }
 
-  /** Removes expired suspicions. */
+  /** Removes expired suspect reports. */
   synchronized void removeExpired() {
     if (suspectCount > 0) {
       registry.removeExpired(clockMillis.getAsLong());
@@ -157,19 +158,19 @@
     digest = registry.digest();
   }
 
-  /** Returns the suspicions recorded since the last call, to be sent to the other nodes. */
+  /** Returns the suspect reports recorded since the last call, to be sent to the other nodes. */
   synchronized List<SuspectReport> drainUnsent() {
     List<SuspectReport> drained = List.copyOf(unsentReports);
     unsentReports.clear();
     return drained;
   }
 
-  /** Returns all suspicions, for a node that lacks some. */
+  /** Returns all suspect reports, for a node that lacks some. */
   synchronized List<SuspectReport> allReports() {
     return registry.snapshot();
   }
 
-  /** Returns the held requests for operators, one per line. */
+  /** Returns the quarantined requests for operators, one per line. */
   synchronized String statusPage() {
     long now = clockMillis.getAsLong();
     StringBuilder lines = new StringBuilder();
@@ -191,17 +192,19 @@
         .formatted(held.request().text(), crashTimes.getCount(), secondsSinceLast);
   }
 
-  /** Returns a digest that is equal on all nodes with equal suspicions; 0 if there are none. */
+  /**
+   * Returns a digest that is equal on all nodes with equal suspect reports; 0 if there are none.
+   */
   long digest() {
     return digest;
   }
 
-  /** Returns the number of requests suspected of a crash, whether or not they are held. */
+  /** Returns the number of requests suspected of a crash, whether or not they are quarantined. */
   int suspectCount() {
     return suspectCount;
   }
 
-  /** Returns the number of distinct targets of held requests. */
+  /** Returns the number of distinct targets of quarantined requests. */
   int heldTargetCount() {
     return heldTargets.size();
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/SuspectExchange.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/SuspectExchange.java
@@ -9,7 +9,7 @@
 import java.util.function.Supplier;
 
 /**
- * Distributes the suspicions about requests that crash backends: new ones to all nodes at once, and
+ * Distributes the reports about requests that crash backends: new ones to all nodes at once, and
  * all of them to a node whose reported digest differs. Thread-safe.
  */
 final class SuspectExchange {
@@ -43,7 +43,7 @@
     this.clockMillis = clockMillis;
   }
 
-  /** Sends new suspicions to all other nodes. */
+  /** Sends new reports to all other nodes. */
   void sendUnsent() {
     List<SuspectReport> unsent = quarantine.drainUnsent();
     if (!unsent.isEmpty()) {
@@ -51,7 +51,7 @@
     }
   }
 
-  /** Handles the digest that another node reported for its suspicions. */
+  /** Handles the digest that another node advertised for its suspect reports. */
   void digestReceived(String host, long digest) {
     if (digest == quarantine.digest()) {
       return;
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/SuspectMessage.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/SuspectMessage.java
@@ -12,9 +12,9 @@
 import java.util.List;
 
 /**
- * A datagram with suspicions about requests that crash backends.
+ * A datagram with reports about requests that crash backends.
  *
- * @param reports suspicions that carry ages instead of times, so that receivers need not know the
+ * @param reports reports that carry ages instead of times, so that receivers need not know the
  *     sender's clock
  */
 record SuspectMessage(List<SuspectReport> reports) implements PeerDatagram {
@@ -23,7 +23,7 @@
 
   private static final int INITIAL_BYTES = 128;
 
-  /** Encodes all suspicions into datagrams, each small enough to be sent unfragmented. */
+  /** Encodes all reports into datagrams, each small enough to be sent unfragmented. */
   static List<byte[]> encode(long nowMillis, List<SuspectReport> reports) {
     List<byte[]> datagrams = new ArrayList<>();
     PeerDatagram.split(reports, some -> write(nowMillis, some), datagrams);
@@ -58,7 +58,7 @@
     out.writeEndArray();
   }
 
-  /** Reads the suspicions of a datagram whose kind has been read; their times are ages. */
+  /** Reads the reports of a datagram whose kind has been read; their times are ages. */
   static SuspectMessage decodeEntries(JsonParser in) throws IOException {
     List<SuspectReport> reports = new ArrayList<>();
     for (JsonToken token = in.nextToken(); token != JsonToken.END_ARRAY; token = in.nextToken()) {
@@ -92,7 +92,7 @@
     return in.getLongValue();
   }
 
-  /** Returns the suspicions with times on this node's clock. */
+  /** Returns the reports with times on this node's clock. */
   List<SuspectReport> toLocalTimes(long nowMillis) {
     return reports.stream()
         .map(each -> new SuspectReport(each.request(), toLocalTimes(nowMillis, each.marks())))
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/ZoneReaders.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/ZoneReaders.java
@@ -37,7 +37,7 @@
    * The last election and its inputs.
    *
    * @param peers the other nodes at that time
-   * @param isRefused whether the store recently failed to answer this node
+   * @param isRefused whether the store recently failed to respond to this node
    * @param atMillis time of the election
    */
   private record LastElection(
@@ -75,7 +75,7 @@
    * Decides whether this node reads the store for its zone; at most once a round of reports unless
    * the inputs change.
    *
-   * @param isRefused whether the store recently failed to answer this node
+   * @param isRefused whether the store recently failed to respond to this node
    */
   synchronized ReaderElection.Decision decide(long nowMillis, boolean isRefused) {
     PeerView current = peers.get();
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/QuarantineFleetTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/QuarantineFleetTest.java
@@ -67,7 +67,7 @@
     assertThat(outcome.wronglyHeld()).isZero();
   }
 
-  /** Shows that the simulation reproduces the failure if nothing is held. */
+  /** Shows that the simulation reproduces the failure if nothing is quarantined. */
   @Test
   void withoutQuarantineAPoisonRequestCrashesBackendsWithoutBound() {
     Outcome outcome = simulate(Scenario.undisturbed(12, 200, 1), NO_QUARANTINE, 1);
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/QuarantineSimulation.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/QuarantineSimulation.java
@@ -53,9 +53,9 @@
   }
 
   /**
-   * The rule by which requests are held.
+   * The rule by which requests are quarantined.
    *
-   * @param marksToHold crashes from which on a request is held
+   * @param marksToHold crashes from which on a request is quarantined
    * @param isolatesSuspects whether a suspect never runs beside another suspect
    */
   record HoldPolicy(String name, int marksToHold, boolean isolatesSuspects) {}
@@ -67,7 +67,7 @@
    * @param lateArrivals highest number of arrivals of one poison request that were sent by
    *     connected nodes more than three seconds after its third crash
    * @param ordinaryRequests ordinary requests, not counting client retries
-   * @param wronglyHeld attempts to send ordinary requests that were refused as held
+   * @param wronglyHeld attempts to send ordinary requests that were refused as quarantined
    * @param failed ordinary requests that failed for another reason
    * @param datagramsPerNode datagrams about suspects sent per node
    * @param slowestNodeMillis time from the third crash until the last node holds the poison
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/SuspectExchangeTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/SuspectExchangeTest.java
@@ -16,7 +16,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Simulates, in virtual time, nodes that exchange suspicions over a network with datagram loss. */
+/**
+ * Simulates, in virtual time, nodes that exchange suspect reports over a network with datagram
+ * loss.
+ */
 final class SuspectExchangeTest {
   private static final RequestFingerprint POISON_REQUEST = new RequestFingerprint(1, 1);
   private static final long TICK_MILLIS = 50;
