--- a/umberpath-control/src/main/java/io/umberpath/control/FleetNode.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/FleetNode.java
@@ -159,7 +159,7 @@
       if (answer.candidate().equals(context.address())) {
         election.onVoteAnswer(answer).ifPresent(this::startLeading);
       } else {
-        voteRelay.onAnswer(from, answer);
+        voteRelay.onResponse(from, answer);
       }
     } else if (message instanceof FetchState fetch) {
       context.send(from, new FetchedState(fetch.epoch(), acceptor.catchUpDeltas(fetch.held())));
@@ -168,7 +168,7 @@
     } else if (message instanceof FleetViewRequest request && leadership.isLeader()) {
       context.send(from, new FleetViewAnswer(request.ticket(), nodeViews()));
     } else if (message instanceof FleetViewAnswer answer) {
-      viewRequests.onAnswer(answer);
+      viewRequests.onResponse(answer);
     }
   }
 
--- a/umberpath-control/src/main/java/io/umberpath/control/FleetViewRequests.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/FleetViewRequests.java
@@ -68,7 +68,7 @@
   }
 
   /** Handles the leader's response. */
-  void onAnswer(FleetViewAnswer answer) {
+  void onResponse(FleetViewAnswer answer) {
     if (deadlineByTicket.remove(answer.ticket()) != null) {
       respond(answer.ticket(), answer.nodes());
     }
--- a/umberpath-control/src/main/java/io/umberpath/control/VoteRelay.java
+++ b/umberpath-control/src/main/java/io/umberpath/control/VoteRelay.java
@@ -123,7 +123,7 @@
   }
 
   /** Handles a child's response; responses to other requests are ignored. */
-  void onAnswer(PeerAddress from, VoteAnswer answer) {
+  void onResponse(PeerAddress from, VoteAnswer answer) {
     Poll poll = polls.get(new Key(answer.binding(), answer.candidate()));
     if (poll != null
         && poll.request.epoch() == answer.epoch()
--- a/umberpath-control/src/test/java/io/umberpath/control/ChangeRaceTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/ChangeRaceTest.java
@@ -126,9 +126,9 @@
     long retry = fleet.submit(fleet.process(5), TestFleet.poolChange("same", "p1"));
     long reuse = fleet.submit(fleet.process(3), TestFleet.poolChange("same", "p2"));
     fleet.run(2_000);
-    assertThat(fleet.answers.get(first)).isInstanceOf(ChangeResult.Accepted.class);
-    assertThat(fleet.answers.get(retry)).isEqualTo(fleet.answers.get(first));
-    assertThat(((ChangeResult.Refused) fleet.answers.get(reuse)).code())
+    assertThat(fleet.changeResults.get(first)).isInstanceOf(ChangeResult.Accepted.class);
+    assertThat(fleet.changeResults.get(retry)).isEqualTo(fleet.changeResults.get(first));
+    assertThat(((ChangeResult.Refused) fleet.changeResults.get(reuse)).code())
         .isEqualTo(RefusalCode.REQUEST_ID_REUSED);
   }
 
@@ -146,7 +146,7 @@
       tickets.add(fleet.submit(fleet.process(index), racing));
     }
     fleet.run(3_000);
-    assertThat(tickets.stream().map(fleet.answers::get))
+    assertThat(tickets.stream().map(fleet.changeResults::get))
         .hasAtLeastOneElementOfType(ChangeResult.Accepted.class)
         .hasAtLeastOneElementOfType(ChangeResult.Refused.class);
   }
--- a/umberpath-control/src/test/java/io/umberpath/control/ChaosRun.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/ChaosRun.java
@@ -71,12 +71,17 @@
     boolean isSameRevision =
         fleet.liveProcesses().stream()
             .allMatch(process -> process.revision == fleet.platformDocument.revision());
-    return fleet.hasConverged() && isSameRevision && fleet.answers.size() == poolByTicket.size();
+    return fleet.hasConverged()
+        && isSameRevision
+        && fleet.changeResults.size() == poolByTicket.size();
   }
 
   private String describe() {
     StringBuilder text = new StringBuilder();
-    text.append(fleet.answers.size()).append('/').append(poolByTicket.size()).append(" answers");
+    text.append(fleet.changeResults.size())
+        .append('/')
+        .append(poolByTicket.size())
+        .append(" answers");
     for (TestFleet.Process process : fleet.liveProcesses()) {
       ControlStatus status = process.status();
       Version committed = status.committed().version();
--- a/umberpath-control/src/test/java/io/umberpath/control/DisasterRecoveryTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/DisasterRecoveryTest.java
@@ -34,8 +34,9 @@
     long ticket =
         fleet.submit(fleet.liveProcesses().get(0), TestFleet.poolChange("r-" + pool, pool));
     tickets.put(ticket, pool);
-    assertThat(fleet.runUntil(10_000, () -> fleet.answers.containsKey(ticket))).isNotNegative();
-    assertThat(fleet.answers.get(ticket)).isInstanceOf(ChangeResult.Accepted.class);
+    assertThat(fleet.runUntil(10_000, () -> fleet.changeResults.containsKey(ticket)))
+        .isNotNegative();
+    assertThat(fleet.changeResults.get(ticket)).isInstanceOf(ChangeResult.Accepted.class);
     assertThat(fleet.runUntil(10_000, fleet::hasConverged)).isNotNegative();
     return tickets;
   }
@@ -83,11 +84,11 @@
     assertThat(fleet.leader()).isEmpty();
     long refused = fleet.submit(fleet.process(9), TestFleet.poolChange("r-late", "late"));
     fleet.run(10_000);
-    assertThat(fleet.answers.get(refused)).isInstanceOf(ChangeResult.Refused.class);
+    assertThat(fleet.changeResults.get(refused)).isInstanceOf(ChangeResult.Refused.class);
     fleet.process(10).input(new ControlInput.ReformRequested(77, lost));
     assertThat(fleet.runUntil(20_000, fleet::hasConverged)).isNotNegative();
     fleet.run(100);
-    assertThat(fleet.answers.get(77L)).isInstanceOf(ChangeResult.Accepted.class);
+    assertThat(fleet.changeResults.get(77L)).isInstanceOf(ChangeResult.Accepted.class);
     assertThat(fleet.lostChanges(tickets)).isEmpty();
     assertThat(fleet.notices).anyMatch(notice -> notice.contains("fleet-reformed"));
     assertThat(fleet.violations).isEmpty();
@@ -117,8 +118,9 @@
         .as("every partition follows the platform")
         .isNotNegative();
     long ticket = fleet.submit(fleet.process(1), TestFleet.poolChange("r-part", "part"));
-    assertThat(fleet.runUntil(10_000, () -> fleet.answers.containsKey(ticket))).isNotNegative();
-    assertThat(fleet.answers.get(ticket)).isInstanceOf(ChangeResult.Accepted.class);
+    assertThat(fleet.runUntil(10_000, () -> fleet.changeResults.containsKey(ticket)))
+        .isNotNegative();
+    assertThat(fleet.changeResults.get(ticket)).isInstanceOf(ChangeResult.Accepted.class);
     fleet.isCut = (from, to) -> false;
     assertThat(fleet.runUntil(10_000, fleet::hasConverged))
         .as("converged after the partition")
@@ -141,7 +143,7 @@
     TreeMap<Long, String> tickets = new TreeMap<>();
     tickets.put(fleet.submit(fleet.process(2), TestFleet.poolChange("r1", "p1")), "p1");
     fleet.run(10_000);
-    assertThat(fleet.answers.values()).allMatch(ChangeResult.Accepted.class::isInstance);
+    assertThat(fleet.changeResults.values()).allMatch(ChangeResult.Accepted.class::isInstance);
     PeerAddress holder = fleet.address(2);
     fleet.isCut = (from, to) -> from.equals(holder) != to.equals(holder);
     fleet.restart(0);
@@ -163,7 +165,7 @@
         .isNotNegative();
     long ticket = fleet.submit(fleet.leader().orElseThrow(), TestFleet.poolChange("r1", "p1"));
     fleet.run(60_000);
-    assertThat(fleet.answers.get(ticket)).isInstanceOf(ChangeResult.Accepted.class);
+    assertThat(fleet.changeResults.get(ticket)).isInstanceOf(ChangeResult.Accepted.class);
     for (int index = 0; index < SIZE; index++) {
       if (fleet.process(index) == old) {
         fleet.resume(index);
--- a/umberpath-control/src/test/java/io/umberpath/control/FormationTest.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/FormationTest.java
@@ -21,8 +21,9 @@
     assertThat(fleet.runUntil(20_000, fleet::hasConverged)).as("formed").isNotNegative();
     assertThat(fleet.runUntil(20_000, () -> fleet.process(0).revision == 4)).isNotNegative();
     long ticket = fleet.submit(fleet.process(size - 1), TestFleet.poolChange("r1", "p1"));
-    assertThat(fleet.runUntil(5_000, () -> fleet.answers.containsKey(ticket))).isNotNegative();
-    assertThat(fleet.answers.get(ticket)).isInstanceOf(ChangeResult.Accepted.class);
+    assertThat(fleet.runUntil(5_000, () -> fleet.changeResults.containsKey(ticket)))
+        .isNotNegative();
+    assertThat(fleet.changeResults.get(ticket)).isInstanceOf(ChangeResult.Accepted.class);
     assertThat(
             fleet.runUntil(
                 5_000,
--- a/umberpath-control/src/test/java/io/umberpath/control/TestFleet.java
+++ b/umberpath-control/src/test/java/io/umberpath/control/TestFleet.java
@@ -36,7 +36,7 @@
   static final long ELECTION_MILLIS = 1_000;
 
   final Map<PeerAddress, Process> processes = new LinkedHashMap<>();
-  final Map<Long, ChangeResult> answers = new HashMap<>();
+  final Map<Long, ChangeResult> changeResults = new HashMap<>();
   final List<String> notices = new ArrayList<>();
   final List<String> violations = new ArrayList<>();
   long nowMillis = 1_000;
@@ -102,7 +102,7 @@
 
     /** Tickets of this process without a result. */
     List<Long> pending() {
-      return tickets.stream().filter(ticket -> !answers.containsKey(ticket)).toList();
+      return tickets.stream().filter(ticket -> !changeResults.containsKey(ticket)).toList();
     }
 
     void input(ControlInput input) {
@@ -226,7 +226,7 @@
       onActivation(from, activate.snapshot());
     } else if (output instanceof ControlOutput.ChangeAnswered answered) {
       trace.accept(nowMillis, from.address() + " " + answered);
-      if (answers.put(answered.ticket(), answered.result()) != null) {
+      if (changeResults.put(answered.ticket(), answered.result()) != null) {
         violations.add("ticket " + answered.ticket() + " answered twice");
       }
     } else if (output instanceof ControlOutput.Notice notice) {
@@ -391,7 +391,7 @@
     poolByTicket.forEach(
         (ticket, pool) -> {
           boolean present = resources.keySet().exists(key -> key.name().equals(pool));
-          ChangeResult result = answers.get(ticket);
+          ChangeResult result = changeResults.get(ticket);
           if (result instanceof ChangeResult.Accepted && !present) {
             lost.add(pool + " was accepted and is gone");
           }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/EncodedTransferCache.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/EncodedTransferCache.java
@@ -21,7 +21,7 @@
    *     patches
    */
   private record CacheKey(
-      StorePosition after, StorePosition at, long firstPatchedRevision, StoreFacts facts) {}
+      StorePosition after, StorePosition position, long firstPatchedRevision, StoreFacts facts) {}
 
   private final Map<CacheKey, byte[]> encodedByKey =
       new LinkedHashMap<>() {
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/Fingerprints.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/Fingerprints.java
@@ -15,7 +15,7 @@
   private Fingerprints() {}
 
   /** Returns the part of the fingerprint that depends on the request's head. */
-  static long targetOf(RequestHead head) {
+  static long hashTarget(RequestHead head) {
     String target = head.query().map(query -> head.path() + '?' + query).orElse(head.path());
     return RequestFingerprint.hashTarget(
         head.method(),
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshEvents.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshEvents.java
@@ -230,9 +230,9 @@
    * Logs that no entry missing from the restored copy is kept any more: all are as the store has
    * them.
    */
-  void storeEraSettled(StorePosition at, int kept) {
+  void storeEraSettled(StorePosition position, int kept) {
     line(MeshEvent.STORE_ERA)
-        .with(POSITION, at.toString())
+        .with(POSITION, position.toString())
         .with(COUNT, (long) kept)
         .log("all kept entries released");
   }
@@ -423,11 +423,11 @@
    *
    * @param crashCount crashes attributed to the request
    */
-  void requestHeld(RequestFingerprint request, boolean isHeld, int crashCount) {
-    line(isHeld ? MeshEvent.REQUEST_HELD : MeshEvent.REQUEST_CLEARED)
+  void requestHeld(RequestFingerprint request, boolean isQuarantined, int crashCount) {
+    line(isQuarantined ? MeshEvent.REQUEST_HELD : MeshEvent.REQUEST_CLEARED)
         .with(FINGERPRINT, request.text())
         .with(COUNT, (long) crashCount)
-        .log("%s", isHeld ? "backends crashed while running it" : "it ran to a good end");
+        .log("%s", isQuarantined ? "backends crashed while running it" : "it ran to a good end");
   }
 
   void requestTried(RequestFingerprint request) {
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshInboundHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshInboundHandler.java
@@ -255,7 +255,7 @@
             arrivedMillis + remainingMillis.get(),
             Headers.unreadMillis(head),
             arrivedMillis,
-            Fingerprints.targetOf(head),
+            Fingerprints.hashTarget(head),
             replacedHeaders));
   }
 
@@ -314,7 +314,7 @@
    * covers nodes that have not received the report yet.
    */
   private boolean isQuarantined(Exchange exchange, MeshInboundPlan plan) {
-    return quarantine.mayHold(plan.targetHash())
+    return quarantine.mayBeQuarantined(plan.targetHash())
         && Fingerprints.of(exchange, plan.targetHash())
             .filter(quarantine::blocksInbound)
             .isPresent();
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshNode.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshNode.java
@@ -334,7 +334,7 @@
   private Map<String, Supplier<Number>> gauges() {
     return Map.ofEntries(
         Map.entry("quarantine.suspects", quarantine::suspectCount),
-        Map.entry("quarantine.held", quarantine::heldTargetCount),
+        Map.entry("quarantine.held", quarantine::quarantinedTargetCount),
         Map.entry("configuration.version", () -> state.view().version()),
         Map.entry("store.revision", () -> state.view().position().revision()),
         Map.entry("configuration.shown.version", () -> state.storeVersion()),
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshOutboundHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshOutboundHandler.java
@@ -172,7 +172,7 @@
         version,
         deadlineMillis,
         arrivedMillis,
-        Fingerprints.targetOf(head),
+        Fingerprints.hashTarget(head),
         isClientRetry,
         replacedHeaders,
         new RetryState());
@@ -256,7 +256,7 @@
     // Crashes caused by earlier tries of the same request count too: when each try of a client
     // started at zero, one request crashed 25 backends, two per try.
     boolean isQuarantined =
-        quarantine.mayHold(plan.targetHash())
+        quarantine.mayBeQuarantined(plan.targetHash())
             && Fingerprints.of(exchange, plan.targetHash())
                 .filter(quarantine::blocksOutbound)
                 .isPresent();
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/RequestQuarantine.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/RequestQuarantine.java
@@ -31,7 +31,7 @@
   /** Suspect reports not sent to the other nodes yet; guarded by this object's lock. */
   private final List<SuspectReport> unsentReports = new ArrayList<>();
 
-  private volatile Set<Long> heldTargets = Set.of();
+  private volatile Set<Long> quarantinedTargets = Set.of();
   private volatile int suspectCount;
   private volatile long digest;
 
@@ -57,8 +57,8 @@
    * Returns whether a request with this target may be quarantined. If not, which is the usual case,
    * the body need not be hashed.
    */
-  boolean mayHold(long targetHash) {
-    Set<Long> targets = heldTargets;
+  boolean mayBeQuarantined(long targetHash) {
+    Set<Long> targets = quarantinedTargets;
     return !targets.isEmpty() && targets.contains(targetHash);
   }
 
@@ -92,18 +92,18 @@
   /** Records that the local backend crashed while running these requests. */
   synchronized void recordBackendCrash(
       BackendStart backend, Collection<RequestFingerprint> running) {
-    Set<RequestFingerprint> heldBefore = heldAmong(running);
+    Set<RequestFingerprint> quarantinedBefore = quarantinedAmong(running);
     unsentReports.addAll(registry.recordCrash(clockMillis.getAsLong(), backend, running));
-    publishChanges(heldBefore, running);
+    publishChanges(quarantinedBefore, running);
   }
 
   /** Records that a request completed successfully on the local backend. */
   synchronized void recordSuccess(RequestFingerprint request) {
-    boolean heldBefore = registry.isQuarantined(request);
+    boolean quarantinedBefore = registry.isQuarantined(request);
     Optional<SuspectReport> cleared = registry.recordSuccess(clockMillis.getAsLong(), request);
     if (cleared.isPresent()) {
       unsentReports.add(cleared.get());
-      publishChanges(heldBefore ? Set.of(request) : Set.of(), List.of(request));
+      publishChanges(quarantinedBefore ? Set.of(request) : Set.of(), List.of(request));
     }
   }
 
@@ -115,31 +115,31 @@
     long now = clockMillis.getAsLong();
     List<SuspectReport> received = message.toLocalTimes(now);
     List<RequestFingerprint> affected = received.stream().map(SuspectReport::request).toList();
-    Set<RequestFingerprint> heldBefore = heldAmong(affected);
+    Set<RequestFingerprint> quarantinedBefore = quarantinedAmong(affected);
     for (SuspectReport each : received) {
       registry.merge(now, each).stream().skip(1).forEach(unsentReports::add);
     }
-    publishChanges(heldBefore, affected);
+    publishChanges(quarantinedBefore, affected);
   }
 
-  private Set<RequestFingerprint> heldAmong(Collection<RequestFingerprint> requests) {
-    Set<RequestFingerprint> held = new HashSet<>();
+  private Set<RequestFingerprint> quarantinedAmong(Collection<RequestFingerprint> requests) {
+    Set<RequestFingerprint> quarantined = new HashSet<>();
     for (RequestFingerprint request : requests) {
       if (registry.isQuarantined(request)) {
-        held.add(request);
+        quarantined.add(request);
       }
     }
-    return held;
+    return quarantined;
   }
 
   private void publishChanges(
-      Set<RequestFingerprint> heldBefore, Collection<RequestFingerprint> affected) {
+      Set<RequestFingerprint> quarantinedBefore, Collection<RequestFingerprint> affected) {
     updateSummary();
     for (RequestFingerprint request : affected) {
-      boolean isHeld = registry.isQuarantined(request);
-      if (isHeld != heldBefore.contains(request)) {
-        events.requestHeld(request, isHeld, registry.crashCount(request));
-        heldTargets = registry.quarantinedTargets();
+      boolean isQuarantined = registry.isQuarantined(request);
+      if (isQuarantined != quarantinedBefore.contains(request)) {
+        events.requestHeld(request, isQuarantined, registry.crashCount(request));
+        quarantinedTargets = registry.quarantinedTargets();
       }
     }
   }
@@ -148,7 +148,7 @@
   synchronized void removeExpired() {
     if (suspectCount > 0) {
       registry.removeExpired(clockMillis.getAsLong());
-      heldTargets = registry.quarantinedTargets();
+      quarantinedTargets = registry.quarantinedTargets();
       updateSummary();
     }
   }
@@ -182,14 +182,14 @@
     return lines.toString();
   }
 
-  private static String statusLine(long nowMillis, SuspectReport held) {
+  private static String statusLine(long nowMillis, SuspectReport quarantined) {
     LongSummaryStatistics crashTimes =
-        held.marks().stream()
+        quarantined.marks().stream()
             .filter(mark -> !mark.cleared())
             .collect(Collectors.summarizingLong(CrashMark::atMillis));
     long secondsSinceLast = (nowMillis - crashTimes.getMax()) / MILLIS_PER_SECOND;
     return "%s held, crashed %d backends, the last %d s ago%n"
-        .formatted(held.request().text(), crashTimes.getCount(), secondsSinceLast);
+        .formatted(quarantined.request().text(), crashTimes.getCount(), secondsSinceLast);
   }
 
   /**
@@ -205,7 +205,7 @@
   }
 
   /** Returns the number of distinct targets of quarantined requests. */
-  int heldTargetCount() {
-    return heldTargets.size();
+  int quarantinedTargetCount() {
+    return quarantinedTargets.size();
   }
 }
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/PeerMessagesTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/PeerMessagesTest.java
@@ -39,10 +39,10 @@
 
   private static final PeerMessage.Stamp STAMP = new PeerMessage.Stamp(-1_234_567_890, 70_000);
 
-  private static PeerReport report(boolean leaving, Optional<BackendEntry> attested) {
+  private static PeerReport report(boolean isDraining, Optional<BackendEntry> attested) {
     return new PeerReport(
         new BackendLoad(5, 2, 6, 61_000, 400, 0),
-        leaving,
+        isDraining,
         42,
         new StorePosition(3, 1_000_000_007),
         new ReportedContact(ReportedContact.State.LOST, 1_200),
@@ -84,7 +84,7 @@
   }
 
   @Test
-  void suspicionsRoundTrip() throws IOException {
+  void suspectReportsRoundTrip() throws IOException {
     CrashMark mark = new CrashMark(-7, 90_000, false);
     CrashMark cleared = new CrashMark(1_234_567_890, 99_750, true);
     SuspectReport first =
@@ -105,7 +105,7 @@
   }
 
   @Test
-  void manySuspicionsAreSplitIntoUnfragmentedDatagrams() throws IOException {
+  void manySuspectReportsAreSplitIntoUnfragmentedDatagrams() throws IOException {
     List<CrashMark> marks =
         IntStream.range(0, 64).mapToObj(crash -> new CrashMark(crash << 24, 0, true)).toList();
     List<SuspectReport> many =
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/QuarantineComparisonTrial.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/QuarantineComparisonTrial.java
@@ -1,8 +1,8 @@
 package io.umberpath.node.mesh;
 
 import io.umberpath.node.mesh.QuarantineSimulation.Disturbance;
-import io.umberpath.node.mesh.QuarantineSimulation.HoldPolicy;
 import io.umberpath.node.mesh.QuarantineSimulation.Outcome;
+import io.umberpath.node.mesh.QuarantineSimulation.QuarantinePolicy;
 import io.umberpath.node.mesh.QuarantineSimulation.Scenario;
 import java.util.List;
 import java.util.Map;
@@ -10,12 +10,12 @@
 
 /** Prints the results of each hold policy in each scenario; run by hand. */
 final class QuarantineComparisonTrial {
-  private static final List<HoldPolicy> POLICIES =
+  private static final List<QuarantinePolicy> POLICIES =
       List.of(
-          new HoldPolicy("three", 3, false),
-          new HoldPolicy("two", 2, false),
-          new HoldPolicy("two, isolated", 2, true),
-          new HoldPolicy("three, isolated", 3, true));
+          new QuarantinePolicy("three", 3, false),
+          new QuarantinePolicy("two", 2, false),
+          new QuarantinePolicy("two, isolated", 2, true),
+          new QuarantinePolicy("three, isolated", 3, true));
 
   private QuarantineComparisonTrial() {}
 
@@ -23,7 +23,7 @@
     int seeds = Integer.parseInt(arguments[0]);
     int nodes = Integer.parseInt(arguments[1]);
     for (Map.Entry<String, Scenario> each : scenarios(nodes).entrySet()) {
-      for (HoldPolicy policy : POLICIES) {
+      for (QuarantinePolicy policy : POLICIES) {
         print(each.getKey(), policy, each.getValue(), seeds);
       }
     }
@@ -53,7 +53,7 @@
    * Crashes and datagrams are means over the seeds; late arrivals and the slowest node are maxima;
    * counts of requests are sums.
    */
-  private static void print(String name, HoldPolicy policy, Scenario scenario, int seeds) {
+  private static void print(String name, QuarantinePolicy policy, Scenario scenario, int seeds) {
     int crashes = 0;
     int lateArrivals = 0;
     long ordinaryRequests = 0;
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/QuarantineFleetTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/QuarantineFleetTest.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.umberpath.node.mesh.QuarantineSimulation.Disturbance;
-import io.umberpath.node.mesh.QuarantineSimulation.HoldPolicy;
 import io.umberpath.node.mesh.QuarantineSimulation.Outcome;
+import io.umberpath.node.mesh.QuarantineSimulation.QuarantinePolicy;
 import io.umberpath.node.mesh.QuarantineSimulation.Scenario;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -14,21 +14,21 @@
  * Simulates the quarantine of a whole fleet in virtual time, at the fleet sizes used in practice.
  */
 final class QuarantineFleetTest {
-  private static final HoldPolicy PRODUCTION_POLICY =
-      new HoldPolicy("three", MeshNode.CRASHES_TO_QUARANTINE, false);
-  private static final HoldPolicy NO_QUARANTINE =
-      new HoldPolicy("nothing", Integer.MAX_VALUE, false);
+  private static final QuarantinePolicy PRODUCTION_POLICY =
+      new QuarantinePolicy("three", MeshNode.CRASHES_TO_QUARANTINE, false);
+  private static final QuarantinePolicy NO_QUARANTINE =
+      new QuarantinePolicy("nothing", Integer.MAX_VALUE, false);
 
   /** Acceptable late arrivals of a poison request at backends once every node must hold it. */
   private static final int MAX_LATE_ARRIVALS = 3;
 
-  private static Outcome simulate(Scenario scenario, HoldPolicy policy, long seed) {
+  private static Outcome simulate(Scenario scenario, QuarantinePolicy policy, long seed) {
     return new QuarantineSimulation(scenario, policy, seed).run();
   }
 
   @ParameterizedTest
   @CsvSource({"12,200,1", "12,200,5", "95,950,1", "95,950,5", "300,3000,5", "1000,5000,1"})
-  void poisonRequestsAndOnlyTheseAreHeldOnAllNodes(int nodes, int rate, int poisonRequests) {
+  void poisonRequestsAndOnlyTheseAreQuarantinedOnAllNodes(int nodes, int rate, int poisonRequests) {
     Outcome outcome =
         simulate(
             Scenario.undisturbed(nodes, rate, poisonRequests),
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/QuarantineSimulation.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/QuarantineSimulation.java
@@ -55,10 +55,10 @@
   /**
    * The rule by which requests are quarantined.
    *
-   * @param marksToHold crashes from which on a request is quarantined
+   * @param crashesToQuarantine crashes from which on a request is quarantined
    * @param isolatesSuspects whether a suspect never runs beside another suspect
    */
-  record HoldPolicy(String name, int marksToHold, boolean isolatesSuspects) {}
+  record QuarantinePolicy(String name, int crashesToQuarantine, boolean isolatesSuspects) {}
 
   /**
    * Results of a simulation.
@@ -119,11 +119,11 @@
       this.index = index;
       this.zone = index % ZONES;
       this.backend = new Backend(this, index + "-0");
-      clearSuspicions();
+      clearSuspects();
     }
 
-    private void clearSuspicions() {
-      registry = new SuspectRegistry(policy.marksToHold());
+    private void clearSuspects() {
+      registry = new SuspectRegistry(policy.crashesToQuarantine());
       quarantine = new RequestQuarantine(registry, request -> false, EVENTS, () -> now);
       exchange = new SuspectExchange(quarantine, () -> hosts, this::send, () -> now);
     }
@@ -195,7 +195,7 @@
   }
 
   private final Scenario scenario;
-  private final HoldPolicy policy;
+  private final QuarantinePolicy policy;
   private final Random random;
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(
@@ -214,7 +214,7 @@
   private long sentDatagrams;
   private long slowestNodeMillis = -1;
 
-  QuarantineSimulation(Scenario scenario, HoldPolicy policy, long seed) {
+  QuarantineSimulation(Scenario scenario, QuarantinePolicy policy, long seed) {
     this.scenario = scenario;
     this.policy = policy;
     this.random = new Random(seed);
@@ -303,7 +303,7 @@
   private void dispatch(Request request) {
     Node entryNode = request.entryNode;
     if (entryNode.quarantine.blocksOutbound(request.fingerprint)) {
-      handleHeld(request);
+      handleQuarantined(request);
       return;
     }
     Backend chosen = choose(request);
@@ -381,17 +381,17 @@
     poison.crashes++;
     if (poison.crashes == 3) {
       poison.thirdCrashMillis = now;
-      awaitHeldEverywhere(poison, now);
+      awaitQuarantinedEverywhere(poison, now);
     }
   }
 
-  private void awaitHeldEverywhere(PoisonRequest poison, long sinceMillis) {
+  private void awaitQuarantinedEverywhere(PoisonRequest poison, long sinceMillis) {
     boolean heldEverywhere =
         nodes.stream().allMatch(node -> node.quarantine.blocksOutbound(poison.fingerprint));
     if (heldEverywhere) {
       slowestNodeMillis = Math.max(slowestNodeMillis, now - sinceMillis);
     } else {
-      after(10, () -> awaitHeldEverywhere(poison, sinceMillis));
+      after(10, () -> awaitQuarantinedEverywhere(poison, sinceMillis));
     }
   }
 
@@ -426,7 +426,7 @@
     }
   }
 
-  private void handleHeld(Request request) {
+  private void handleQuarantined(Request request) {
     if (request.poison == null) {
       wronglyHeld++;
       return;
@@ -463,7 +463,7 @@
 
   private void restartOne() {
     Node node = anyNode();
-    node.clearSuspicions();
+    node.clearSuspects();
     node.startedMillis = now;
     after(RESTART_INTERVAL_MILLIS, this::restartOne);
   }
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/SuspectExchangeTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/SuspectExchangeTest.java
@@ -128,7 +128,7 @@
   }
 
   @Test
-  void aNodeThatStartsLaterReceivesAllSuspicions() {
+  void aNodeThatStartsLaterReceivesAllSuspectReports() {
     growTo(12);
     for (int backend = 0; backend < 3; backend++) {
       nodes
@@ -166,6 +166,6 @@
     runFor(500);
 
     assertThat(nodes).noneMatch(node -> node.quarantine.blocksOutbound(POISON_REQUEST));
-    assertThat(nodes).noneMatch(node -> node.quarantine.mayHold(POISON_REQUEST.target()));
+    assertThat(nodes).noneMatch(node -> node.quarantine.mayBeQuarantined(POISON_REQUEST.target()));
   }
 }
--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/BackendState.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/BackendState.java
@@ -169,9 +169,9 @@
 
   /** Whether the backend accepts new work according to its node and its own responses. */
   boolean isInService(long nowMillis) {
-    boolean isLeaving =
+    boolean isOutOfService =
         report != null && (report.phase() == Phase.DRAINING || report.phase() == Phase.DOWN);
-    return !isLeaving && nowMillis >= drainingUntilMillis;
+    return !isOutOfService && nowMillis >= drainingUntilMillis;
   }
 
   /** Whether the backend is ejected because of consecutive failures. */
--- a/umberpath-traffic/src/test/java/io/umberpath/traffic/LoadBalancerTest.java
+++ b/umberpath-traffic/src/test/java/io/umberpath/traffic/LoadBalancerTest.java
@@ -62,7 +62,7 @@
 
   @ParameterizedTest
   @CsvSource({"DRAINING", "DOWN"})
-  void aLeavingBackendGetsNoNewRequests(Phase phase) {
+  void aDrainingOrDownBackendGetsNoNewRequests(Phase phase) {
     countPicks(0, pool("aa"));
     report(1, "b0", phase, 0);
     assertThat(countPicks(1, pool("aa"))).containsOnlyKeys("b1");
@@ -185,7 +185,7 @@
   }
 
   @Test
-  void aLeavingBackendChangesOnlyTheSubsetsThatHeldIt() {
+  void aRemovedBackendChangesOnlyTheSubsetsThatContainedIt() {
     List<String> ids = List.of("a", "b", "c", "d", "e", "f");
     for (int edge = 0; edge < 200; edge++) {
       List<String> before = Subsetting.order("edge-" + edge, ids, id -> id);
