--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshEvents.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshEvents.java
@@ -230,10 +230,10 @@
    * Logs that no entry missing from the restored copy is kept any more: all are as the store has
    * them.
    */
-  void storeEraSettled(StorePosition position, int kept) {
+  void storeEraSettled(StorePosition position, int retained) {
     line(MeshEvent.STORE_ERA)
         .with(POSITION, position.toString())
-        .with(COUNT, (long) kept)
+        .with(COUNT, (long) retained)
         .log("all kept entries released");
   }
 
@@ -430,7 +430,7 @@
         .log("%s", isQuarantined ? "backends crashed while running it" : "it ran to a good end");
   }
 
-  void requestTried(RequestFingerprint request) {
+  void requestTrialStarted(RequestFingerprint request) {
     line(MeshEvent.REQUEST_TRIED).with(FINGERPRINT, request.text()).log("once more");
   }
 
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/RequestQuarantine.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/RequestQuarantine.java
@@ -76,7 +76,7 @@
         return true;
       }
       registry.beginTrial(now, request);
-      events.requestTried(request);
+      events.requestTrialStarted(request);
       return false;
     }
   }
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/StateChangesCodec.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/StateChangesCodec.java
@@ -204,7 +204,7 @@
     JsonParser in = CBOR.createParser(new InflaterInputStream(stream));
     require(in.nextToken() == JsonToken.START_ARRAY);
     final StorePosition after = readPosition(in);
-    final StorePosition at = readPosition(in);
+    final StorePosition position = readPosition(in);
     final StoreFacts facts = readFacts(in);
     List<StoreItem> items = new ArrayList<>();
     List<StoreEvent.Delete> deleted = new ArrayList<>();
@@ -225,7 +225,7 @@
     }
     // Reads to the end of the stream, so that the checksum of the compression is verified.
     require(in.nextToken() == null);
-    return new StateTransfer(new StoreChanges(after, at, items, deleted, patches), facts);
+    return new StateTransfer(new StoreChanges(after, position, items, deleted, patches), facts);
   }
 
   private static long readNumber(JsonParser in) throws IOException {
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/StoreModel.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/StoreModel.java
@@ -58,7 +58,7 @@
     return items;
   }
 
-  /** Answers immediately; a watch without new events returns an empty list. */
+  /** Responds immediately; a watch without new events returns an empty list. */
   StoreResponse respond(StoreRequest call) {
     if (call instanceof StoreRequest.Watch watch) {
       return changes(watch.afterRevision());
