--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshOutboundHandler.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/MeshOutboundHandler.java
@@ -50,9 +50,9 @@
   private final RequestQuarantine quarantine;
   private final RequestEvents events;
   private final LongSupplier clockMillis;
-  private final WeightedRoundRobin split = new WeightedRoundRobin();
+  private final WeightedRoundRobin weightedRoundRobin = new WeightedRoundRobin();
   private final OutboundRetryPolicy retryPolicy;
-  private final RequestAgeEstimator patience = new RequestAgeEstimator();
+  private final RequestAgeEstimator requestAges = new RequestAgeEstimator();
   private final RequestCosts costs = new RequestCosts();
   private final RefusalStyle style = new MeshRefusalStyle();
   private final Set<String> replacedHeaders = new TreeSet<>(String.CASE_INSENSITIVE_ORDER);
@@ -161,8 +161,8 @@
       long deadlineMillis,
       boolean isClientRetry) {
     String service;
-    synchronized (split) {
-      service = split.next(rule);
+    synchronized (weightedRoundRobin) {
+      service = weightedRoundRobin.next(rule);
     }
     retryPolicy.recordRequest(clockMillis.getAsLong(), rule.name(), service);
     return new MeshOutboundPlan(
@@ -172,15 +172,15 @@
         version,
         deadlineMillis,
         arrivedMillis,
-        Fingerprints.targetOf(head),
+        Fingerprints.hashTarget(head),
         isClientRetry,
         replacedHeaders,
         new RetryState());
   }
 
   private boolean isClientRetry(RoutingRule rule, long clientTimeoutMillis) {
-    synchronized (patience) {
-      return patience.ageMillis(rule.name(), clientTimeoutMillis) > 0;
+    synchronized (requestAges) {
+      return requestAges.ageMillis(rule.name(), clientTimeoutMillis) > 0;
     }
   }
 
@@ -256,7 +256,7 @@
     // Crashes caused by earlier tries of the same request count too: when each try of a client
     // started at zero, one request crashed 25 backends, two per try.
     boolean isQuarantined =
-        quarantine.mayHold(plan.targetHash())
+        quarantine.mayBeQuarantined(plan.targetHash())
             && Fingerprints.of(exchange, plan.targetHash())
                 .filter(quarantine::blocksOutbound)
                 .isPresent();
--- a/umberpath-node/src/main/java/io/umberpath/node/mesh/RequestQuarantine.java
+++ b/umberpath-node/src/main/java/io/umberpath/node/mesh/RequestQuarantine.java
@@ -23,59 +23,60 @@
 final class RequestQuarantine {
   private static final long MILLIS_PER_SECOND = 1_000;
 
-  private final SuspectRegistry ledger;
+  private final SuspectRegistry registry;
   private final Predicate<RequestFingerprint> isTrialOwner;
   private final MeshEvents events;
   private final LongSupplier clockMillis;
 
-  /** Suspicions not sent to the other nodes yet; guarded by this object's lock. */
-  private final List<SuspectReport> unsentSuspicions = new ArrayList<>();
+  /** Suspect reports not sent to the other nodes yet; guarded by this object's lock. */
+  private final List<SuspectReport> unsentReports = new ArrayList<>();
 
-  private volatile Set<Long> heldTargets = Set.of();
+  private volatile Set<Long> quarantinedTargets = Set.of();
   private volatile int suspectCount;
   private volatile long digest;
 
   /**
    * Creates an empty quarantine.
    *
-   * @param ledger an empty ledger
-   * @param isTrialOwner whether this node is the one that may retry a given held request as a trial
+   * @param registry an empty registry
+   * @param isTrialOwner whether this node is the one that may retry a given quarantined request as
+   *     a trial
    */
   RequestQuarantine(
-      SuspectRegistry ledger,
+      SuspectRegistry registry,
       Predicate<RequestFingerprint> isTrialOwner,
       MeshEvents events,
       LongSupplier clockMillis) {
-    this.ledger = ledger;
+    this.registry = registry;
     this.isTrialOwner = isTrialOwner;
     this.events = events;
     this.clockMillis = clockMillis;
   }
 
   /**
-   * Returns whether a request with this target may be held. If not, which is the usual case, the
-   * body need not be hashed.
+   * Returns whether a request with this target may be quarantined. If not, which is the usual case,
+   * the body need not be hashed.
    */
-  boolean mayHold(long targetHash) {
-    Set<Long> targets = heldTargets;
+  boolean mayBeQuarantined(long targetHash) {
+    Set<Long> targets = quarantinedTargets;
     return !targets.isEmpty() && targets.contains(targetHash);
   }
 
   /**
-   * Returns whether this node refuses a client's request. If a trial of a held request is due here,
-   * this call starts the trial and returns false.
+   * Returns whether this node refuses a client's request. If a trial of a quarantined request is
+   * due here, this call starts the trial and returns false.
    */
   boolean blocksOutbound(RequestFingerprint request) {
     long now = clockMillis.getAsLong();
     synchronized (this) {
-      if (!ledger.isQuarantined(request)) {
+      if (!registry.isQuarantined(request)) {
         return false;
       }
-      if (!ledger.isTrialDue(now, request) || !isTrialOwner.test(request)) {
+      if (!registry.isTrialDue(now, request) || !isTrialOwner.test(request)) {
         return true;
       }
-      ledger.beginTrial(now, request);
-      events.requestTried(request);
+      registry.beginTrial(now, request);
+      events.requestTrialStarted(request);
       return false;
     }
   }
@@ -84,125 +85,127 @@
   boolean blocksInbound(RequestFingerprint request) {
     long now = clockMillis.getAsLong();
     synchronized (this) {
-      return ledger.isQuarantined(request) && !ledger.isTrialDue(now, request);
+      return registry.isQuarantined(request) && !registry.isTrialDue(now, request);
     }
   }
 
   /** Records that the local backend crashed while running these requests. */
   synchronized void recordBackendCrash(
       BackendStart backend, Collection<RequestFingerprint> running) {
-    Set<RequestFingerprint> heldBefore = heldAmong(running);
-    unsentSuspicions.addAll(ledger.recordCrash(clockMillis.getAsLong(), backend, running));
-    publishChanges(heldBefore, running);
+    Set<RequestFingerprint> quarantinedBefore = quarantinedAmong(running);
+    unsentReports.addAll(registry.recordCrash(clockMillis.getAsLong(), backend, running));
+    publishChanges(quarantinedBefore, running);
   }
 
   /** Records that a request completed successfully on the local backend. */
   synchronized void recordSuccess(RequestFingerprint request) {
-    boolean heldBefore = ledger.isQuarantined(request);
-    Optional<SuspectReport> cleared = ledger.recordSuccess(clockMillis.getAsLong(), request);
+    boolean quarantinedBefore = registry.isQuarantined(request);
+    Optional<SuspectReport> cleared = registry.recordSuccess(clockMillis.getAsLong(), request);
     if (cleared.isPresent()) {
-      unsentSuspicions.add(cleared.get());
-      publishChanges(heldBefore ? Set.of(request) : Set.of(), List.of(request));
+      unsentReports.add(cleared.get());
+      publishChanges(quarantinedBefore ? Set.of(request) : Set.of(), List.of(request));
     }
   }
 
   /**
-   * Merges the suspicions of another node. Where this node knows more, its own suspicions are
+   * Merges the suspect reports of another node. Where this node knows more, its own reports are
    * queued for all nodes.
    */
   synchronized void merge(SuspectMessage message) {
     long now = clockMillis.getAsLong();
     List<SuspectReport> received = message.toLocalTimes(now);
     List<RequestFingerprint> affected = received.stream().map(SuspectReport::request).toList();
-    Set<RequestFingerprint> heldBefore = heldAmong(affected);
+    Set<RequestFingerprint> quarantinedBefore = quarantinedAmong(affected);
     for (SuspectReport each : received) {
-      ledger.merge(now, each).stream().skip(1).forEach(unsentSuspicions::add);
+      registry.merge(now, each).stream().skip(1).forEach(unsentReports::add);
     }
-    publishChanges(heldBefore, affected);
+    publishChanges(quarantinedBefore, affected);
   }
 
-  private Set<RequestFingerprint> heldAmong(Collection<RequestFingerprint> requests) {
-    Set<RequestFingerprint> held = new HashSet<>();
+  private Set<RequestFingerprint> quarantinedAmong(Collection<RequestFingerprint> requests) {
+    Set<RequestFingerprint> quarantined = new HashSet<>();
     for (RequestFingerprint request : requests) {
-      if (ledger.isQuarantined(request)) {
-        held.add(request);
+      if (registry.isQuarantined(request)) {
+        quarantined.add(request);
       }
     }
-    return held;
+    return quarantined;
   }
 
   private void publishChanges(
-      Set<RequestFingerprint> heldBefore, Collection<RequestFingerprint> affected) {
+      Set<RequestFingerprint> quarantinedBefore, Collection<RequestFingerprint> affected) {
     updateSummary();
     for (RequestFingerprint request : affected) {
-      boolean isHeld = ledger.isQuarantined(request);
-      if (isHeld != heldBefore.contains(request)) {
-        events.requestHeld(request, isHeld, ledger.crashCount(request));
-        heldTargets = ledger.quarantinedTargets();
+      boolean isQuarantined = registry.isQuarantined(request);
+      if (isQuarantined != quarantinedBefore.contains(request)) {
+        events.requestHeld(request, isQuarantined, registry.crashCount(request));
+        quarantinedTargets = registry.quarantinedTargets();
       }
     }
   }
 
-  /** Removes expired suspicions. */
+  /** Removes expired suspect reports. */
   synchronized void removeExpired() {
     if (suspectCount > 0) {
-      ledger.removeExpired(clockMillis.getAsLong());
-      heldTargets = ledger.quarantinedTargets();
+      registry.removeExpired(clockMillis.getAsLong());
+      quarantinedTargets = registry.quarantinedTargets();
       updateSummary();
     }
   }
 
   private void updateSummary() {
-    suspectCount = ledger.size();
-    digest = ledger.digest();
+    suspectCount = registry.size();
+    digest = registry.digest();
   }
 
-  /** Returns the suspicions recorded since the last call, to be sent to the other nodes. */
+  /** Returns the suspect reports recorded since the last call, to be sent to the other nodes. */
   synchronized List<SuspectReport> drainUnsent() {
-    List<SuspectReport> drained = List.copyOf(unsentSuspicions);
-    unsentSuspicions.clear();
+    List<SuspectReport> drained = List.copyOf(unsentReports);
+    unsentReports.clear();
     return drained;
   }
 
-  /** Returns all suspicions, for a node that lacks some. */
-  synchronized List<SuspectReport> allSuspicions() {
-    return ledger.snapshot();
+  /** Returns all suspect reports, for a node that lacks some. */
+  synchronized List<SuspectReport> allReports() {
+    return registry.snapshot();
   }
 
-  /** Returns the held requests for operators, one per line. */
+  /** Returns the quarantined requests for operators, one per line. */
   synchronized String statusPage() {
     long now = clockMillis.getAsLong();
     StringBuilder lines = new StringBuilder();
-    for (SuspectReport each : ledger.snapshot()) {
-      if (ledger.isQuarantined(each.request())) {
+    for (SuspectReport each : registry.snapshot()) {
+      if (registry.isQuarantined(each.request())) {
         lines.append(statusLine(now, each));
       }
     }
     return lines.toString();
   }
 
-  private static String statusLine(long nowMillis, SuspectReport held) {
+  private static String statusLine(long nowMillis, SuspectReport quarantined) {
     LongSummaryStatistics crashTimes =
-        held.marks().stream()
+        quarantined.marks().stream()
             .filter(mark -> !mark.cleared())
             .collect(Collectors.summarizingLong(CrashMark::atMillis));
     long secondsSinceLast = (nowMillis - crashTimes.getMax()) / MILLIS_PER_SECOND;
     return "%s held, crashed %d backends, the last %d s ago%n"
-        .formatted(held.request().text(), crashTimes.getCount(), secondsSinceLast);
+        .formatted(quarantined.request().text(), crashTimes.getCount(), secondsSinceLast);
   }
 
-  /** Returns a digest that is equal on all nodes with equal suspicions; 0 if there are none. */
+  /**
+   * Returns a digest that is equal on all nodes with equal suspect reports; 0 if there are none.
+   */
   long digest() {
     return digest;
   }
 
-  /** Returns the number of requests suspected of a crash, whether or not they are held. */
+  /** Returns the number of requests suspected of a crash, whether or not they are quarantined. */
   int suspectCount() {
     return suspectCount;
   }
 
-  /** Returns the number of distinct targets of held requests. */
-  int heldTargetCount() {
-    return heldTargets.size();
+  /** Returns the number of distinct targets of quarantined requests. */
+  int quarantinedTargetCount() {
+    return quarantinedTargets.size();
   }
 }
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/QuarantineSimulation.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/QuarantineSimulation.java
@@ -53,12 +53,12 @@
   }
 
   /**
-   * The rule by which requests are held.
+   * The rule by which requests are quarantined.
    *
-   * @param marksToHold crashes from which on a request is held
+   * @param crashesToQuarantine crashes from which on a request is quarantined
    * @param isolatesSuspects whether a suspect never runs beside another suspect
    */
-  record HoldPolicy(String name, int marksToHold, boolean isolatesSuspects) {}
+  record QuarantinePolicy(String name, int crashesToQuarantine, boolean isolatesSuspects) {}
 
   /**
    * Results of a simulation.
@@ -67,7 +67,7 @@
    * @param lateArrivals highest number of arrivals of one poison request that were sent by
    *     connected nodes more than three seconds after its third crash
    * @param ordinaryRequests ordinary requests, not counting client retries
-   * @param wronglyHeld attempts to send ordinary requests that were refused as held
+   * @param wronglyHeld attempts to send ordinary requests that were refused as quarantined
    * @param failed ordinary requests that failed for another reason
    * @param datagramsPerNode datagrams about suspects sent per node
    * @param slowestNodeMillis time from the third crash until the last node holds the poison
@@ -109,7 +109,7 @@
   private final class Node {
     private final int index;
     private final int zone;
-    private SuspectRegistry ledger;
+    private SuspectRegistry registry;
     private RequestQuarantine quarantine;
     private SuspectExchange exchange;
     private long startedMillis = -CONTACT_MILLIS;
@@ -119,12 +119,12 @@
       this.index = index;
       this.zone = index % ZONES;
       this.backend = new Backend(this, index + "-0");
-      clearSuspicions();
+      clearSuspects();
     }
 
-    private void clearSuspicions() {
-      ledger = new SuspectRegistry(policy.marksToHold());
-      quarantine = new RequestQuarantine(ledger, request -> false, EVENTS, () -> now);
+    private void clearSuspects() {
+      registry = new SuspectRegistry(policy.crashesToQuarantine());
+      quarantine = new RequestQuarantine(registry, request -> false, EVENTS, () -> now);
       exchange = new SuspectExchange(quarantine, () -> hosts, this::send, () -> now);
     }
 
@@ -195,7 +195,7 @@
   }
 
   private final Scenario scenario;
-  private final HoldPolicy policy;
+  private final QuarantinePolicy policy;
   private final Random random;
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(
@@ -214,7 +214,7 @@
   private long sentDatagrams;
   private long slowestNodeMillis = -1;
 
-  QuarantineSimulation(Scenario scenario, HoldPolicy policy, long seed) {
+  QuarantineSimulation(Scenario scenario, QuarantinePolicy policy, long seed) {
     this.scenario = scenario;
     this.policy = policy;
     this.random = new Random(seed);
@@ -303,7 +303,7 @@
   private void dispatch(Request request) {
     Node entryNode = request.entryNode;
     if (entryNode.quarantine.blocksOutbound(request.fingerprint)) {
-      handleHeld(request);
+      handleQuarantined(request);
       return;
     }
     Backend chosen = choose(request);
@@ -351,7 +351,7 @@
   }
 
   private static boolean isSuspect(Node node, Request request) {
-    return node.ledger.crashCount(request.fingerprint) > 0;
+    return node.registry.crashCount(request.fingerprint) > 0;
   }
 
   private void recordArrival(Request request) {
@@ -381,17 +381,17 @@
     poison.crashes++;
     if (poison.crashes == 3) {
       poison.thirdCrashMillis = now;
-      awaitHeldEverywhere(poison, now);
+      awaitQuarantinedEverywhere(poison, now);
     }
   }
 
-  private void awaitHeldEverywhere(PoisonRequest poison, long sinceMillis) {
+  private void awaitQuarantinedEverywhere(PoisonRequest poison, long sinceMillis) {
     boolean heldEverywhere =
         nodes.stream().allMatch(node -> node.quarantine.blocksOutbound(poison.fingerprint));
     if (heldEverywhere) {
       slowestNodeMillis = Math.max(slowestNodeMillis, now - sinceMillis);
     } else {
-      after(10, () -> awaitHeldEverywhere(poison, sinceMillis));
+      after(10, () -> awaitQuarantinedEverywhere(poison, sinceMillis));
     }
   }
 
@@ -426,7 +426,7 @@
     }
   }
 
-  private void handleHeld(Request request) {
+  private void handleQuarantined(Request request) {
     if (request.poison == null) {
       wronglyHeld++;
       return;
@@ -463,7 +463,7 @@
 
   private void restartOne() {
     Node node = anyNode();
-    node.clearSuspicions();
+    node.clearSuspects();
     node.startedMillis = now;
     after(RESTART_INTERVAL_MILLIS, this::restartOne);
   }
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/StoreModel.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/StoreModel.java
@@ -58,8 +58,8 @@
     return items;
   }
 
-  /** Answers immediately; a watch without new events returns an empty list. */
-  StoreResponse answer(StoreRequest call) {
+  /** Responds immediately; a watch without new events returns an empty list. */
+  StoreResponse respond(StoreRequest call) {
     if (call instanceof StoreRequest.Watch watch) {
       return changes(watch.afterRevision());
     }
--- a/umberpath-node/src/test/java/io/umberpath/node/mesh/SuspectExchangeTest.java
+++ b/umberpath-node/src/test/java/io/umberpath/node/mesh/SuspectExchangeTest.java
@@ -16,7 +16,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Simulates, in virtual time, nodes that exchange suspicions over a network with datagram loss. */
+/**
+ * Simulates, in virtual time, nodes that exchange suspect reports over a network with datagram
+ * loss.
+ */
 final class SuspectExchangeTest {
   private static final RequestFingerprint POISON_REQUEST = new RequestFingerprint(1, 1);
   private static final long TICK_MILLIS = 50;
@@ -125,7 +128,7 @@
   }
 
   @Test
-  void aNodeThatStartsLaterReceivesAllSuspicions() {
+  void aNodeThatStartsLaterReceivesAllSuspectReports() {
     growTo(12);
     for (int backend = 0; backend < 3; backend++) {
       nodes
@@ -163,6 +166,6 @@
     runFor(500);
 
     assertThat(nodes).noneMatch(node -> node.quarantine.blocksOutbound(POISON_REQUEST));
-    assertThat(nodes).noneMatch(node -> node.quarantine.mayHold(POISON_REQUEST.target()));
+    assertThat(nodes).noneMatch(node -> node.quarantine.mayBeQuarantined(POISON_REQUEST.target()));
   }
 }
