--- a/umberpath-traffic/src/main/java/io/umberpath/traffic/load/BackendSpeed.java
+++ b/umberpath-traffic/src/main/java/io/umberpath/traffic/load/BackendSpeed.java
@@ -127,7 +127,8 @@
    * Factor by which requests currently take longer than usual.
    *
    * @param ageFactor the same factor estimated from the ages of running requests, see {@link
-   *     io.umberpath.traffic.routing.Slowness}; overrides a backend that states less
+   *     io.umberpath.traffic.routing.SlowdownDetector}; if above 1, it overrides a lower factor
+   *     stated by the backend
    */
   public double slowdown(long nowMillis, double ageFactor) {
     double statedFactor = trusted ? deviation.factorAt(nowMillis) : 1;
